--- a/internal/relay/accounts.go
+++ b/internal/relay/accounts.go
@@ -13,19 +13,19 @@
 	"github.com/stoatramp/stoatramp/internal/quota"
 )
 
-// KeyHash is the SHA-256 of a client's key. The key itself is kept nowhere.
+// KeyHash is the SHA-256 of a client's key. The key itself is not stored.
 type KeyHash [sha256.Size]byte
 
 // HashKey hashes a key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// short tells keys apart in logs and answers.
+// short returns a prefix that identifies the key in logs and answers.
 func (h KeyHash) short() string { return hex.EncodeToString(h[:4]) }
 
-// KeyState says what a request has in the place of its key.
+// KeyState describes the key of a request.
 type KeyState uint8
 
-// The states. A BadKey can be nobody's: it is empty, overlong, or one of several.
+// The states. A BadKey cannot be valid: it is empty, too long, or one of several.
 const (
 	NoKey KeyState = iota
 	OneKey
@@ -35,20 +35,20 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority goes before that of a request's route, if Ranked.
+	// Priority overrides that of a request's route, if Ranked.
 	Priority int
 	Ranked   bool
-	// Regions are those in which its requests may be served, beside what their route says; empty
-	// where the account says nothing of it.
+	// Regions are the regions that may serve its requests, combined with those of the route; empty if the account
+	// does not restrict them.
 	Regions []string
-	// Limit holds for all boxes together. It counts tokens if ByTokens, PlainTokens for a request
-	// that does not say how many it takes, and otherwise requests.
+	// Limit is the limit over all boxes. If ByTokens is set it counts tokens, and PlainTokens for a request that does
+	// not say how many it takes; otherwise it counts requests.
 	Limit       quota.Limit
 	ByTokens    bool
 	PlainTokens int
 }
 
-// AccountLimits are the limits of the accounts that have one, by the accounts' names.
+// AccountLimits returns the limits of the accounts that have one, by name.
 func (c *Config) AccountLimits() map[string]quota.Limit {
 	out := map[string]quota.Limit{}
 	for _, a := range c.Accounts {
@@ -59,10 +59,10 @@
 	return out
 }
 
-// maxCountedTokens bounds the tokens that a request may say it takes.
+// maxCountedTokens limits the tokens that are counted for a request's prompt and for its output.
 const maxCountedTokens = 1 << 30
 
-// units are what a request takes of its account's limit.
+// units returns what a request takes of its account's limit.
 func (a *Account) units(ask *Ask) float64 {
 	if !a.ByTokens {
 		return 1
@@ -73,30 +73,30 @@
 	return float64(a.PlainTokens)
 }
 
-// Allowance keeps accounts to their limits over all boxes.
+// Allowance enforces accounts' limits over all boxes.
 type Allowance interface {
 	Take(ctx context.Context, account string, units float64) quota.Verdict
 	GiveBack(account string, units float64)
 }
 
-// KeyRules say what holds for keys while the box does not hear of the configuration.
+// KeyRules say how keys are checked while the box cannot receive configurations.
 type KeyRules struct {
-	// Strict refuses requests that need a key once the configuration is older than Within, in which a
-	// key that was taken away must be refused. Otherwise the last configuration heard of counts.
+	// Strict refuses requests that need a key once the configuration is older than Within, the time within which a
+	// revoked key must be refused. Otherwise the last configuration received is used.
 	Strict bool
 	Within time.Duration
-	// Age is how long ago the configuration was heard of.
+	// Age returns the time since the configuration was last confirmed.
 	Age func() time.Duration
 }
 
-// maxRevokedKeys bounds the keys that are remembered as taken away.
+// maxRevokedKeys limits the revoked keys that are remembered.
 const maxRevokedKeys = 4096
 
-// revoked are keys that configurations before the one in force had. They are refused like any
-// unknown key, but counted apart. Nothing is changed once it is stored.
+// revoked are keys of earlier configurations that the one in force does not have. They are refused like any
+// unknown key, but with a reason of their own. The map is immutable once stored.
 type revoked map[KeyHash]struct{}
 
-// after adds what a new configuration took away.
+// after returns the revoked keys after a new configuration.
 func (r revoked) after(old, next *Config) revoked {
 	out := make(revoked, len(r))
 	for k := range r {
@@ -115,9 +115,8 @@
 	return out
 }
 
-// authenticate finds the account of the request. Without accounts in the configuration there is none.
-// A public route needs no key, and one that nobody holds is passed over there: it would have been
-// served without.
+// authenticate finds the account of the request. There is none if the configuration has no accounts. A public
+// route needs no key, and ignores an unknown one, because it would have served the request without a key.
 func (x *exchange) authenticate() (outcome.Outcome, bool) {
 	if x.cfg.Accounts == nil {
 		return outcome.Outcome{}, true
@@ -151,13 +150,13 @@
 }
 
 const (
-	// limitJitter keeps callers who are over a limit from coming back together.
+	// limitJitter keeps callers that exceed a limit from retrying at the same time.
 	limitJitter = 0.25
-	// minLimitRetryAfter is the shortest time that they are told.
+	// minLimitRetryAfter is the shortest retry delay that they are given.
 	minLimitRetryAfter = 50 * time.Millisecond
 )
 
-// chargeLimit takes what the request needs of its account's limit, or refuses it at once.
+// chargeLimit takes the request's units from its account's limit, or refuses the request at once.
 func (x *exchange) chargeLimit(ctx context.Context) (outcome.Outcome, bool) {
 	a := x.account
 	if a == nil || a.Limit.Rate <= 0 || x.r.o.Limits == nil {
@@ -186,7 +185,7 @@
 	return o, false
 }
 
-// decidedBy says who decided, and how many boxes had lent it their parts.
+// decidedBy says which box decided, and the share of the boxes that had lent it their parts.
 func decidedBy(v quota.Verdict) string {
 	by := "this box"
 	if v.By != "" {
@@ -195,14 +194,14 @@
 	return fmt.Sprintf("decided by %s with the parts of %.0f%% of the boxes", by, 100*v.Part)
 }
 
-// refundLimit gives back what a request took of its account's limit if no endpoint was sent it.
+// refundLimit gives the request's units back if no request was built for an endpoint.
 func (x *exchange) refundLimit() {
 	if x.units > 0 && !x.dispatched {
 		x.r.o.Limits.GiveBack(x.account.Name, x.units)
 	}
 }
 
-// rank is the request's priority, 0 the highest.
+// rank returns the request's priority, 0 the highest.
 func (x *exchange) rank() int {
 	if x.account != nil && x.account.Ranked {
 		return x.account.Priority
--- a/internal/relay/asking.go
+++ b/internal/relay/asking.go
@@ -8,30 +8,30 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// This file says when a box asks an engine for its load. Time alone does not say it: what all boxes may
-// ask grows with their streams, and an engine that was last heard of a while ago would be due at once, on
-// all boxes, as soon as more may be asked: 38 of the 96 that a box deals with, of 8,650, within five
-// seconds as streams go on for a while, where seven are allowed (TestAsksNewInTurn). So the rounds are
-// counted too in which all engines might have been asked once.
+// This file decides when a box polls an engine for its load. Time alone is not enough: the rate allowed to all
+// boxes grows with their streams, so all engines polled a while ago would become due at once, on all boxes, as
+// soon as the rate rises: while streams come at a steady rate, a box polled 38 of its 96 engines, out of 8,650,
+// within five seconds, where seven are allowed (TestNewEnginesArePolledInTurn). So the rounds are counted too; in
+// one round all engines may be polled once.
 
-// pollSchedule is how the boxes that deal with engines of a service take turns at asking them.
+// pollSchedule spreads the polls of a service's engines over the boxes that keep them.
 type pollSchedule struct {
-	// round is the time in which all engines may be asked once, by the streams that there are.
+	// round is the time in which the allowed rate polls every engine once.
 	round time.Duration
-	// spread is the time over which the boxes that deal with an engine are spread, so that one asks
-	// and the others hear its answer.
+	// spread is the range of the jitter between boxes that keep the same engine: one polls, and the others receive
+	// the result.
 	spread time.Duration
 }
 
-// pollDelay is what has to pass before an engine is asked: a time, and a number of rounds.
+// pollDelay is what must pass before an engine is polled: both a time and a number of rounds.
 type pollDelay struct {
 	time   time.Duration
 	rounds float64
 }
 
-// delays are those of an engine that was heard of and of one that never was. Both have a part that is drawn
-// for each box and engine. It is drawn apart from what a box deals with: of that it is the engines with the
-// highest draws, which all boxes would ask at one moment.
+// delays returns the delay of an engine that was polled before, and of one that never was. Both include a jitter
+// for each box and engine. Its hash differs from the one that selects the subset: a box keeps the engines with the
+// highest subset ranks, so all boxes would poll an engine at the same moment.
 func (t pollSchedule) delays(box string, e Endpoint) (again, first pollDelay) {
 	after := pollIntervalDecode
 	if e.Role == decide.Prefill {
@@ -42,28 +42,28 @@
 	return pollDelay{after + first.time, 1 + first.rounds}, first
 }
 
-// remaining is the time until a wait is over that began so long ago, at a number of rounds.
+// remaining returns the time until a delay is over that began ago and rounds before now.
 func (t pollSchedule) remaining(w pollDelay, ago time.Duration, rounds float64) time.Duration {
 	return max(w.time-ago, seconds((w.rounds-rounds)*t.round.Seconds()))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// roundCount are how often all engines of a service might have been asked, as of a time.
+// roundCount counts the rounds of a service, as of a time.
 type roundCount struct {
 	completed float64
 	at        time.Time
 }
 
-// lastReport is when an engine was lastReport of last, or first seen.
+// lastReport is when an engine's load was last received or polled, or when the engine was first listed.
 type lastReport struct {
 	at     time.Time
 	rounds float64
-	// listedOnly says that the engine was listedOnly on the list only.
+	// listedOnly is set while the engine was listed and no load was received.
 	listedOnly bool
 }
 
-// advanceRounds counts the rounds of a service up to now, of which one takes so long at present.
+// advanceRounds counts the rounds of a service up to now, given the present duration of one.
 func (f *fleet) advanceRounds(service string, now time.Time, round time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +78,7 @@
 	f.rounds[service] = r
 }
 
-// claimPoll notes that an engine is asked now if it is due, and returns the time until it is otherwise.
+// claimPoll records a poll of an engine now if one is due, and otherwise returns the time until it is.
 func (f *fleet) claimPoll(e Endpoint, now time.Time, t pollSchedule, again, first pollDelay) (due bool, left time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +99,7 @@
 	return true, maxPollPause
 }
 
-// claimStalePoll notes that an engine is claimStalePoll now, unless it was heard of within a time.
+// claimStalePoll records a poll of an engine now, unless its load was received within a time.
 func (f *fleet) claimStalePoll(id string, now time.Time, within time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +110,7 @@
 	return true
 }
 
-// recordReport notes that an engine was heard of. The lock is held.
+// recordReport records that an engine's load was received. f.mu is held.
 func (f *fleet) recordReport(id string, now time.Time) {
 	h := lastReport{at: now}
 	if i, listed := f.index[id]; listed {
--- a/internal/relay/beliefs.go
+++ b/internal/relay/beliefs.go
@@ -9,9 +9,9 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// This file logs what changes in the box's view of the endpoints.
+// This file logs changes in the box's view of the endpoints.
 
-// maxChangeLines bounds the lines that one change of the list makes: the rest is counted.
+// maxChangeLines limits the log lines for one change of the list; further changes are only counted.
 const maxChangeLines = 24
 
 // logStateChange logs that an endpoint is set aside, silent, or usable again.
@@ -23,7 +23,7 @@
 	r.o.Book.Log.Belief("endpoint "+b.State.String(), fields...)
 }
 
-// logLearned logs what is now known of a pool's engines and requests.
+// logLearned logs the learned rates of a pool's engines and requests.
 func (r *Relay) logLearned(l decide.Learned) {
 	r.o.Book.Log.Belief("engines' pace", zap.String("service", l.Pool),
 		zap.Float64("read_tokens_per_s", l.PrefillRate), zap.Duration("read_delay", l.ReadDelay), zap.Duration("begin", l.Begin),
@@ -31,8 +31,7 @@
 		zap.Float64("prompt_tokens", l.Prompt), zap.Float64("answer_tokens", l.Output))
 }
 
-// logList logs how a new list of endpoints differs from the one before. Their places are in oldIndex and
-// index, by the endpoints' IDs.
+// logList logs the differences between two lists of endpoints. The indexes map IDs to positions in them.
 func (r *Relay) logList(old []Endpoint, oldIndex map[string]int, list []Endpoint, index map[string]int) {
 	lines := 0
 	logLine := func(what string, e Endpoint) {
@@ -66,7 +65,7 @@
 	}
 }
 
-// listAge is how long ago the list of endpoints was heard of.
+// listAge returns the age of the list of endpoints.
 func (r *Relay) listAge() time.Duration {
 	if r.o.List == nil {
 		return 0
--- a/internal/relay/callerconn.go
+++ b/internal/relay/callerconn.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// stalledWriteTimeout is how long a write may take whose deadline is over, for each piece that the caller takes: time
-// enough for what lies ready to leave, and short beside readerLimit.
+// stalledWriteTimeout is the deadline of a write that is continued after its deadline has passed, and starts anew
+// whenever the caller takes data. It is enough to send data that is ready, and short compared to callerWriteTimeout.
 const stalledWriteTimeout = 250 * time.Millisecond
 
-// mostStalls bounds how often one write is tried again whose deadline had passed before it was tried.
+// mostStalls limits the retries of one write whose deadline had passed before it was tried.
 const mostStalls = 8
 
 // callerListener accepts callers' connections.
 type callerListener struct{ *net.TCPListener }
 
-// ListenCallers is net.Listen for callers on a TCP network: what is written to them is written on as long
-// as they read.
+// ListenCallers is net.Listen for callers on a TCP network. Writes to its connections succeed as long as the caller
+// reads, even if the process was not scheduled until after the deadline.
 func ListenCallers(network, address string) (net.Listener, error) {
 	l, err := net.Listen(network, address)
 	if err != nil {
@@ -41,13 +41,13 @@
 // callerConn is a caller's connection.
 type callerConn struct {
 	*net.TCPConn
-	// undelivered is called when a write fails after the handler of the request has returned: the server
-	// writes the end of an answer then, and says nothing of its failure. Nil while a handler runs.
+	// undelivered is called when a write fails after the request's handler has returned: the server writes the end
+	// of an answer at that point, and does not report an error. It is nil while a handler runs.
 	undelivered atomic.Pointer[func(error)]
 }
 
-// Write gives up only a caller that takes nothing. Deadlines are set before a write, and this process may
-// have had no processor until after them: the write then fails at once, though the caller reads.
+// Write fails only if the caller takes no data. Deadlines are set before a write, and the process may not have been
+// scheduled until after the deadline: the write then fails at once, although the caller reads.
 func (c *callerConn) Write(b []byte) (int, error) {
 	n, err := writeRetryingStalls(c.TCPConn, b)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return n, err
 }
 
-// deadlineWriter is a connection that can be written to for a time.
+// deadlineWriter is a writer with a write deadline.
 type deadlineWriter interface {
 	io.Writer
 	SetWriteDeadline(t time.Time) error
@@ -77,7 +77,7 @@
 		if more > 0 {
 			continue
 		}
-		// A write that fails at once was not tried: its deadline passed before it began.
+		// A write that failed at once was not tried, because its deadline had passed before.
 		if stalls++; time.Since(began) > stalledWriteTimeout/2 || stalls > mostStalls {
 			return n, err
 		}
@@ -87,7 +87,7 @@
 
 type callerConnKey struct{}
 
-// WithCaller is the ConnContext of a server of callers: requests find their connection by it.
+// WithCaller is the ConnContext of a callers' server, which lets requests find their connection.
 func WithCaller(ctx context.Context, c net.Conn) context.Context {
 	if c, ok := c.(*callerConn); ok {
 		return context.WithValue(ctx, callerConnKey{}, c)
@@ -95,19 +95,19 @@
 	return ctx
 }
 
-// watchUndelivered reports if the end of the answer cannot be written. It is called as the handler returns.
+// watchUndelivered reports a failure to write the end of the answer. It is called as the handler returns.
 func (x *exchange) watchUndelivered() {
 	c, ok := x.req.Context().Value(callerConnKey{}).(*callerConn)
 	if !ok {
 		return
 	}
-	// The connection may rest for long: it must not keep the whole request.
+	// The connection may stay idle for long, and must not keep the whole request in memory.
 	book, id, began := x.r.o.Book, x.meta.ID, time.Now()
 	report := func(err error) { book.Undelivered(id, time.Since(began), err) }
 	c.undelivered.Store(&report)
 }
 
-// unwatchUndelivered ends the watch of the request before on the same connection.
+// unwatchUndelivered removes the callback of the previous request on the same connection.
 func (x *exchange) unwatchUndelivered() {
 	if c, ok := x.req.Context().Value(callerConnKey{}).(*callerConn); ok {
 		c.undelivered.Store(nil)
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -15,11 +15,10 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file has a flight's calls to engines. Each runs in a goroutine of its own, changes
-// nothing of the flight and reports what happened to its loop.
+// This file has a flight's calls to engines. Each runs in a goroutine of its own, changes no state of the flight, and
+// reports events to its loop.
 
-// send reports to the loop. Where the request is over by then, what the call brought
-// is freed here.
+// send reports an event to the loop. If the request has ended, it frees the memory that the event names.
 func (f *flight) send(ev flightEvent) bool {
 	select {
 	case f.events <- ev:
@@ -30,7 +29,7 @@
 	}
 }
 
-// callPrefill sets memory aside at the decode engine and then has the prompt read.
+// callPrefill reserves memory at the decode engine and then has the prompt prefilled.
 func (f *flight) callPrefill(ctx context.Context, a decide.StartPrefill) {
 	x := f.x
 	reserved, ok := f.reserveKV(ctx, a.Attempt, a.Decode)
@@ -62,12 +61,12 @@
 	}
 }
 
-// readLinger is for how long the answer to a prompt that nobody needs any more is still
-// waited for: an engine that has just read it keeps it, under a name that only its answer
-// tells. One that is still reading then is cut off by the end of its connection.
+// readLinger is how long the answer to a prefill that is no longer needed is still waited for: an engine that has
+// just finished it stores the result under a name that only its answer contains. A prefill that takes longer is
+// stopped by the close of its connection.
 const readLinger = 50 * time.Millisecond
 
-// linger returns a context that ends so long after ctx.
+// linger returns a context that ends a grace period after ctx.
 func linger(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	out, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
@@ -85,8 +84,7 @@
 	}
 }
 
-// callCombined sets memory aside at a decode engine and then has it read the prompt and
-// make the answer.
+// callCombined reserves memory at a decode engine, and then has it prefill the prompt and generate the answer.
 func (f *flight) callCombined(ctx context.Context, a decide.StartDecode, lastEvent string) {
 	reserved, ok := f.reserveKV(ctx, a.Attempt, a.Decode)
 	if !ok || !f.send(flightEvent{attempt: a.Attempt, reserved: &reserved}) {
@@ -95,8 +93,8 @@
 	f.callDecode(ctx, a, Run{Instance: a.Decode, Hold: reserved.id, LastEvent: lastEvent})
 }
 
-// reserveKV has a decode engine hold memory, so that no prompt is read without a place
-// to go. Where it has none the core is told, and ok is false.
+// reserveKV reserves memory at a decode engine, so that no prompt is prefilled without memory for its result. If
+// there is none it reports that to the loop, and ok is false.
 func (f *flight) reserveKV(ctx context.Context, a decide.Attempt, engine string) (h reservation, ok bool) {
 	x := f.x
 	granted, owner := x.r.askRoom(ctx, engine, x)
@@ -122,9 +120,9 @@
 	return h, false
 }
 
-// requestReservation has an engine hold memory for the request, and returns its name; empty if it does not. Only the
-// answer tells the name, so the call outlives a caller that leaves, and lasts as long as the memory may be
-// held.
+// requestReservation has an engine reserve memory for the request, and returns the reservation's name; empty if there
+// is none. Only the answer contains the name, so the call continues if the caller leaves, for as long as the
+// reservation may last.
 func (r *Relay) requestReservation(ctx context.Context, engine string, x *exchange) string {
 	ttl := min(x.service.Engines.HoldFor, reservationTTL)
 	c := r.wire.TakeHold(x.meta.PromptTokens+min(x.reservedAhead(), x.reservedOutput()), ttl)
@@ -147,7 +145,7 @@
 	return &h1.Request{Address: address, Endpoint: endpoint, Method: c.Method, Target: c.Target, Host: address, Header: h, Body: c.Body}
 }
 
-// reasonOf says why a call that failed without an answer did.
+// reasonOf classifies the error of a call that got no answer.
 func reasonOf(err error) outcome.Reason {
 	var e *h1.Error
 	switch {
@@ -159,33 +157,31 @@
 	return outcome.EndpointDied
 }
 
-// maxStreamWait is how long a stream waits that may be late: callers give a stream up that
-// does not begin.
+// maxStreamWait limits the wait of a stream that may be late, because callers abandon a stream that does not begin.
 const maxStreamWait = 2500 * time.Millisecond
 
-// reservedOutputShare is the part of an answer's expected tokens for which memory is set aside.
-// Streams are at all points of their answers at once, so an engine that is full of
-// whole answers on paper is half empty in fact.
+// reservedOutputShare is the share of an answer's expected tokens for which memory is reserved. At any time the
+// streams of an engine are at all points of their answers, so an engine whose memory is reserved for whole answers
+// would be half empty.
 //
-// docs/design/relay.md has the figures that chose it together with holdFor.
+// docs/design/relay.md has the figures for this value together with reservationTTL.
 const reservedOutputShare = 0.9
 
-// headroomTokens is set aside beside that, in tokens: streams that run already go on growing
-// while the new one is read. A part of the guess would keep out the longest answers.
+// headroomTokens are reserved in addition, because running streams grow while the new one is prefilled. A share of
+// the estimate instead would exclude the longest answers.
 const headroomTokens = 1500
 
-// reservationTTL is how long memory is set aside. An engine counts it beside what the run uses
-// until then, so it must reach from before the prompt is read to the first event and not
-// much further: with 2 s, 40 of 90 thousand tokens of each engine were set aside for
-// streams that had long begun.
+// reservationTTL is how long memory is reserved. An engine counts a reservation beside the memory in use until it
+// expires, so it must last from before the prefill to the first event and not much longer: with 2 s, 40 of 90
+// thousand tokens of each engine were reserved for streams that had long begun.
 const reservationTTL = time.Second
 
-// connectedAheadTokens is the memory set aside beside the prompt, in tokens, where boxes know of each
-// other's streams: all of them foresee how streams grow, and what is set aside for growth is
-// missing for others until its time is over, whatever is given back sooner.
+// connectedAheadTokens are reserved beside the prompt if boxes know of each other's streams. All of them then predict
+// the growth of streams, and a larger reservation would withhold memory from others until it expires, however
+// early it is released.
 const connectedAheadTokens = 512
 
-// reservedAhead is how much is set aside beside the prompt.
+// reservedAhead returns the tokens to reserve beside the prompt.
 func (x *exchange) reservedAhead() int {
 	if x.r.connected() {
 		return connectedAheadTokens
@@ -193,7 +189,7 @@
 	return x.reservedOutput()
 }
 
-// expected is how long the answer is expected to be, in tokens.
+// expected returns the expected length of the answer, in tokens.
 func (x *exchange) expected() int {
 	if x.meta.GuessedOutput > 0 {
 		return x.meta.GuessedOutput
@@ -201,8 +197,8 @@
 	return x.meta.MaxOutput
 }
 
-// reservedOutput is the memory to set aside for the answer, in tokens: never more than makes a
-// request fit into an empty engine.
+// reservedOutput returns the tokens to reserve for the answer, but no more than fit into an empty engine beside the
+// prompt.
 func (x *exchange) reservedOutput() int {
 	n := x.meta.MaxOutput
 	if x.meta.GuessedOutput > 0 {
@@ -211,7 +207,7 @@
 	return max(0, min(n, x.service.Engines.KVTokens-x.meta.PromptTokens))
 }
 
-// callDecode has the answer made and reports its parts.
+// callDecode has the answer generated and reports its parts.
 func (f *flight) callDecode(ctx context.Context, a decide.StartDecode, run Run) {
 	x := f.x
 	sent := clock.Now()
@@ -239,7 +235,7 @@
 	}
 }
 
-// reportFailure reports an engine's own reportFailure, to a request that was sent at a time.
+// reportFailure reports an engine's own error answer to a request that was sent at a time.
 func (f *flight) reportFailure(a decide.Attempt, resp *http.Response, sent time.Time) {
 	body, err := h1.Drain(resp, bufferedAnswerBytes)
 	switch {
@@ -253,9 +249,9 @@
 	f.send(flightEvent{attempt: a, final: &finalPart{resp: resp, body: body}})
 }
 
-// pump reads a stream to its end and reports whole events only: an engine may stop in
-// the middle of one, and the stream then goes on elsewhere after the last whole one. An empty answer is the
-// end of a stream that goes on after an event: its caller may have had the last one.
+// pump reads a stream to its end and reports whole events only: an engine may stop in the middle of an event, and
+// the stream is then resumed elsewhere after the last whole one. An empty answer is the end of a stream that is
+// resumed after an event, since the caller may have received the last event before.
 func (f *flight) pump(a decide.Attempt, resp *http.Response, sent time.Time, resumed bool) {
 	var s splitter
 	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
@@ -282,7 +278,7 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF) && begun:
-			_ = resp.Body.Close() // The connection may be used again.
+			_ = resp.Body.Close() // The connection may be reused.
 			f.send(flightEvent{attempt: a, ended: true, unframed: unframed})
 			return
 		case err != nil:
--- a/internal/relay/cold.go
+++ b/internal/relay/cold.go
@@ -10,21 +10,21 @@
 	"github.com/stoatramp/stoatramp/internal/pacing"
 )
 
-// This file is what a box knows of cold endpoints: those that have just started and bear only a few
-// requests a second yet. An endpoint says in its entry how much longer it is cold; one whose hall was
-// evacuated counts as cold once that is taken back, for as long as after a start.
+// This file tracks cold endpoints: those that have just started and can handle only a few requests a second yet.
+// An endpoint's entry says how much longer it is cold. An endpoint whose hall was evacuated is treated as cold
+// when the evacuation ends, for as long as after a start.
 
-// coldEndpoint is an endpoint that is cold, or was.
+// coldEndpoint is an endpoint that is or was cold.
 type coldEndpoint struct {
 	until time.Time
-	// pace is this box's, by the list of boxes of that version.
+	// pace is this box's request interval, computed from the list of boxes of that version.
 	pace    pacing.ColdPace
 	version int64
 	paced   bool
 	logged  bool
 }
 
-// updateCold takes what a new list says of cold endpoints. The lock is held.
+// updateCold applies the cold endpoints of a new list. The lock is held.
 func (f *fleet) updateCold(now time.Time) {
 	for _, e := range f.endpoints {
 		f.markCold(e.ID, now, e.ColdFor)
@@ -35,7 +35,7 @@
 	})
 }
 
-// endEvacuation takes that a hall is not evacuated any more: its endpoints may be cold. The lock is held.
+// endEvacuation records that a hall is no longer evacuated: its endpoints may be cold. The lock is held.
 func (f *fleet) endEvacuation(now time.Time, hall string) {
 	for _, e := range f.endpoints {
 		if e.Hall == hall {
@@ -44,7 +44,7 @@
 	}
 }
 
-// markCold notes that an endpoint may be cold for so long. The lock is held.
+// markCold records that an endpoint may be cold for a duration. The lock is held.
 func (f *fleet) markCold(id string, now time.Time, d time.Duration) {
 	if d <= 0 {
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-// service finds a service of the configuration; an empty one if there is none. The lock is held.
+// service returns a service of the configuration, or an empty one if there is none. The lock is held.
 func (f *fleet) service(name string) *Service {
 	if f.cfg != nil && f.cfg.Services[name] != nil {
 		return f.cfg.Services[name]
@@ -68,7 +68,7 @@
 	return &Service{}
 }
 
-// setCold fills in until when endpoints are cold, and this box's pace. The lock is held.
+// setCold sets the end of the cold period and this box's pace for each cold endpoint. The lock is held.
 func (r *Relay) setCold(now time.Time, known []knownEndpoint) {
 	lines := 0
 	for i := range known {
@@ -91,8 +91,8 @@
 	}
 }
 
-// boxes lists the boxes that may send to endpoints of a region. One that was never told of others is
-// alone.
+// boxes lists the boxes that may send requests to endpoints of a region. Without connection to others, that is
+// this box alone.
 func (r *Relay) boxes(region string) (names []string, version int64) {
 	if r.o.Others == nil {
 		return []string{r.o.Box}, 0
@@ -100,7 +100,7 @@
 	return r.o.Others.Boxes(region)
 }
 
-// refreshColdPaces works the paces out again where an endpoint is cold: the list of boxes may have changed.
+// refreshColdPaces recomputes the paces if any endpoint is cold: the list of boxes may have changed.
 func (r *Relay) refreshColdPaces() {
 	now := clock.Now()
 	r.fleet.mu.Lock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// cold says that the endpoint has just started and gets nothing more of this box at the moment.
+// cold reports whether the endpoint is cold and may get no more requests from this box at the moment.
 func (e *plainEndpoint) cold(now time.Time) bool {
 	return e.Cold.Holds(now, e.lastChosen)
 }
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -16,19 +16,18 @@
 	"github.com/stoatramp/stoatramp/internal/quarantine"
 )
 
-// This file finds out whether an endpoint has ended under the requests that it ran. An answer that
-// is broken off says nothing of that: a sound endpoint may drop a connection. So the endpoint is
-// looked at some times, until one look tells: its port refuses, another start of it is there, or it
-// answers as before.
+// This file finds out whether an endpoint crashed while it ran requests. A lost connection alone does not tell: a
+// healthy endpoint may drop one. So the endpoint is probed a few times until a probe decides: its port refuses
+// connections, another start of it has taken its place, or it still answers.
 
-// connLoss is how an endpoint broke a call off. The zero value says that it did not.
+// connLoss describes a call whose connection the endpoint closed. The zero value means that it did not.
 type connLoss struct {
 	sent time.Time
-	// unanswered says that not even the head of an answer came.
+	// unanswered is set if not even the header of an answer was received.
 	unanswered bool
 }
 
-// connLossFrom is how a call ended that was sent at a time and got no answer.
+// connLossFrom classifies the error of a call that was sent at a time and got no answer.
 func connLossFrom(err error, sent time.Time) connLoss {
 	if reasonOf(err) != outcome.EndpointDied {
 		return connLoss{}
@@ -36,35 +35,35 @@
 	return connLoss{sent, true}
 }
 
-// immediateLossLimit is the time in which a call breaks off that was sent to an endpoint which had ended before:
-// the way there and back, over a connection that had not heard of it yet or to a proxy before it.
+// immediateLossLimit is the time within which a call fails whose endpoint had crashed before the call was sent: one
+// round trip on a connection whose close was not received yet, or through a proxy in front of the endpoint.
 const immediateLossLimit = 10 * time.Millisecond
 
-// lostCall is a request whose call to an endpoint was broken off.
+// lostCall is a request whose call to an endpoint lost its connection.
 type lostCall struct {
 	request     string // Its id.
 	caller      string
 	fingerprint quarantine.Fingerprint
-	ran         time.Duration // From when it was sent until the call broke off.
+	ran         time.Duration // From sending until the connection was lost.
 	sent        time.Time
-	doubt       bool // The endpoint may have ended before it was sent.
+	doubt       bool // The endpoint may have crashed before the call was sent.
 }
 
-// probeTimes are when an endpoint is looked at, counted from the first broken call. The first one comes
-// after calls of the same end have broken off too; the last one after its entry has lapsed from the list.
+// probeTimes are the times of the probes, counted from the first lost call. The first is late enough for other
+// calls to be lost by the same crash; the last is after the endpoint's entry has expired from the list.
 var probeTimes = []time.Duration{30 * time.Millisecond, 300 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second}
 
-// maxLostCalls bounds the broken calls that are kept of one endpoint: more than run on it at once.
+// maxLostCalls bounds the lost calls recorded for one endpoint; it is more than run there at once.
 const maxLostCalls = 256
 
-// crashWatch watches endpoints whose calls were broken off. The zero value watches none.
+// crashWatch records endpoints that are being probed after lost calls. The zero value is ready to use.
 type crashWatch struct {
 	mu sync.Mutex
-	// lostCalls are the broken calls of each endpoint that is being watched.
+	// lostCalls are the lost calls of each endpoint that is being probed.
 	lostCalls map[string][]lostCall
 }
 
-// add notes a broken call, and returns whether the endpoint is to be watched from now on.
+// add records a lost call, and reports whether the caller must start probing the endpoint.
 func (w *crashWatch) add(endpoint string, c lostCall) (first bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -78,7 +77,7 @@
 	return !watched
 }
 
-// close ends the watch of an endpoint and returns its broken calls.
+// close stops watching an endpoint and returns its lost calls.
 func (w *crashWatch) close(endpoint string) []lostCall {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,11 +86,11 @@
 	return calls
 }
 
-// recordConnLoss notes how the request's call to an endpoint ended, if the endpoint broke it off.
+// recordConnLoss records the end of the request's call to an endpoint, if the endpoint closed the connection.
 func (x *exchange) recordConnLoss(endpoint string, b connLoss) {
 	e, known := x.r.fleet.findCalled(endpoint)
 	if !known || e.Leaving || b.sent.IsZero() {
-		return // An endpoint that leaves ends as planned.
+		return // An endpoint that leaves stops as planned.
 	}
 	c := lostCall{request: x.meta.ID, caller: x.caller(), fingerprint: x.fingerprint(), ran: clock.Since(b.sent), sent: b.sent}
 	c.doubt = b.unanswered && c.ran < immediateLossLimit
@@ -100,7 +99,7 @@
 	}
 }
 
-// watchCrash looks at an endpoint until it is known whether it has ended.
+// watchCrash probes an endpoint until it is known whether it crashed.
 func (r *Relay) watchCrash(e Endpoint) {
 	began := clock.Now()
 	for n, at := range probeTimes {
@@ -118,7 +117,7 @@
 	r.o.Book.Log.Belief("endpoint's end not known", zap.String("endpoint", e.ID), zap.Int("requests", len(r.crashWatch.close(e.ID))))
 }
 
-// probeResult is what a look at an endpoint finds.
+// probeResult is the result of probing an endpoint.
 type probeResult uint8
 
 const (
@@ -127,8 +126,8 @@
 	alive
 )
 
-// probe finds out whether an endpoint has ended, and says by what that is known. An endpoint that is
-// no engine is not asked anything, so that its port is open is believed at the last probe only.
+// probe finds out whether an endpoint has crashed, and says how that is known. An endpoint that is no engine has no
+// load to report, so an open port counts as a sign of life at the last probe only.
 func (r *Relay) probe(e Endpoint, last bool) (f probeResult, by string) {
 	now, listed := r.fleet.endpoint(e.ID)
 	if listed && now.Leaving {
@@ -151,7 +150,7 @@
 	return undecided, ""
 }
 
-// checkReachable asks an engine for its load, and makes a connection to any other endpoint.
+// checkReachable polls an engine for its load, or opens a connection to any other endpoint.
 func (r *Relay) checkReachable(e Endpoint) error {
 	if !r.isEngine(e.Service) {
 		c, err := net.DialTimeout("tcp", e.Address, loadTimeout)
@@ -176,13 +175,13 @@
 	return nil
 }
 
-// isEngine tells whether the endpoints of a service are engines.
+// isEngine reports whether the endpoints of a service are engines.
 func (r *Relay) isEngine(service string) bool {
 	c := r.cfg.Load()
 	return c != nil && c.Services[service] != nil && c.Services[service].Engines != nil
 }
 
-// reportCrash takes that an endpoint has ended under requests.
+// reportCrash records that an endpoint crashed while it ran requests.
 func (r *Relay) reportCrash(e Endpoint, by string, calls []lostCall) {
 	r.m.EndedUnder.Add(len(calls))
 	for _, c := range calls {
@@ -193,8 +192,8 @@
 	}
 }
 
-// caller names who calls, for the bound of what is kept of one caller: the client account or, where
-// there is none, the host of the connection.
+// caller identifies the caller, to bound what is stored for each: the client account or, without one, the host of
+// the connection.
 func (x *exchange) caller() string {
 	if x.account != nil {
 		return x.account.Name
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -11,16 +11,16 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// plainTable chooses endpoints of plain services.
+// plainTable selects endpoints of plain services.
 type plainTable struct {
 	hall string
-	// onStateChange is told when an endpoint is set aside or back; it must not block.
+	// onStateChange is called when an endpoint is set aside or becomes usable again; it must not block.
 	onStateChange func(decide.Believed)
-	// notices are what endpoints ask for in their answers.
+	// notices are the limits and rests that endpoints ask for in their answers.
 	notices decide.Notices
 
 	mu sync.Mutex
-	// setBudget sets what this box may spend on retries at a service.
+	// setBudget sets this box's retry budget for a service.
 	setBudget func(*retry.Budget)
 	services  map[string]*plainService
 }
@@ -30,47 +30,45 @@
 	byID   map[string]*plainEndpoint
 }
 
-// plainEndpoint is one endpoint and what this box's own calls showed of it.
+// plainEndpoint is an endpoint with the results of this box's own calls to it.
 type plainEndpoint struct {
 	knownEndpoint
-	inFlight      int       // Calls in progress.
-	lastChosen    time.Time // When it was last chosen.
-	failures      int       // In a row.
+	inFlight      int // Calls in progress.
+	lastChosen    time.Time
+	failures      int // In a row.
 	setAsideUntil time.Time
-	// meanLatency is a moving mean of how long its answers took, in seconds.
+	// meanLatency is a moving average of its answer times, in seconds.
 	meanLatency float64
-	// failureRate is a moving share of its calls that came to nothing, as of ended.
+	// failureRate is a moving average of the share of calls that failed, as of failureRateAt.
 	failureRate   float64
 	failureRateAt time.Time
 }
 
-// currentFailureRate is the share of calls that come to nothing. It fades while there are none, so
-// that the endpoint is tried again.
+// currentFailureRate returns the failure rate, which decays without calls so that the endpoint is tried again.
 func (e *plainEndpoint) currentFailureRate(now time.Time) float64 {
 	return e.failureRate * math.Exp2(-float64(now.Sub(e.failureRateAt))/float64(failureHalfLife))
 }
 
 const (
-	// setAsideFailures sets an endpoint aside for asideFor after so many failures in a row.
+	// An endpoint is set aside for setAsideDuration after setAsideFailures failures in a row.
 	setAsideFailures = 2
 	setAsideDuration = 1500 * time.Millisecond
-	// latencyWeight is the weight of a new answer in the mean, and slowStart the mean of an
+	// latencyWeight is the weight of a new answer in the average, and initialLatency the average, in seconds, of an
 	// endpoint that has not answered yet.
 	latencyWeight  = 0.2
 	initialLatency = 0.050
-	// failureWeight is the weight of a call in the share that failed, and failCost what that
-	// share adds to an endpoint's cost: a call that may run once and fails is lost, where
-	// one that waits is only late. With both, an endpoint that breaks off a third of its
-	// calls is left to others until they take three times as long.
+	// failureWeight is the weight of a call in the failure rate, and failureCostFactor the weight of that rate in an
+	// endpoint's cost: a call that may run only once is lost if it fails, where one that waits is only late. With
+	// both, an endpoint that drops a third of its calls is avoided until the others take three times as long.
 	failureWeight     = 0.1
 	failureHalfLife   = 3 * time.Second
 	failureCostFactor = 6
-	// otherHallCostFactor is what an endpoint in another hall must be better by.
+	// otherHallCostFactor is how much cheaper an endpoint in another hall must be to be selected.
 	otherHallCostFactor = 1.15
 )
 
-// A table that was not told what the platform allows lets a share of the requests and some free
-// calls through in a window.
+// Retry budget of a table that has not received the platform's limits: a share of the requests plus some free
+// calls in each window.
 const (
 	defaultRetryShare  = 0.15
 	defaultFreeRetries = 2
@@ -85,7 +83,7 @@
 	return &plainTable{hall: hall, onStateChange: func(decide.Believed) {}, notices: noNotices{}, setBudget: setDefaultBudget, services: map[string]*plainService{}}
 }
 
-// noNotices are those of endpoints that ask for nothing.
+// noNotices has no limits and no rests.
 type noNotices struct{}
 
 func (noNotices) Wait(string, time.Time) time.Duration { return 0 }
@@ -102,7 +100,7 @@
 	return s
 }
 
-// set replaces the list and keeps what is known of endpoints that stay.
+// set replaces the list and keeps the statistics of endpoints that remain.
 func (t *plainTable) set(list []knownEndpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,17 +121,17 @@
 	}
 }
 
-// chosenEndpoint is an endpoint with a call of this box in progress. The copy is as the list said
-// when it was chosen: the list may change meanwhile.
+// chosenEndpoint is an endpoint with a call of this box in progress. It is a copy of the entry at the time of
+// selection, because the list may change meanwhile.
 type chosenEndpoint struct {
 	Endpoint
 	snapshot record.Seen
-	// entry is the table's own entry; only the table touches it.
+	// entry is the table's own entry, which is accessed by the table only.
 	entry *plainEndpoint
 }
 
-// accepts says whether an endpoint of a service may get a call from this box that was not tried there yet.
-// Otherwise wait is how long it is throttled, and 0 if it is not. The lock is held.
+// accepts reports whether an endpoint may get a call from this box that was not tried there yet. If it is
+// throttled, wait is the time until it may; otherwise wait is 0. t.mu is held.
 func (t *plainTable) accepts(e *plainEndpoint, region string, now time.Time, tried map[string]bool) (yes bool, wait time.Duration) {
 	if !e.open() || e.Region != region || e.cold(now) {
 		return false, 0
@@ -142,7 +140,7 @@
 	return wait == 0 && !tried[e.ID], wait
 }
 
-// hasUntried says whether a call could go on to an endpoint that was not tried yet.
+// hasUntried reports whether a call could be retried at an endpoint that was not tried yet.
 func (t *plainTable) hasUntried(service, region string, now time.Time, tried map[string]bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -154,9 +152,9 @@
 	return false
 }
 
-// choose takes the endpoint that is expected to answer first among those of a region that stay and
-// were not tried yet; nil if there is none. Endpoints set aside are a last resort. Where there is
-// none, wait is the time until the first one that is throttled takes a call, and 0 if none is.
+// choose selects the endpoint with the lowest expected latency among those of a region that are not leaving and
+// were not tried yet; nil if there is none. Endpoints that are set aside are a last resort. If there is none, wait
+// is the time until the first throttled endpoint accepts a call, or 0 if none is throttled.
 func (t *plainTable) choose(service, region string, now time.Time, tried map[string]bool) (_ *chosenEndpoint, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -195,7 +193,7 @@
 	return out, 0
 }
 
-// done takes the end of a call: how long its answer took, or that there was none.
+// done records the end of a call: how long its answer took, or that it failed.
 func (t *plainTable) done(c *chosenEndpoint, now time.Time, took time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -219,7 +217,7 @@
 	}
 }
 
-// setRetryBudgets sets what this box may spend at each service, of those that come later too.
+// setRetryBudgets sets this box's retry budget for each service, including those added later.
 func (t *plainTable) setRetryBudgets(setBudget func(*retry.Budget)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -229,7 +227,7 @@
 	}
 }
 
-// running counts this box's calls in progress at a service.
+// running returns the number of this box's calls in progress at a service.
 func (t *plainTable) running(service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -247,7 +245,7 @@
 	return &t.service(service).budget
 }
 
-// release gives an endpoint back that was chosen and not called.
+// release returns an endpoint that was selected and not called.
 func (t *plainTable) release(c *chosenEndpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -10,67 +10,64 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// What the platform does not say of its engines. Reports and answers correct them.
+// Assumed rates of engines, which the platform does not publish. Reports and answers correct them.
 const (
-	assumedSelfPrefillShare = 0.4      // Of that, where a decode engine reads between tokens.
+	assumedSelfPrefillShare = 0.4      // Share of assumedPrefillRate at which a decode engine processes a prompt between tokens.
 	assumedPrefillRate      = 50_000.0 // Prompt tokens a second.
 	assumedStep             = 600 * time.Microsecond
 	assumedStepPerStream    = 20 * time.Microsecond
 )
 
-// fleet is what the box knows of the endpoints: the configuration's view of their
-// services together with the platform's list.
+// fleet is the box's view of the endpoints: the services of the configuration together with the platform's list.
 type fleet struct {
-	// box, hall, region and halls are the settings': this box, where it is, and the regions of halls.
+	// box, hall, region and halls are settings of the box: its name and location, and the region of each hall.
 	box    string
 	hall   string
 	region string
 	halls  map[string]string
-	// left says that an endpoint has said in an answer that it leaves.
+	// left reports whether an endpoint has announced in an answer that it leaves.
 	left func(id string) bool
 
 	mu        sync.Mutex
 	cfg       *Config
 	endpoints []Endpoint
-	// index is where an endpoint stands in endpoints, by its ID.
+	// index is the position of each endpoint in endpoints, by ID.
 	index map[string]int
-	// removed are endpoints that were on the list lately, by their IDs.
+	// removed are endpoints that were recently removed from the list, by ID.
 	removed map[string]removedEndpoint
-	// roles is what is known of engines' roles beside the list, by their IDs.
+	// roles are the listed and reported roles of engines, by ID.
 	roles map[string]knownRole
-	// refusalPolledAt is when an engine was last asked why it turned a request away.
+	// refusalPolledAt is when an engine was last polled because it refused a request.
 	refusalPolledAt map[string]time.Time
-	// selected are the endpoints that this box drew last, by ID, and keptAt is when it last dealt with
-	// one that it drew before or was asked for. beyond counts the endpoints that
-	// take requests and that it does not deal with, and circles are the services of which it keeps
-	// more than usual.
+	// selected are the endpoints that the last selection chose, by ID. retainedAt is when an endpoint was last in the
+	// selection before, or when this box was last asked for room there as its owner. omitted counts the endpoints that
+	// accept requests and are not in the box's subset, and subsetScales has the services whose subset is enlarged.
 	selected     map[string]bool
 	retainedAt   map[string]time.Time
 	omitted      map[group]int
 	subsetScales map[string]subsetScale
-	// engineList are the engines that this box may send something to, as of applyFleet. Nothing
-	// changes it once it is made.
+	// engineList are the engines that this box may send requests to, as of applyFleet. It is immutable once made.
 	engineList []Endpoint
-	// engineCounts are how many of them each service has.
+	// engineCounts is the number of engines in engineList for each service.
 	engineCounts map[string]int
-	// servingRegions are the regions in which a service has an endpoint that takes requests.
+	// servingRegions are the regions in which a service has an endpoint that accepts requests.
 	servingRegions map[string]map[string]bool
-	// cold are the endpoints that have just started, by their IDs.
+	// cold are the endpoints that have just started, by ID.
 	cold map[string]*coldEndpoint
-	// evacuated are the data halls whose endpoints get nothing new.
+	// evacuated are the data halls whose endpoints get no new requests.
 	evacuated map[string]bool
-	// lastReports is when an engine was last asked for its load, or others were lastReports to have.
+	// lastReports has the time of the last poll or load of each engine, from this box or another.
 	lastReports map[string]lastReport
-	// rounds count, for each service, how often all of its engines might have been asked.
+	// rounds counts the polling rounds of each service.
 	rounds map[string]roundCount
 }
 
-// knownRole is what an engine itself said of its role.
+// knownRole is an engine's role as listed and as reported by the engine.
 type knownRole struct {
-	// listed is the role that the list shows, since a time.
+	// listed is the role that the list shows since a time.
 	listed decide.EngineRole
 	since  time.Time
-	// reported is the role that the engine reported later; only with said.
+	// reported is the role that the engine reported later; valid only with hasReport.
 	reported  decide.EngineRole
 	hasReport bool
 }
@@ -98,7 +95,7 @@
 	r.listed.Store(true)
 }
 
-// replaceEndpoints replaces the endpoints. The lock is held.
+// replaceEndpoints replaces the endpoints. f.mu is held.
 func (f *fleet) replaceEndpoints(list []Endpoint) {
 	before := f.endpoints
 	f.endpoints = list
@@ -119,16 +116,16 @@
 	f.updateCold(now)
 }
 
-// removedEndpoint is an endpoint that was taken off the list at a time.
+// removedEndpoint is an endpoint with the time at which it was removed from the list.
 type removedEndpoint struct {
 	Endpoint
 	removedAt time.Time
 }
 
-// removedTTL is for how long an endpoint is remembered that was taken off the list: longer than a request runs.
+// removedTTL is how long a removed endpoint is remembered: longer than a request runs.
 const removedTTL = 30 * time.Second
 
-// findCalled finds an endpoint that a request was sent to, also one that has left the list since.
+// findCalled finds an endpoint that a request was sent to, even if it has been removed from the list since.
 func (f *fleet) findCalled(id string) (e Endpoint, known bool) {
 	if e, listed := f.endpoint(id); listed {
 		return e, true
@@ -150,15 +147,15 @@
 	return e, listed
 }
 
-// hasAddress says whether an endpoint is listed hasAddress an address.
+// hasAddress reports whether an endpoint is listed at an address.
 func (f *fleet) hasAddress(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.ContainsFunc(f.endpoints, func(e Endpoint) bool { return e.Address == address })
 }
 
-// applyListedRoles takes the roles of a new list. One that the list has changed counts, whatever
-// the engine said before. The lock is held.
+// applyListedRoles applies the roles of a new list. A role that the list has changed takes precedence over an
+// earlier report of the engine. f.mu is held.
 func (f *fleet) applyListedRoles(now time.Time) {
 	if f.roles == nil {
 		f.roles = make(map[string]knownRole, len(f.endpoints))
@@ -169,7 +166,7 @@
 		}
 	}
 	if len(f.roles) == len(f.endpoints) {
-		return // None is gone.
+		return // No engine was removed.
 	}
 	isGone := func(id string) bool { _, stays := f.index[id]; return !stays }
 	maps.DeleteFunc(f.roles, func(id string, _ knownRole) bool { return isGone(id) })
@@ -177,13 +174,13 @@
 	maps.DeleteFunc(f.lastReports, func(id string, _ lastReport) bool { return isGone(id) })
 }
 
-// applyReportedRole takes the role that an engine reported, as of a time, and returns whether
-// that changes what is known. A box that the store does not reach has an old list, and would
-// send an engine for many seconds what it turns away.
+// applyReportedRole applies the role that an engine reported, as of a time, and reports whether that changes the
+// role in use. A box that cannot reach the store has an old list, and would otherwise send an engine requests that
+// it refuses for many seconds.
 //
-// Example: the list said at 10.0 s that an engine writes, and the engine was ordered at 12.0
-// to read. A report of 13.1 that says so counts until the list shows a change; one of 9.5
-// that still says that it reads is older than the list and does not.
+// Example: the list showed the decode role at 10.0 s, and the engine was ordered to prefill at 12.0. A report of
+// 13.1 with the prefill role is used until the list shows a change; a report of 9.5 with the prefill role is older
+// than the list and is ignored.
 func (f *fleet) applyReportedRole(id string, role decide.EngineRole, at time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,7 +201,7 @@
 	return k.listed
 }
 
-// applyFleet hands what is known to the decisions.
+// applyFleet passes the box's view of the fleet to the scheduler.
 func (r *Relay) applyFleet() {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
@@ -228,8 +225,8 @@
 	r.sidePool.Prune(now, keep)
 }
 
-// subscribeEngines has the other boxes tell this one of the engines that it deals with; of all where it deals
-// with every engine that takes requests. The lock is held.
+// subscribeEngines asks the other boxes for messages about the engines in this box's subset, or about all engines
+// if no engine that accepts requests is omitted from it. The lock is held.
 func (r *Relay) subscribeEngines(engines []decide.Engine) {
 	if r.o.Others == nil {
 		return
@@ -249,7 +246,7 @@
 	r.o.Others.WantFacts(names)
 }
 
-// describeEngines describes the describeEngines and where they are, and keeps the list of those that may be asked.
+// describeEngines returns the scheduler's view of the engines and their addresses, and updates engineList.
 func (f *fleet) describeEngines(known []knownEndpoint) (decide.Fleet, map[string]string) {
 	f.engineList, f.engineCounts = nil, map[string]int{}
 	var out decide.Fleet
--- a/internal/relay/halls.go
+++ b/internal/relay/halls.go
@@ -13,24 +13,23 @@
 	"github.com/stoatramp/stoatramp/internal/pacing"
 )
 
-// This file is what a box knows of data halls. Halls stand in regions, and a request is served in its
-// own: the region of the box that takes it, or those that its route and its account name. The operator
-// may have a hall evacuated: its endpoints get nothing new until that is taken back, and finish what
-// they have.
+// This file handles data halls and regions. Each hall is in a region, and a request is served in its own region:
+// that of the box that receives it, or those that its route and its account name. The operator may evacuate a
+// hall: until the evacuation ends its endpoints get no new requests, and finish the ones they have.
 
-// knownEndpoint is an endpoint with what is known of it beside its entry in the list.
+// knownEndpoint is an endpoint with what the box knows beside its entry in the list.
 type knownEndpoint struct {
 	Endpoint
 	Region string
-	// Closed says that its hall is evacuated.
+	// Closed is set if its hall is evacuated.
 	Closed bool
 	Cold   pacing.Cold
 }
 
-// open says that the endpoint may get new requests.
+// open reports whether the endpoint may get new requests.
 func (e *knownEndpoint) open() bool { return !e.Leaving && !e.Closed }
 
-// describe describes an endpoint of the list. The lock is held.
+// describe returns an endpoint of the list with what the box knows of it. The lock is held.
 func (f *fleet) describe(i int) knownEndpoint {
 	e := knownEndpoint{Endpoint: f.endpoints[i]}
 	e.Role = f.roles[e.ID].role()
@@ -39,8 +38,8 @@
 	return e
 }
 
-// SetEvacuated says which data halls are evacuated. From then on no request is sent there, and no
-// memory is set aside, read or moved there; streams that run there go on to their end.
+// SetEvacuated sets the data halls that are evacuated. From then on no request is sent there, and no memory is
+// reserved, prefilled or migrated there; streams that run there are finished.
 func (r *Relay) SetEvacuated(halls []string) {
 	next := make(map[string]bool, len(halls))
 	for _, h := range halls {
@@ -62,7 +61,7 @@
 	r.applyFleet()
 }
 
-// logHalls logs which halls were evacuated and which are taken back.
+// logHalls logs the halls whose evacuation begins or ends.
 func (r *Relay) logHalls(before, next map[string]bool) {
 	for _, h := range slices.Sorted(maps.Keys(next)) {
 		if !before[h] {
@@ -76,7 +75,7 @@
 	}
 }
 
-// regionOf is the region of a hall.
+// regionOf returns the region of a hall.
 func (f *fleet) regionOf(hall string) string {
 	if region, named := f.halls[hall]; named {
 		return region
@@ -84,16 +83,16 @@
 	return f.region
 }
 
-// inServedRegion says that this box may send requests to an endpoint: its region is the box's own, or named by
-// a route or an account. Boxes tell each other of endpoints only within their region, so that all which
-// send to one know what is there. With the engines of three regions before boxes that thought them near, two thirds of what an engine had was known to nobody
-// else: 15% of the streams on a day without a fault at engines were displaced, and 1,012 thousand
-// prompt tokens read twice. The lock is held.
+// inServedRegion reports whether this box may send requests to an endpoint: its region is the box's own, or named
+// by a route or an account. Boxes exchange messages on endpoints only within their region, so that all boxes which
+// send requests to an endpoint know its load. When boxes also used the engines of three regions as if these were
+// near, two thirds of an engine's load were unknown to the other boxes: on a day without engine failures 15% of the
+// streams were displaced, and 1,012 thousand prompt tokens were prefilled twice. The lock is held.
 func (f *fleet) inServedRegion(e *knownEndpoint, named map[string]bool) bool {
 	return e.Region == f.region || named[e.Region]
 }
 
-// regions are those that routes and accounts name.
+// regions returns the regions that routes and accounts name.
 func (c *Config) regions() map[string]bool {
 	out := map[string]bool{}
 	for _, r := range c.Routes {
@@ -109,7 +108,7 @@
 	return out
 }
 
-// servingRegions lists the regions in which each service has an endpoint that takes requests.
+// servingRegions returns the regions in which each service has an endpoint that accepts requests.
 func servingRegions(known []knownEndpoint) map[string]map[string]bool {
 	out := map[string]map[string]bool{}
 	for _, e := range known {
@@ -124,9 +123,9 @@
 	return out
 }
 
-// regionFor picks the region for a request of a service among those allowed: the box's own if it has an
-// endpoint that takes requests, and otherwise one that has. Boxes choose differently among several.
-// It is the box's own too where none has, and ok is false if that is not allowed.
+// regionFor selects the region for a request of a service among those allowed: the box's own if it has an endpoint
+// that accepts requests, and otherwise another that has. Boxes choose differently among several. If no region has
+// one, it is the box's own if that is allowed; otherwise ok is false.
 func (f *fleet) regionFor(service string, allowed []string) (region string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,8 +145,8 @@
 	return region, ok
 }
 
-// allowedRegions are those in which the request may be served: where its route and its account both
-// name regions, those that both name.
+// allowedRegions returns the regions that may serve the request. If its route and its account both name regions,
+// these are the regions that both name.
 func (x *exchange) allowedRegions() []string {
 	allowed := x.route.Regions
 	if x.account != nil && len(x.account.Regions) > 0 {
@@ -162,8 +161,8 @@
 	return allowed
 }
 
-// findRegion picks the request's region. Where only other regions may serve it and none does, it is
-// refused at once: to wait would not help it.
+// findRegion selects the request's region. If only other regions may serve it and none can, it is refused at once,
+// because waiting would not help.
 func (x *exchange) findRegion() (outcome.Outcome, bool) {
 	allowed := x.allowedRegions()
 	region, ok := x.r.fleet.regionFor(x.service.Name, allowed)
--- a/internal/relay/held.go
+++ b/internal/relay/held.go
@@ -7,10 +7,10 @@
 	"github.com/stoatramp/stoatramp/internal/quarantine"
 )
 
-// This file keeps requests from endpoints that end under them: what became of equal ones decides.
+// This file keeps requests away from endpoints if earlier requests with the same fingerprint crashed some.
 
-// quarantined says whether the request must not be sent to an endpoint, because of what became of others
-// that ran it. Whatever sends one to an endpoint asks it first.
+// quarantined reports whether the request must not be sent to an endpoint, because equal requests crashed
+// endpoints. It must be called before each call to an endpoint.
 func (x *exchange) quarantined() (o outcome.Outcome, yes bool) {
 	if x.r.o.Ends.Empty() {
 		return o, false
@@ -29,18 +29,18 @@
 	return o, true
 }
 
-// maxRememberedBody is the longest body, in bytes, for which an answered request is remembered though
-// nothing is known of any: its fingerprint costs 1 ns a byte.
+// maxRememberedBody is the longest body, in bytes, of which an answered request is recorded while the list of
+// crashes is empty: the fingerprint costs 1 ns a byte.
 const maxRememberedBody = 64 << 10
 
-// recordServed notes that the request was recordServed whole by an endpoint, which did not end under it.
+// recordServed records that an endpoint answered the request completely without crashing.
 func (x *exchange) recordServed() {
 	if len(x.body) <= maxRememberedBody || !x.r.o.Ends.Empty() {
 		x.r.o.Ends.Served(x.fingerprint())
 	}
 }
 
-// fingerprint is worked out when it is first asked for: most requests never need it.
+// fingerprint is computed on first use: most requests never need it.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if x.cachedFingerprint == nil {
 		id := quarantine.Identity{
--- a/internal/relay/learn.go
+++ b/internal/relay/learn.go
@@ -11,10 +11,10 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// This file is what boxes tell each other of engines. All of it may be late or lost and then
-// costs goodput only.
+// This file has the messages that boxes exchange about engines. Any of them may be late or lost; that costs
+// goodput only.
 
-// publish passes on what this box has just learned.
+// publish sends a message to the other boxes, as of now if it has no time.
 func (r *Relay) publish(f overlay.Fact) {
 	if r.o.Others == nil {
 		return
@@ -25,11 +25,11 @@
 	r.o.Others.Tell(f)
 }
 
-// connected says whether this box hears what others learn.
+// connected reports whether this box receives messages from other boxes.
 func (r *Relay) connected() bool { return r.o.Others != nil && r.o.Others.Connected() }
 
-// publishPlaced tells that engines have a stream of this box. It is told once memory is set
-// aside: until then the engines are only asked.
+// publishPlaced publishes that engines have a stream of this box. It is published once a reservation is made,
+// because until then the engines are only asked for one.
 func (f *flight) publishPlaced(a decide.Attempt) {
 	p := &overlay.Placed{Writer: f.reservation.engine, KVTokens: f.x.meta.PromptTokens + f.x.expected(), Prompt: f.x.meta.PromptTokens, Ahead: f.x.reservedAhead(), Home: f.reservation.owner, Service: f.x.service.Name}
 	if a == f.prefillAttempt {
@@ -39,7 +39,7 @@
 	f.x.r.publish(overlay.Fact{Placed: p})
 }
 
-// publishEnded tells that the engine that wrote the stream does so no more.
+// publishEnded publishes that an engine no longer runs the stream.
 func (f *flight) publishEnded(engine string) {
 	if f.firstEventAt.IsZero() || engine == "" {
 		return
@@ -49,7 +49,7 @@
 	f.x.r.disp.Step(decide.Ended{Engine: e.Engine, At: clock.Now(), Tokens: e.Tokens})
 }
 
-// Hear takes what another box learned.
+// Hear handles a message from another box.
 func (r *Relay) Hear(f overlay.Fact) {
 	switch {
 	case f.Load != nil:
@@ -62,7 +62,7 @@
 		if p.Reader != "" {
 			r.disp.Step(decide.Sent{Engine: p.Reader, At: f.At, Tokens: p.ReadTokens})
 		}
-		if p.Home != r.o.Box { // Otherwise this box has booked it already.
+		if p.Home != r.o.Box { // Otherwise this box has already counted it.
 			r.disp.Step(decide.Sent{Engine: p.Writer, At: f.At, KV: p.KVTokens, Prompt: p.Prompt, Ahead: p.Ahead})
 		}
 	case f.Ended != nil:
@@ -78,15 +78,15 @@
 	}
 }
 
-// countRemoteStreams counts streams of other boxes. A service that is not configured is none: what is kept stays
-// as small as the configuration, whatever others tell.
+// countRemoteStreams counts streams of other boxes. Services that are not configured are ignored, so that memory
+// use is bounded by the configuration whatever other boxes send.
 func (r *Relay) countRemoteStreams(service string, n int) {
 	if c := r.cfg.Load(); c != nil && c.Services[service] != nil {
 		r.streams.add(clock.Now(), service, n)
 	}
 }
 
-// receiveLoad takes an engine's load that another box asked for.
+// receiveLoad applies an engine's load that another box polled.
 func (r *Relay) receiveLoad(at time.Time, l *overlay.Load) {
 	if l.Silent {
 		r.applySilence(l.Engine)
@@ -105,7 +105,7 @@
 	r.applyLoad(l.Engine, at, &load)
 }
 
-// publishLoad passes on what an engine said of itself; l is nil if it said nothing.
+// publishLoad publishes an engine's load; l is nil if the engine did not answer.
 func (r *Relay) publishLoad(engine string, at time.Time, l *Load) {
 	out := &overlay.Load{Engine: engine, Silent: l == nil}
 	if l != nil {
@@ -118,11 +118,11 @@
 	r.publish(overlay.Fact{At: at, Load: out})
 }
 
-// timingPublishInterval is how far apart boxes tell what a stream took, all of them together: ten a
-// second tell within some seconds how fast engines are, and cost little in any fleet.
+// timingPublishInterval is the interval between stream timings published by all boxes together. Ten a second show
+// the engines' speed within some seconds, and cost little in a fleet of any size.
 const timingPublishInterval = 100 * time.Millisecond
 
-// publishTiming passes on what a stream took of the engines of a pool, if it is this box's turn.
+// publishTiming publishes a stream's timing at the engines of a pool, unless this box published one recently.
 func (r *Relay) publishTiming(pool string, t decide.Timing) {
 	if !r.connected() {
 		return
@@ -137,10 +137,10 @@
 	}})
 }
 
-// Learned is what this box knows of the engines and requests of each pool.
+// Learned returns the learned rates of the engines and requests of each pool.
 func (r *Relay) Learned() []decide.Learned { return r.disp.Learned() }
 
-// Remember takes what boxes knew before this one began.
+// Remember applies learned rates that boxes stored before this one started.
 func (r *Relay) Remember(l decide.Learned) { r.disp.Step(decide.Remember{Learned: l}) }
 
 func (r *Relay) receiveTiming(t *overlay.Took) {
@@ -150,13 +150,13 @@
 }
 
 const (
-	// waitingPublishInterval is how often the other boxes are told how many streams wait here, if that
-	// changed; if none do, only once. waitingFor is how long such word counts.
+	// waitingPublishInterval is the interval at which the number of waiting streams is published if it changed; zero is
+	// published only once. waitingTTL is how long a received number is valid.
 	waitingPublishInterval = 100 * time.Millisecond
 	waitingTTL             = time.Second
 )
 
-// remoteWaiting is what is heard of the streams that wait on other boxes.
+// remoteWaiting counts the streams that wait on other boxes.
 type remoteWaiting struct {
 	mu    sync.Mutex
 	byBox map[string]waitingCount
@@ -167,7 +167,7 @@
 	at time.Time
 }
 
-// receive takes how many wait on a box.
+// receive records the number of streams that wait on a box.
 func (w *remoteWaiting) receive(box string, n int, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -181,7 +181,7 @@
 	w.byBox[box] = waitingCount{n, at}
 }
 
-// total is how many wait on all other boxes.
+// total returns the number of streams that wait on all other boxes.
 func (w *remoteWaiting) total(now time.Time) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -195,8 +195,9 @@
 	return n
 }
 
-// ShareWaiting tells the other boxes how many streams wait here, and the decisions how many
-// wait there, until ctx ends. On a box without requests none waits, and nothing is decided.
+// ShareWaiting publishes the number of streams that wait here, and passes the number that wait on other boxes to
+// the scheduler, until ctx ends. It pauses while the box has no requests, because then no stream waits and there is
+// nothing to decide.
 func (r *Relay) ShareWaiting(ctx context.Context) {
 	busy := r.Busy()
 	t := time.NewTicker(waitingPublishInterval)
@@ -222,11 +223,11 @@
 	}
 }
 
-// waitingPublisher is what was told last of the streams that wait.
+// waitingPublisher has the numbers of waiting streams that were last passed on.
 type waitingPublisher struct {
-	published   int // To the other boxes, of this one's,
+	published   int // This box's, to the other boxes.
 	publishedAt time.Time
-	remote      int // and to the decisions, of the others'.
+	remote      int // Other boxes', to the scheduler.
 }
 
 func (s *waitingPublisher) step(r *Relay, now time.Time) {
@@ -241,8 +242,8 @@
 	}
 }
 
-// Share tells the decisions whether other boxes are heard of, and has the box keep to its part of
-// the retries that the platform allows so many boxes, of which this one started at a time.
+// Share tells the scheduler whether other boxes are connected, and sets this box's part of the retry limits, given
+// the number of boxes and the time at which this one started.
 func (r *Relay) Share(l retry.Limits, boxes int, started time.Time) {
 	r.disp.Connected(r.connected())
 	r.disp.BoundRetries(l, boxes, started)
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -13,49 +13,48 @@
 )
 
 const (
-	// standalonePollPeriod is how often each engine is asked for its load, and loadLimit how long
-	// it may take to answer. Two questions are at least loadPause apart, so that what a
-	// box spends on them does not grow with the fleet: streams are placed by what some
-	// engines say at that moment (askFresh), and engines that refuse to set memory aside
-	// correct what is old.
+	// A box without connection to others polls each engine for its load every standalonePollPeriod. Two polls are at
+	// least minPollInterval apart, so that their cost does not grow with the fleet; in exchange, some engines are
+	// polled when a stream is placed (sampleLoads), and an engine that refuses a reservation corrects a stale load.
+	// loadTimeout bounds one poll.
 	standalonePollPeriod = 3 * time.Second
 	minPollInterval      = 400 * time.Millisecond
 	loadTimeout          = 700 * time.Millisecond
 )
 
-// Where boxes tell each other of engines' loads, one asks for all. Each box would ask an
-// engine that it has not heard of for askAfter and some time more, which is drawn once for
-// each box and engine and is longer the more boxes there are: the first one asks, and the
-// others hear its answer before their time comes. When it is gone the next one does.
+// Where boxes exchange engine loads, one box polls an engine for all of them. Each box would poll an engine that
+// it has received no load of for pollInterval plus a jitter. The jitter is fixed for each box and engine, and its
+// range grows with the number of boxes: the first box polls, and the others receive its result before their own
+// time comes. If that box is gone, the next one polls.
 //
-// Example: with 85 boxes the time drawn is up to 12.75 s, so that one of them is due about
-// every 150 ms, and an engine is asked about every 550 ms by the same box.
+// Example: with 85 boxes the jitter is up to 12.75 s, so that a box is due about every 150 ms, and the same box
+// polls an engine about every 550 ms.
 const (
 	pollIntervalDecode  = 400 * time.Millisecond
 	pollIntervalPrefill = 1200 * time.Millisecond
-	// gossipDelay is what an answer takes to reach the other boxes.
+	// gossipDelay is the time a message takes to reach the other boxes.
 	gossipDelay = 150 * time.Millisecond
-	// pollTick and askIdle are how soon and how late the engines are looked at again: when the next is due,
-	// but the streams of all boxes, which bound the questions, may have become more meanwhile.
+	// pollTick and maxPollPause bound the pause between two checks for due polls. The pause lasts until the next
+	// poll is due, but no longer than maxPollPause: more streams, which raise the allowed rate, may have come meanwhile.
 	pollTick     = 100 * time.Millisecond
 	maxPollPause = 500 * time.Millisecond
-	// maxPollRate bounds the questions of all boxes together, a second, whatever the number of
-	// engines: each answer goes to every box. With one each 0.55 s to 2,250 engines 301 boxes
+	// maxPollRate bounds the polls a second of all boxes together, whatever the number of engines, because every
+	// result goes to every box. Without the bound, at one poll every 0.55 s for each of 2,250 engines, 301 boxes
 	// spent 16% of a core each, and two ran out of memory.
 	maxPollRate = 300
-	// pollsPerStream bounds those questions by the streams of all boxes, and leastAsked is how many a
-	// second they may be at any time. At 10 to 40 streams a second and 9 to 45 engines the times above
-	// come to 1.6 to 2.6 questions a stream and are not touched; at 35 streams a second and 8,650 engines
-	// they would be 8 a stream, of which most serve nobody. Without any question while no stream comes,
-	// engines have their roles changed amid traffic and not before it: at 7 boxes 0.484 and 0.483 was earned
-	// in place of 0.503, and 0.513 with these (mean of five days, one score each, no processor time).
+	// pollsPerStream bounds the polls of all boxes by their streams, and minPollRate is the polls a second that are
+	// always allowed. At 10 to 40 streams a second and 9 to 45 engines the intervals above lead to 1.6 to 2.6 polls a
+	// stream, below the bound; at 35 streams a second and 8,650 engines they would lead to 8, of which most serve no
+	// stream. With no polls between streams, role changes happen during traffic and not before it: at 7 boxes the
+	// score is 0.484 or 0.483 in place of 0.503, and 0.513 with these values (mean of five days, processor time not
+	// included).
 	pollsPerStream = 4
 	minPollRate    = 20
-	// ownerLoadMaxAge is how old the last word of an engine may be when its home is asked for room.
+	// ownerLoadMaxAge is how old an engine's load may be when its owner is asked for room.
 	ownerLoadMaxAge = 3 * time.Second
 )
 
-// AskLoads asks the engines for their load until ctx ends.
+// AskLoads polls the engines for their load until ctx ends.
 func (r *Relay) AskLoads(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
 		var pause time.Duration
@@ -71,7 +70,7 @@
 	}
 }
 
-// pollNext asks one engine after another, and returns the time until the next.
+// pollNext polls the engines in turn, and returns the time until the next poll.
 func (r *Relay) pollNext(ctx context.Context, n int) time.Duration {
 	list := r.fleet.allEngines()
 	if len(list) == 0 {
@@ -81,8 +80,8 @@
 	return max(minPollInterval, standalonePollPeriod/time.Duration(len(list)))
 }
 
-// pollDue asks the engines that nobody was heard to have asked for too long, and returns the time until
-// the next is due.
+// pollDue polls the engines whose load no box has published for too long, and returns the time until the next
+// poll is due.
 func (r *Relay) pollDue(ctx context.Context) time.Duration {
 	list, next := r.duePolls(clock.Now())
 	for _, e := range list {
@@ -91,8 +90,8 @@
 	return max(pollTick, min(next, maxPollPause))
 }
 
-// duePolls lists the engines that this box is to ask now, and says when the next is duePolls. What all boxes ask is
-// bounded by the streams that there are.
+// duePolls lists the engines that this box must poll now, and returns the time until the next poll is due. The
+// polls of all boxes are bounded by the number of streams.
 func (r *Relay) duePolls(now time.Time) (out []Endpoint, next time.Duration) {
 	next = maxPollPause
 	neighbours := float64(r.o.Others.Neighbours())
@@ -117,7 +116,7 @@
 	return out, next
 }
 
-// pollIfStale asks an engine whose home this box is, where nothing was heard of it lately.
+// pollIfStale polls an engine owned by this box if its load is not recent.
 func (r *Relay) pollIfStale(id string) {
 	e, listed := r.fleet.endpoint(id)
 	if listed && r.fleet.claimStalePoll(id, clock.Now(), ownerLoadMaxAge) {
@@ -125,18 +124,18 @@
 	}
 }
 
-// allEngines lists the engines that this box may send something to.
+// allEngines lists the engines that this box may send requests to.
 func (f *fleet) allEngines() []Endpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engineList
 }
 
-// pollLoad asks an engine, and tells the other boxes what it says.
+// pollLoad polls an engine for its load, and publishes the result to the other boxes.
 func (r *Relay) pollLoad(ctx context.Context, e Endpoint) {
 	now := clock.Now()
 	if r.notices.Wait(e.ID, now) > 0 {
-		return // It asked for fewer requests, and a question is one.
+		return // It asked for fewer requests, and a poll is one.
 	}
 	r.notices.Sent(e.ID, now)
 	resp, body, err := r.sidePool.Call(ctx, loadTimeout, sideRequest(e.ID, e.Address, r.wire.AskLoad()), maxSideAnswer)
@@ -154,20 +153,20 @@
 		return
 	}
 	if !l.matchesStart(&e) {
-		return // The list will tell of the other start.
+		return // The list will show the other start.
 	}
 	at := now.Add(-l.Age)
 	r.applyLoad(e.ID, at, &l)
 	r.publishLoad(e.ID, at, &l)
 }
 
-// matchesStart says whether a load is matchesStart this start matchesStart the endpoint, and not what the same address said matchesStart
-// itself in another life: its memory, role and orders have nothing to do with this one. One that does not
-// say when its engine started is taken: on a platform whose list told starts and whose reports did not,
-// no load was ever known, and each box asked all engines by itself, 112,422 questions on a played day.
+// matchesStart reports whether the load belongs to this start of the endpoint. The load of an earlier or later
+// process at the same address has other memory, role and orders. A load without a start time is accepted: on a
+// platform whose list has start times and whose loads have none, no load would ever be accepted, and each box
+// would poll all engines by itself (112,422 polls in a simulated day).
 func (l *Load) matchesStart(e *Endpoint) bool { return l.Started == 0 || l.Started == e.Started }
 
-// applySilence takes that an engine did not answer.
+// applySilence records that an engine did not answer.
 func (r *Relay) applySilence(engine string) {
 	r.fleet.mu.Lock()
 	r.fleet.recordReport(engine, clock.Now())
@@ -175,7 +174,7 @@
 	r.disp.Step(decide.Silent{Engine: engine})
 }
 
-// applyLoad takes what an engine said of itself, as of a time.
+// applyLoad applies an engine's load as of a time.
 func (r *Relay) applyLoad(engine string, at time.Time, l *Load) {
 	stride, known := r.fleet.recordLoad(engine)
 	if !known {
@@ -191,8 +190,8 @@
 	})
 }
 
-// recordLoad notes that an engine was heard of, and returns how many tokens an event of its
-// holds; known is false for one that is not on the list.
+// recordLoad records that an engine's load was received, and returns the tokens per event of its service; known
+// is false for an engine that is not on the list.
 func (f *fleet) recordLoad(id string) (stride int, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,8 +203,8 @@
 	return f.stride(f.endpoints[i].Service), true
 }
 
-// pollAfterRefusal asks an engine that has just turned a request away for its load: it may have
-// another role by now, carry out an order or leave.
+// pollAfterRefusal polls an engine that has just refused a request: it may have another role by now, be carrying
+// out an order or be leaving.
 func (r *Relay) pollAfterRefusal(id string) {
 	r.fleet.mu.Lock()
 	i, listed := r.fleet.index[id]
@@ -222,11 +221,11 @@
 	go r.pollLoad(context.Background(), e)
 }
 
-// refusalPollInterval is the least time between two such questions to one engine: its figures are
-// as of some hundred ms before.
+// refusalPollInterval is the minimum time between two such polls of one engine, whose load is some hundred ms
+// old anyway.
 const refusalPollInterval = time.Second
 
-// runs says the streams in tokens.
+// runs converts the engine's streams from events to tokens.
 func (l *Load) runs(stride int) []decide.Run {
 	out := make([]decide.Run, len(l.Runs))
 	for i, r := range l.Runs {
@@ -235,7 +234,7 @@
 	return out
 }
 
-// stride is how many tokens one event of a service may hold. The lock is held.
+// stride returns the maximum number of tokens in one event of a service. f.mu is held.
 func (f *fleet) stride(service string) int {
 	if f.cfg == nil || f.cfg.Services[service] == nil || f.cfg.Services[service].Engines == nil {
 		return 1
@@ -244,15 +243,15 @@
 }
 
 const (
-	// One decode engine in sampleDivisor, and freshLeast at least, is asked for its load before
-	// a stream is placed; freshLimit is how long that may take.
+	// One in sampleDivisor decode engines, and at least minSampleSize, are polled before a stream is placed;
+	// sampleTimeout bounds the wait for them.
 	sampleDivisor = 6
 	minSampleSize = 2
 	sampleTimeout = 40 * time.Millisecond
 )
 
-// sampleLoads asks one in so many decode engines of a service in a region for their load, and freshLeast
-// at least.
+// sampleLoads polls a random sample of the decode engines of a service in a region, one in sampleDivisor and at
+// least minSampleSize.
 func (r *Relay) sampleLoads(ctx context.Context, service, region string) {
 	var list []Endpoint
 	for _, e := range r.fleet.allEngines() {
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -12,18 +12,18 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file bounds what a box holds for callers and endpoints that are slow. A process that takes more
-// memory than the platform gives it is ended with all that it serves; one that is near that refuses new
-// requests instead, and goes on reading answers only as fast as callers take them.
+// This file bounds the memory that a box uses for slow callers and endpoints. The platform kills a process that
+// exceeds its memory limit, together with all requests that it serves. A box close to the limit therefore refuses
+// new requests and reads answers only as fast as callers take them.
 
-// memory counts what is held for requests, in bytes.
+// memory counts the bytes reserved for requests.
 type memory struct {
-	limit int64 // 0 for no bound.
+	limit int64 // 0 means no limit.
 	used  atomic.Int64
 }
 
-// reserve counts n bytes more if they are within the limit. What is counted is never beyond it, not even
-// for a moment: others would be refused for memory that nobody takes.
+// reserve adds n bytes if that stays within the limit. The counter never exceeds the limit, not even for a moment,
+// because other requests would then be refused for memory that is not in use.
 func (m *memory) reserve(n int64) bool {
 	for {
 		used := m.used.Load()
@@ -38,33 +38,33 @@
 
 func (m *memory) release(n int64) { m.used.Add(-n) }
 
-// underPressure says that most of the limit is used.
+// underPressure reports whether more than three quarters of the limit are in use.
 func (m *memory) underPressure() bool { return m.limit > 0 && m.used.Load() > m.limit/4*3 }
 
 const (
-	// requestOverheadBytes is what a request is estimated to take beside its body and its answer: four buffers
-	// of 4 KiB for two connections, as much for the stacks of its goroutines, heads and its record.
+	// requestOverheadBytes is the estimated memory of a request beside its body and its answer: four 4 KiB buffers for
+	// two connections, as much for goroutine stacks, headers and the record.
 	requestOverheadBytes = 32 << 10
-	// bodyChunkBytes is how much of a body of unknown length is counted at a time.
+	// bodyChunkBytes is the step in which memory is reserved for a body of unknown length.
 	bodyChunkBytes = 64 << 10
-	// callerWriteTimeout is how long a caller may take nothing of what is written to it. Endpoints end an
-	// answer that nobody reads after some seconds, and would seem to have failed. pressedLimit is the
-	// same while the box is short of memory.
+	// callerWriteTimeout is how long a caller may take none of the data written to it. Endpoints abort an answer that
+	// is not read for some seconds, which would look like a failure of the endpoint. pressureWriteTimeout replaces it
+	// while the box is short of memory.
 	callerWriteTimeout   = 4 * time.Second
 	pressureWriteTimeout = time.Second
-	// readAheadPoll paces the looks at whether more of an answer may be read ahead of its caller.
+	// readAheadPoll is the interval between attempts to reserve memory for reading an answer ahead of its caller.
 	readAheadPoll = 20 * time.Millisecond
 )
 
-// Held is how much is held for requests, in bytes.
+// Held returns the bytes reserved for requests.
 func (r *Relay) Held() int64 { return r.memory.used.Load() }
 
-// boxFullOutcome refuses a request because of this box's memory; another box may have room.
+// boxFullOutcome refuses a request because this box is out of memory; another box may have room.
 func boxFullOutcome() outcome.Outcome {
 	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.BoxFull, RetryAfter: jitter(retryAfter)}
 }
 
-// reserveMemory counts what the request holds until it ends.
+// reserveMemory reserves n bytes until the request ends.
 func (x *exchange) reserveMemory(n int64) bool {
 	if !x.r.memory.reserve(n) {
 		return false
@@ -73,7 +73,7 @@
 	return true
 }
 
-// releaseMemory ends what takeMemory counted.
+// releaseMemory releases all that reserveMemory reserved.
 func (x *exchange) releaseMemory() {
 	x.r.memory.release(x.reservedBytes)
 	x.reservedBytes = 0
@@ -81,11 +81,11 @@
 
 var errBoxFull = errors.New("the box has no memory for more of the body")
 
-// countedBody counts a body of unknown length while it is read.
+// countedBody reserves memory for a body of unknown length while it is read.
 type countedBody struct {
 	io.Reader
 	x      *exchange
-	unread int64 // Counted and not read yet.
+	unread int64 // Reserved and not read yet.
 }
 
 func (b *countedBody) Read(p []byte) (int, error) {
@@ -100,8 +100,8 @@
 	return n, err
 }
 
-// extendWriteDeadline gives the caller its time to take what is written next. It is called before each write,
-// and the deadline is moved only when half of it is over.
+// extendWriteDeadline gives the caller its full time for the next write. It is called before each write, and
+// moves the deadline only once half of the time has passed.
 func (x *exchange) extendWriteDeadline() {
 	limit := callerWriteTimeout
 	if x.r.memory.underPressure() {
@@ -112,11 +112,11 @@
 		return
 	}
 	x.writeDeadline = now.Add(limit)
-	// A connection without deadlines, as in tests, has none to miss.
+	// Connections without deadlines, as in tests, return an error that does not matter.
 	_ = http.NewResponseController(x.w).SetWriteDeadline(x.writeDeadline)
 }
 
-// writeErrorOutcome says how a request ended whose answer could not be written.
+// writeErrorOutcome is the outcome of a request whose answer could not be written.
 func writeErrorOutcome(err error) outcome.Outcome {
 	o := outcome.Outcome{Kind: outcome.Cancelled, Reason: outcome.CallerGone, Detail: err.Error()}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -125,12 +125,12 @@
 	return o
 }
 
-// callerGoneOutcome says how a request ended whose caller was seen to close its connection.
+// callerGoneOutcome is the outcome of a request whose caller closed its connection.
 func callerGoneOutcome() outcome.Outcome {
 	return outcome.Outcome{Kind: outcome.Cancelled, Reason: outcome.CallerGone, Detail: "read: the connection ended"}
 }
 
-// callerWriter writes to the caller, who has its time for each piece.
+// callerWriter writes to the caller, with the full write timeout for each write.
 type callerWriter struct{ x *exchange }
 
 func (w callerWriter) Write(b []byte) (int, error) {
@@ -138,8 +138,8 @@
 	return w.x.w.Write(b)
 }
 
-// waitReserve counts bytes of an answer that were read before the caller took them, and waits while the box
-// holds too much: the endpoint is then read only as fast as callers are. It returns false once ctx ends.
+// waitReserve reserves n bytes for data read before the caller has taken it, and waits while the box is out of
+// memory, so that the endpoint is read only as fast as callers read. It returns false if ctx ends first.
 func (m *memory) waitReserve(ctx context.Context, n int64) bool {
 	for !m.reserve(n) {
 		select {
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -10,54 +10,54 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// This file moves a stream that is being written to another engine. The engine that writes
-// it stops, closes its answer without an end, and copies what it has in memory to the other
-// one; the same request then goes on there after the last event that the caller has:
+// This file migrates a running stream to another engine. The engine that runs it stops the run, closes its answer
+// without an end marker, and copies the run's memory to the other one; the same request is then resumed there after
+// the last event that the caller has received:
 //
-//	move asked ─► engine stops ─► its call ends ┐
-//	                └► copied: a handle ────────┴► the next call goes on by the handle
+//	migration requested ─► engine stops ─► its call ends ┐
+//	                         └► copied: a handle ────────┴► the next call resumes with the handle
 //
-// The two come in any order. Nothing runs at two engines at once: the next call is made only
-// when the engine has said that the run is stopped, and its own call has ended. Until then
-// the caller gets what the first engine made; afterwards nothing of its is passed on.
+// Both may happen in either order. A stream never runs at two engines at once: the next call is made only when the
+// engine has reported that the run is stopped, and its own call has ended. Until then the caller gets the events of
+// the first engine; after that none of them are passed on.
 
-// migration is a move under way.
+// migration is a migration in progress.
 type migration struct {
-	attempt decide.Attempt // Of the call that is to go on.
+	attempt decide.Attempt // Of the call that resumes the stream.
 	from    string
 	to      string
 	// source is where the run's memory is, once the engine has stopped it; empty before.
 	source Source
-	// copied says that the other engine has the memory too.
+	// copied is set if the other engine has the memory too.
 	copied bool
-	// sourceEnd is how the first engine's call ended; nil while it goes on. A whole answer has no
-	// reason: whether that was its end is known only by the answer to the move.
+	// sourceEnd is how the first engine's call ended; nil while it runs. A complete answer has no reason: only the
+	// answer to the migration request tells whether that was the end of the stream.
 	sourceEnd *callError
-	// unframed says that the first engine's answer ended with its connection, as a stopped one does too.
+	// unframed is set if the close of the connection ended the first engine's answer, which also happens to a stopped run.
 	unframed bool
-	// keptUntil is until when the engines keep the memory at least; zero before the run is stopped.
+	// keptUntil is the earliest time at which the engines may free the memory; zero before the run is stopped.
 	keptUntil time.Time
-	// resumed says that the next call was made, and atSource that it was made to the first engine. bound says that
+	// resumed is set once the next call was made, and atSource if it was made to the first engine. bound is set once
 	// the attempt is bound to a call.
 	resumed, atSource, bound bool
-	// rested counts the calls that were made to an engine at rest.
+	// rested counts the calls that were made to an engine that had asked for rest.
 	rested int
 }
 
-// is tells whether an attempt is that of the move; of no move none is.
+// is reports whether an attempt is that of the migration; false for a nil migration.
 func (m *migration) is(a decide.Attempt) bool { return m != nil && m.attempt == a }
 
-// migrationResult is what became of a move.
+// migrationResult is the result of a migration request.
 type migrationResult struct {
-	source Source // Empty where the engine named no memory.
+	source Source // Empty if the engine named no memory.
 	copied bool
-	// unanswered says that no answer came: the run may have been stopped or not.
+	// unanswered is set if no answer was received; the run may or may not have been stopped.
 	unanswered bool
-	// detail is why the stream was not moved, for the record.
+	// detail is the reason why the stream was not migrated, for the record.
 	detail string
 }
 
-// drop frees what an engine keeps for a move that nobody needs any more.
+// drop frees the memory that an engine stores for a migration and that is not needed any more.
 func (m *migrationResult) drop(r *Relay) {
 	if m.source.Handle != "" {
 		r.drop(m.source.Engine, m.source.Address, r.wire.DropHandle(m.source.Handle))
@@ -65,25 +65,25 @@
 }
 
 const (
-	// migrateTries is how often a move is asked for whose connection ends without an answer.
+	// migrateTries is the number of migration requests sent while the connection ends without an answer.
 	migrateTries = 2
-	// migratePollInterval paces the questions to an engine that says that the move is under way already.
+	// migratePollInterval is the pause before a request is repeated whose engine answered that it is in progress.
 	migratePollInterval = 100 * time.Millisecond
-	// stopTimeout is how long the call of a run that was stopped may take to end.
+	// stopTimeout is how long the call of a stopped run may take to end.
 	stopTimeout = 250 * time.Millisecond
-	// reofferDelay is the pause before a stopped run is offered again to engines that turned it away: they keep
-	// its memory, and streams end several times a second on a busy engine.
+	// reofferDelay is the pause before a stopped run is offered again to the engines that refused it: they store its
+	// memory, and streams end several times a second on a busy engine.
 	reofferDelay = 100 * time.Millisecond
-	// restCalls is how often a stopped run is offered to an engine at rest that keeps it: nobody else can go on
-	// with it, and its request came before the rest.
+	// restCalls is how often a stopped run is offered to an engine that asked for rest and stores its memory: no other
+	// engine can resume it, and its request came before the rest.
 	restCalls = 2
-	// migrateAnswerTimeout is how long the answer to a move is waited for once the run has ended, before a stream
-	// that may be resumed is read anew elsewhere: callers give up one that pauses for some seconds.
+	// migrateAnswerTimeout is how long the answer to a migration request is waited for once the run has ended, before a
+	// resumable stream is prefilled again elsewhere: callers abandon a stream that pauses for some seconds.
 	migrateAnswerTimeout = 2 * time.Second
 )
 
-// migrate asks the engine that writes to give the stream away. A quarantined stream stays: it may be sent
-// to no other engine, and ending it here would take from the caller an answer that is under way.
+// migrate asks the engine that runs the stream to migrate it. A quarantined stream is not migrated: it may not be
+// sent to another engine, and ending it would take a running answer from the caller.
 func (f *flight) migrate(a decide.Migrate) {
 	if o, yes := f.x.quarantined(); yes {
 		f.abortMigration(a.Attempt, o.Reason.Sentence())
@@ -93,9 +93,9 @@
 	f.calls.Go(func() { f.callMigrate(a) })
 }
 
-// callMigrate reports what the engine answers. An engine stops the run before it copies the memory, so a
-// late answer does not mean that the run goes on, and only the answer names the memory. It is waited for
-// as long as the caller waits, and then for as long as the engine keeps the memory.
+// callMigrate reports the engine's answer to a migration request. An engine stops the run before it copies the
+// memory, so a late answer does not mean that the run continues, and only the answer names the memory. The call
+// therefore lasts until the caller's deadline, plus the time for which the engine keeps the memory.
 func (f *flight) callMigrate(a decide.Migrate) {
 	kept := f.x.service.Engines.HandleFor
 	limit := f.x.left() + kept
@@ -129,7 +129,7 @@
 	f.send(flightEvent{attempt: a.Attempt, moved: out})
 }
 
-// sleepCtx returns after a time, or when ctx ends.
+// sleepCtx returns after a duration, or when ctx ends.
 func sleepCtx(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -139,7 +139,7 @@
 	}
 }
 
-// handleMigrationEvent takes what a move waits for, and returns whether that was all about the event.
+// handleMigrationEvent handles the events that concern a migration, and reports whether the event was one of them.
 func (f *flight) handleMigrationEvent(ev flightEvent) bool {
 	m := f.migration
 	switch {
@@ -168,15 +168,15 @@
 	return true
 }
 
-// applyMigrationResult takes the engine's answer. Where it did not stop the run the stream goes on, or
-// has ended by itself.
+// applyMigrationResult applies the engine's answer. If the engine did not stop the run, the stream continues or has
+// already ended.
 func (f *flight) applyMigrationResult(ev *migrationResult) {
 	m := f.migration
 	if ev.source.Handle != "" {
 		m.source, m.copied = ev.source, ev.copied
 		m.keptUntil = clock.Now().Add(f.x.service.Engines.HandleFor)
 		if m.sourceEnd == nil {
-			attempt := m.attempt // The loop may have ended the move by then.
+			attempt := m.attempt // The loop may have ended the migration by then.
 			f.calls.Go(func() { f.awaitStop(attempt) })
 		}
 		f.resumeWhenStopped()
@@ -197,10 +197,10 @@
 	}
 }
 
-// requeue has the loop take an event that was held back during a move.
+// requeue sends an event to the loop that was withheld during a migration.
 func (f *flight) requeue(ev flightEvent) { f.calls.Go(func() { f.send(ev) }) }
 
-// awaitAnswer reports when the move of a stream that may be resumed should have been answered.
+// awaitAnswer reports if the migration request of a resumable stream is not answered in time.
 func (f *flight) awaitAnswer() {
 	if !f.x.route.Resumable || f.migration.source.Handle != "" {
 		return
@@ -212,8 +212,8 @@
 	})
 }
 
-// resumeElsewhere ends a move whose run has ended without an answer, and has the stream read anew. Where
-// that is not possible the answer is all that there is, and is waited for.
+// resumeElsewhere aborts a migration whose run has ended and whose request is unanswered, and has the stream
+// prefilled again. If that is not possible, only the answer can resume the stream, and is waited for.
 func (f *flight) resumeElsewhere() {
 	m := f.migration
 	if m.source.Handle != "" {
@@ -228,21 +228,21 @@
 	f.handleFailure(f.decodeAttempt, *m.sourceEnd)
 }
 
-// awaitStop reports when the call of the run that was stopped should have ended.
+// awaitStop reports if the call of the stopped run does not end in time.
 func (f *flight) awaitStop(attempt decide.Attempt) {
 	sleepCtx(f.ctx, stopTimeout)
 	f.send(flightEvent{attempt: attempt, overdue: true})
 }
 
-// abortMigration ends a move for which no other call was made.
+// abortMigration ends a migration before its next call was made.
 func (f *flight) abortMigration(move decide.Attempt, why string) {
 	f.x.r.m.MigratedNot.Inc()
 	f.x.acc.Step(record.Step{Kind: record.StepStayed, Text: why})
 	f.x.r.disp.Step(decide.MigrateFailed{ID: f.id, Attempt: move})
 }
 
-// resumeWhenStopped makes the next call as soon as the run is stopped and its call has ended. One that was quarantined
-// meanwhile, or whose second engine asked for rest, goes on where it was.
+// resumeWhenStopped makes the next call once the run is stopped and its call has ended. It resumes at the source a
+// stream that was quarantined meanwhile, or whose other engine asked for rest.
 func (f *flight) resumeWhenStopped() {
 	m := f.migration
 	if m.source.Handle == "" || m.sourceEnd == nil || m.resumed {
@@ -252,13 +252,13 @@
 	f.callResume(f.mustResumeAtSource(), 0)
 }
 
-// mustResumeAtSource says that the engine which a stream was to be moved to cannot go on with it.
+// mustResumeAtSource reports whether the target of the migration cannot resume the stream.
 func (f *flight) mustResumeAtSource() bool {
 	_, quarantined := f.x.quarantined()
 	return quarantined || !f.migration.copied || f.x.r.notices.Rests(f.migration.to, clock.Now())
 }
 
-// callResume calls the other engine or, back, the first one, which keeps the memory, after a pause.
+// callResume calls the target or, if atSource, the first engine, which keeps the memory, after a delay.
 func (f *flight) callResume(atSource bool, delay time.Duration) {
 	m := f.migration
 	m.atSource = atSource
@@ -268,7 +268,7 @@
 	}
 	f.decodeAttempt, f.decodeEngine = m.attempt, engine
 	var ctx context.Context
-	if atSource || m.bound { // The attempt is bound already: it goes on.
+	if atSource || m.bound { // The attempt is already bound and continues.
 		ctx, f.stopDecode = context.WithCancel(f.ctx)
 	} else {
 		ctx, m.bound = f.bindDecode(m.attempt), true
@@ -281,8 +281,8 @@
 	})
 }
 
-// handleResumeFailure tries the first engine where the other one is not known to have taken the run: the handle
-// serves once, so it is not run there if the other engine did take it.
+// handleResumeFailure tries the first engine if the target is not known to have accepted the run: the handle can be
+// used only once, so the first engine refuses the run if the target did accept it.
 func (f *flight) handleResumeFailure(e callError) {
 	m := f.migration
 	if !m.atSource && (!e.ran || e.connLoss.unanswered) {
@@ -304,15 +304,15 @@
 	f.handleFailure(f.decodeAttempt, e)
 }
 
-// mayOffer says whether a stopped run that its engine turned away may be offered again: while its memory is kept,
-// and as far as a rest and the retries allow.
+// mayOffer reports whether a stopped run that its engine refused may be offered again: while its memory is kept, and
+// within the limits for rests and retries.
 func (f *flight) mayOffer() bool {
 	m, now := f.migration, clock.Now()
 	if f.ctx.Err() != nil || now.Add(reofferDelay).After(m.keptUntil) {
 		return false
 	}
 	if !f.mustResumeAtSource() {
-		return f.x.r.disp.TakeRetries(2) // The other engine's, and the first one's after it.
+		return f.x.r.disp.TakeRetries(2) // One for the target, and one for the first engine after it.
 	}
 	if f.x.r.notices.Rests(m.from, now) {
 		if m.rested++; m.rested > restCalls {
@@ -322,7 +322,7 @@
 	return f.x.r.disp.TakeRetries(1)
 }
 
-// finishMigration ends a move whose next call has begun to answer.
+// finishMigration ends a migration whose next call has begun to answer.
 func (f *flight) finishMigration() {
 	m := f.migration
 	f.migration = nil
@@ -337,7 +337,7 @@
 	f.x.acc.Step(record.Step{Kind: record.StepMigrated, Decode: f.decodeEngine})
 }
 
-// dropMigration frees what engines keep for a move that did not come to its end.
+// dropMigration frees the memory that engines store for an unfinished migration.
 func (f *flight) dropMigration() {
 	if f.migration != nil {
 		(&migrationResult{source: f.migration.source}).drop(f.x.r)
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -12,24 +12,24 @@
 	"github.com/stoatramp/stoatramp/internal/overlay"
 )
 
-// This file takes in what endpoints say of themselves in the heads of their answers.
+// This file handles the notices that endpoints send in the headers of their answers.
 
-// Limited is how many endpoints have a limit that they named in their answers.
+// Limited returns the number of endpoints with a limit that they named in their answers.
 func (r *Relay) Limited() int { return r.notices.Limited() }
 
-// observeRun takes the head of the answer to a caller's request.
+// observeRun handles the header of the answer to a caller's request.
 func (r *Relay) observeRun(q *h1.Request, resp *http.Response, sent time.Time) {
 	reply := r.wire.Reply(resp)
 	ran := reply.Signed && !reply.NotRun && resp.StatusCode < http.StatusInternalServerError
 	r.observe(q, resp, notice.Answer{Sent: sent, Ran: ran, Notice: reply.Notice})
 }
 
-// observeSide takes the head of the answer to a call of this box's own.
+// observeSide handles the header of the answer to one of this box's own calls.
 func (r *Relay) observeSide(q *h1.Request, resp *http.Response, sent time.Time) {
 	r.observe(q, resp, notice.Answer{Sent: sent, Notice: r.wire.Reply(resp).Notice})
 }
 
-// observe takes the head of an answer. A misdirected request was answered by another endpoint.
+// observe handles the header of an answer. A misdirected request was answered by another endpoint.
 func (r *Relay) observe(q *h1.Request, resp *http.Response, a notice.Answer) {
 	if q.Endpoint == "" || resp.StatusCode == http.StatusMisdirectedRequest {
 		return
@@ -43,15 +43,15 @@
 	}
 }
 
-// receiveNotice takes what an endpoint said to another box, if this box deals with the endpoint: each notice
-// of leaving has the whole list worked out anew.
+// receiveNotice applies a notice that an endpoint sent to another box, if the endpoint is in this box's subset:
+// each notice of leaving causes the whole fleet to be recomputed.
 func (r *Relay) receiveNotice(at time.Time, n *overlay.Notice) {
 	if r.fleet.inSubset(n.Endpoint) {
 		r.applyNotice(notice.Answer{Endpoint: n.Endpoint, Sent: at, Ran: n.Ran, Notice: notice.Notice{Limit: n.Limit, Leaving: n.Leaving}})
 	}
 }
 
-// applyNotice takes an answer in, and returns whether what it changes is to be published to the other boxes.
+// applyNotice applies the notice of an answer, and reports whether the other boxes must be told.
 func (r *Relay) applyNotice(a notice.Answer) (publish bool) {
 	e, _ := r.fleet.findCalled(a.Endpoint)
 	a.Region = r.fleet.regionOf(e.Hall)
@@ -61,7 +61,7 @@
 	return publish
 }
 
-// recordNoticeChange logs and counts one change.
+// recordNoticeChange logs and counts a change, and reports whether the other boxes must be told.
 func (r *Relay) recordNoticeChange(c notice.Change, a notice.Answer) (publish bool) {
 	log := func(what string, fields ...zap.Field) {
 		r.o.Book.Log.Belief(what, append(fields, zap.String("endpoint", a.Endpoint))...)
--- a/internal/relay/orders.go
+++ b/internal/relay/orders.go
@@ -11,7 +11,7 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// Advise says which engine should change its role, if any should.
+// Advise returns the engine that should change its role, if any.
 func (r *Relay) Advise() (decide.Advice, bool) { return r.disp.Advise() }
 
 var (
@@ -21,8 +21,8 @@
 	errLeaseExpired = errors.New("the lease ended before the order was sent")
 )
 
-// SetRole orders an engine to change its role. The order names the engine's start and
-// how many orders it has taken, so that it does nothing when it is carried out late.
+// SetRole orders an engine to change its role. The order names the engine's start and the number of orders that
+// it has taken, so that an order that arrives late has no effect.
 func (r *Relay) SetRole(ctx context.Context, engine string, role decide.EngineRole, l lease.Lease) error {
 	e, listed := r.fleet.endpoint(engine)
 	if !listed {
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -17,12 +17,12 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// bufferedAnswerBytes is how much of a plain answer is held before any of it is passed on. An
-// answer that fits can still be replaced by another try's when it breaks off.
+// bufferedAnswerBytes is how much of a plain answer is buffered before any of it is passed on. If a shorter answer
+// is cut off, that of another attempt can replace it.
 const bufferedAnswerBytes = 64 << 10
 
-// servePlain tries endpoints until one answers. It goes on to another only if the call
-// did not run, or may run again.
+// servePlain tries endpoints until one answers. It retries at another endpoint only if the call did not run, or may
+// run again.
 func (x *exchange) servePlain(ctx context.Context) {
 	if o, ok := x.admitPlain(); !ok {
 		x.refuse(o)
@@ -70,7 +70,7 @@
 			runs++
 		}
 		x.recordConnLoss(e.ID, a.connLoss)
-		// An endpoint's own failure says more than ours: it is passed on where no call may follow.
+		// An endpoint's own error answer says more than ours: it is passed on if no other call may follow.
 		last := !x.route.repeats() || runs >= x.route.Tries || !budget.Has(clock.Now(), 1) || !x.r.plain.hasUntried(x.service.Name, x.region, clock.Now(), tried)
 		if a.resp != nil && (a.good || last) {
 			x.passAnswer(a)
@@ -86,14 +86,14 @@
 	x.refuse(o)
 }
 
-// throttledOutcome refuses a request that no endpoint takes for so long.
+// throttledOutcome refuses a request that no endpoint accepts for the given time.
 func throttledOutcome(wait time.Duration) outcome.Outcome {
 	back := time.Duration(float64(wait) * (1 + limitJitter*rand.Float64()))
 	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.EndpointsThrottled, RetryAfter: max(minLimitRetryAfter, back)}
 }
 
-// admitPlain asks the policy about a plain call. wait() means run() here: plain calls do
-// not wait on the box.
+// admitPlain evaluates the policy for a plain call. In a policy wait() has the effect of run() here, because plain
+// calls do not wait on the box.
 func (x *exchange) admitPlain() (outcome.Outcome, bool) {
 	p := x.policy()
 	if p == nil {
@@ -112,23 +112,23 @@
 	return outcome.Outcome{}, true
 }
 
-// policyRetryAfter is when a call that a policy refused may be tried again.
+// policyRetryAfter is the retry delay of a call that a policy refused.
 const policyRetryAfter = time.Second
 
-// retryAfter is when a caller may try again where the reason passes soon.
+// retryAfter is the retry delay for reasons that pass soon.
 const retryAfter = 250 * time.Millisecond
 
-// plainAnswer is what one call to an endpoint came to.
+// plainAnswer is the result of a call to an endpoint.
 type plainAnswer struct {
 	resp     *http.Response
 	buffered []byte // The beginning of the body, or all of it.
-	// whole says that held is all of the body.
+	// whole is set if buffered is all of the body.
 	whole  bool
-	sent   bool // The request reached the endpoint.
+	sent   bool // The request was sent to the endpoint.
 	ran    bool // The request may have run.
 	good   bool // The answer is a success.
 	reason outcome.Reason
-	// connLoss is set where the endpoint connLoss the call off.
+	// connLoss is set if the endpoint closed the connection.
 	connLoss connLoss
 }
 
@@ -138,8 +138,8 @@
 	}
 }
 
-// callPlain sends the request to one endpoint and judges its answer. An answer without
-// its endpoint's signature, cut short or encoded, is not taken.
+// callPlain sends the request to an endpoint and checks its answer. An answer that is not signed by its endpoint, cut
+// short or encoded is rejected.
 func (x *exchange) callPlain(ctx context.Context, e *chosenEndpoint) (a plainAnswer) {
 	start := clock.Now()
 	defer func() {
@@ -189,7 +189,7 @@
 	return a
 }
 
-// plainFailure says what the caller is told when no try had an answer to pass on.
+// plainFailure returns the outcome of a request if no attempt had an answer to pass on.
 func (x *exchange) plainFailure(ctx context.Context, a plainAnswer, ran bool) outcome.Outcome {
 	o := outcome.Outcome{Kind: outcome.NotRun, Reason: a.reason, RetryAfter: retryAfter}
 	if ran {
@@ -205,7 +205,7 @@
 	return o
 }
 
-// promises are the statuses by which callers understand that the request did not run.
+// promises reports whether callers take a status to mean that the request did not run.
 func promises(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -214,8 +214,7 @@
 	return false
 }
 
-// copyHead takes the head of an endpoint's answer over, but for what concerns one
-// connection only.
+// copyHead copies the header of an endpoint's answer, except for what concerns a single connection.
 func (x *exchange) copyHead(from http.Header) {
 	h := x.w.Header()
 	closing := h.Get("Connection")
@@ -223,11 +222,11 @@
 	if closing != "" {
 		h.Set("Connection", closing)
 	}
-	h.Del("Content-Length") // Set anew where it is known.
+	h.Del("Content-Length") // Set again if it is known.
 }
 
-// writeStatus begins the answer with the status of an endpoint that ran the request. One
-// that promises otherwise is not passed on, nor what vouches for it.
+// writeStatus begins the answer with the status of an endpoint that ran the request. A status that implies that the
+// request did not run is replaced, and the endpoint's signature removed.
 func (x *exchange) writeStatus(status int) {
 	if promises(status) {
 		status = http.StatusBadGateway
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,72 +31,72 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Options are what a Relay is made from.
+// Options configure a Relay.
 type Options struct {
 	Box    string
 	Hall   string
 	Region string
-	// Halls are the regions of data halls; a hall that is not named is of the box's own.
+	// Halls maps data halls to regions. A hall that is not listed is in the box's own region.
 	Halls map[string]string
 	Wire  Wire
 	Core  *decide.Core
-	// Book takes the accounts of all requests.
+	// Book records the accounts of all requests.
 	Book *account.Book
-	// Others are the other boxes; nil if there are none.
+	// Others publishes messages to the other boxes and receives theirs; nil if there are none.
 	Others Others
-	// List tells how long ago the list of endpoints was heard of; nil if that is not known.
+	// List has the age of the list of endpoints; nil if it is not known.
 	List *follow.Freshness
-	// Limits keep client accounts to their limits; nil if they are not kept to any.
+	// Limits enforces the rate limits of client accounts; nil if there are none.
 	Limits Allowance
-	// Ends are the requests under which endpoints ended; nil for those that this box sees alone.
+	// Ends has the requests during which endpoints crashed; nil for a list of this box alone.
 	Ends *quarantine.List
 	Keys KeyRules
-	// Memory bounds what is held for requests, in bytes; 0 for no bound.
+	// Memory limits the bytes reserved for requests; 0 means no limit.
 	Memory int64
-	// Cold bounds what all boxes send to an endpoint that has just started.
+	// Cold limits the requests of all boxes to an endpoint that has just started.
 	Cold pacing.ColdLimits
 }
 
-// Others are the other boxes, which are told what this one learned.
+// Others is the connection to the other boxes.
 type Others interface {
 	Tell(f overlay.Fact)
-	// Connected says whether what others learn is heard, and Neighbours how many boxes tell each
-	// other, this one included.
+	// Connected reports whether messages from other boxes are received. Neighbours returns the number of boxes that
+	// exchange messages, including this one.
 	Connected() bool
 	Neighbours() int
-	// Boxes lists all boxes of a region, with a number that changes with the list.
+	// Boxes lists all boxes of a region, with a version that changes with the list.
 	Boxes(region string) (names []string, version int64)
-	// AskRoom asks the home of an engine in a hall whether it has room for a stream. By is the
-	// box that said so, and empty where none was asked or answered.
+	// AskRoom asks the owner of an engine in a hall whether it has room for a stream. By is the box that granted or
+	// denied it, and empty if none was asked or none answered.
 	AskRoom(ctx context.Context, hall string, r overlay.Room) (granted bool, by string)
-	// WantFacts says of which engines this box has a use for facts; nil for all.
+	// WantFacts selects the engines that this box needs messages about; nil for all.
 	WantFacts(engines []string)
 }
 
-// Relay serves callers. All fields are set by New.
+// Relay serves callers. Use New to create one.
 type Relay struct {
 	o    Options
 	wire Wire
 	disp *dispatch.Dispatcher
-	// callerPool carries callers' requests and side the relay's own calls: an answer that
-	// comes late on a connection of the first must never pass for one of the second.
+	// callerPool carries callers' requests and sidePool the relay's own calls, so that a late answer on a connection
+	// of the first can never be taken for an answer to one of the second.
 	callerPool *h1.Pool
 	sidePool   *h1.Pool
 	plain      *plainTable
-	// notices are what endpoints say of themselves in their answers.
+	// notices has the limits, rests and departures that endpoints announce in their answers.
 	notices *notice.Table
 	m       *telemetry.Metrics
 	cfg     atomic.Pointer[Config]
-	// cfgAppliedAt is since when cfg is in force, and stall when the process last had no processor for a while;
+	// cfgAppliedAt is when cfg was applied, and lastStall the last time during which the process was not scheduled;
 	// both nil before the first.
 	cfgAppliedAt atomic.Pointer[time.Time]
 	lastStall    atomic.Pointer[stall]
-	// policies are the operators' programs; nil before any were read.
+	// policies are the operators' programs; nil before any were loaded.
 	policies atomic.Pointer[policies]
-	// revoked are the keys that were taken away; never nil.
+	// revoked are the revoked keys; never nil.
 	revoked atomic.Pointer[revoked]
 	fleet   fleet
-	// listed says that the list of endpoints was read.
+	// listed is set once a list of endpoints was applied.
 	listed        atomic.Bool
 	remoteWaiting remoteWaiting
 	streams       streamRates
@@ -105,15 +105,15 @@
 	memory memory
 
 	gate gate.Gate
-	// stopDeadline is when a planned stop will have ended the box, in Unix nanoseconds; 0 before
-	// one begins. From then on answers ask callers to close their connections.
+	// stopDeadline is the end of a planned stop, in Unix nanoseconds; 0 before one begins. From then on answers ask
+	// callers to close their connections.
 	stopDeadline atomic.Int64
-	// lastTimingPublish is when the other boxes were last told what a stream took, in Unix nanoseconds.
+	// lastTimingPublish is when a stream's timing was last published, in Unix nanoseconds.
 	lastTimingPublish atomic.Int64
 	cleanups          sync.WaitGroup
 }
 
-// New returns a relay that refuses everything until it has a configuration.
+// New returns a relay that refuses all requests until it has a configuration.
 func New(o Options) *Relay {
 	if o.Ends == nil {
 		o.Ends = quarantine.NewList()
@@ -142,7 +142,7 @@
 	return r
 }
 
-// SetConfig puts a configuration in force for every request that starts from now on.
+// SetConfig applies a configuration to all requests that start from now on.
 func (r *Relay) SetConfig(c *Config) {
 	r.fleet.setConfig(c)
 	r.applyFleet()
@@ -154,16 +154,16 @@
 	r.m.KeepRoutes(c.has)
 }
 
-// stall is a time in which the process had no processor.
+// stall is a time during which the process was not scheduled.
 type stall struct {
 	duration time.Duration
 	endedAt  time.Time
 }
 
-// Stalled notes that the process had no processor for a time that has just ended.
+// Stalled records that the process was not scheduled for a time that has just ended.
 func (r *Relay) Stalled(d time.Duration) { r.lastStall.Store(&stall{d, clock.Now()}) }
 
-// Conditions are how the box fares now.
+// Conditions returns the present conditions of the box.
 func (r *Relay) Conditions() account.Conditions {
 	var c account.Conditions
 	if since := r.cfgAppliedAt.Load(); since != nil {
@@ -175,22 +175,22 @@
 	return c
 }
 
-// Policies finds the policy for the requests of a route, and the name of the rule that
-// gives it; nil if there is none.
+// Policies finds the policy for the requests of a route, and the name of the rule that selected it; nil if there
+// is none.
 type Policies interface {
 	For(kind, service string, priority int) (decide.Policy, string)
 }
 
-// policies are those of one version.
+// policies are the policies of one version.
 type policies struct {
 	Policies
 	version int64
 }
 
-// SetPolicies puts policies in force for every request that starts from now on.
+// SetPolicies applies policies to all requests that start from now on.
 func (r *Relay) SetPolicies(version int64, p Policies) { r.policies.Store(&policies{p, version}) }
 
-// PolicyVersion is the version of the policies in force; 0 before the first.
+// PolicyVersion returns the version of the policies in force; 0 before the first.
 func (r *Relay) PolicyVersion() int64 {
 	if p := r.policies.Load(); p != nil {
 		return p.version
@@ -198,7 +198,7 @@
 	return 0
 }
 
-// policy finds the policy for the request, and notes in the account which one it is.
+// policy returns the policy for the request, and records its rule and version.
 func (x *exchange) policy() decide.Policy {
 	all := x.r.policies.Load()
 	if all == nil {
@@ -211,7 +211,7 @@
 	return p
 }
 
-// Version is the configuration in force; 0 before the first.
+// Version returns the version of the configuration in force; 0 before the first.
 func (r *Relay) Version() int64 {
 	if c := r.cfg.Load(); c != nil {
 		return c.Version
@@ -219,31 +219,30 @@
 	return 0
 }
 
-// Busy returns a channel that has an entry once a request runs and none did.
+// Busy returns a channel that receives an entry when the first request starts while none runs.
 func (r *Relay) Busy() <-chan struct{} { return r.gate.Busy() }
 
-// Tick lets the decisions' time-outs fire.
+// Tick lets the scheduler's timeouts fire.
 func (r *Relay) Tick() { r.disp.Step(decide.Tick{}) }
 
-// Running is the number of requests in progress.
+// Running returns the number of requests in progress.
 func (r *Relay) Running() int64 { return r.gate.Running() }
 
-// RunningIDs lists the requests that engines work on.
+// RunningIDs lists the requests that run at engines.
 func (r *Relay) RunningIDs() []string { return r.disp.Running() }
 
-// Engines lists the engines as the decisions see them.
+// Engines lists the engines as the scheduler sees them.
 func (r *Relay) Engines() ([]decide.EngineState, int, []string) { return r.disp.Engines() }
 
-// Ready says whether the box should be sent requests.
+// Ready reports whether the box may be sent requests.
 func (r *Relay) Ready() bool {
 	return r.stopDeadline.Load() == 0 && r.gate.Open() && r.cfg.Load() != nil && r.listed.Load()
 }
 
-// Close begins a planned stop that ends by a time: the box is not ready any more, and
-// still serves what it can finish.
+// Close begins a planned stop with a deadline: the box is no longer ready, but still serves what it can finish.
 func (r *Relay) Close(by time.Time) { r.stopDeadline.Store(by.UnixNano()) }
 
-// outlastsStop says that a stream that began now would be cut off by a planned stop.
+// outlastsStop reports whether a stream that starts now would be cut off by a planned stop.
 func (r *Relay) outlastsStop(now time.Time, service string, tokens int) bool {
 	by := r.stopDeadline.Load()
 	if by == 0 {
@@ -253,10 +252,10 @@
 	return now.Add(time.Duration(takes*float64(time.Second))).UnixNano() > by
 }
 
-// lengthGuessMargin allows for guesses of an answer's length that were too short.
+// lengthGuessMargin is a safety factor for output length estimates that are too low.
 const lengthGuessMargin = 1.5
 
-// Drain refuses new requests and waits until the last one is done.
+// Drain refuses new requests and waits until the running ones are done.
 func (r *Relay) Drain(ctx context.Context) error { return r.gate.Drain(ctx, r.cleanups.Wait) }
 
 func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -275,8 +274,8 @@
 	x.watchUndelivered()
 }
 
-// endPanic closes the account of a request whose handler panicked, other than to end its connection. The server
-// would close the connection and log no id.
+// endPanic closes the account of a request whose handler panicked for any reason but to close its connection. The
+// server alone would close the connection without logging the request's id.
 func (x *exchange) endPanic() {
 	v := recover()
 	switch {
@@ -295,10 +294,10 @@
 	panic(http.ErrAbortHandler)
 }
 
-// drainRetryAfter lets a caller that met a stopping box try another one soon.
+// drainRetryAfter is short, so that a caller refused by a stopping box soon tries another.
 const drainRetryAfter = 100 * time.Millisecond
 
-// exchange is one request with its answer on the way through the stages.
+// exchange is a request and its answer while they are processed.
 type exchange struct {
 	r       *Relay
 	w       http.ResponseWriter
@@ -306,30 +305,29 @@
 	cfg     *Config
 	route   *Route
 	service *Service
-	// region is where the request is served.
+	// region is the region that serves the request.
 	region string
-	// account is the client account; nil if the request has none. It took units of its limit.
+	// account is the client account, nil if there is none, and units what the request took of its limit.
 	account *Account
 	units   float64
-	// dispatched is set once the request was made for an endpoint, and ran once one may have run it
+	// dispatched is set once a request was built for an endpoint, and ran once an endpoint may have run the request
 	// and failed.
 	dispatched, ran bool
 	meta            Ask
 	body            []byte
-	// reservedBytes are what it counts of the box's memory, and writeBy is when the caller must have taken
-	// what is being written.
+	// reservedBytes is the memory reserved for the request, and writeDeadline the time by which the caller must have
+	// taken the current write.
 	reservedBytes int64
 	writeDeadline time.Time
-	// acc is the account of the request, and rec the record in it.
+	// acc is the account of the request, and rec its record.
 	acc     *account.Account
 	rec     *record.Record
 	arrived time.Time
-	// deadline is when the caller or the route will not wait any longer.
+	// deadline is the earlier of the caller's and the route's.
 	deadline time.Time
-	// cachedFingerprint is the fingerprint; nil until it was asked for.
+	// cachedFingerprint is nil until the fingerprint is needed.
 	cachedFingerprint *quarantine.Fingerprint
-	// begun is set once any byte of an answer was written; from then on a failure
-	// can no longer be a refusal.
+	// begun is set once any byte of an answer was written; after that the request can no longer be refused.
 	begun bool
 }
 
@@ -343,7 +341,7 @@
 	return x
 }
 
-// serve runs the stages that all requests share, then those of its kind.
+// serve runs the stages that all requests share, and then those of streams or plain calls.
 func (x *exchange) serve() {
 	if !x.reserveMemory(requestOverheadBytes) {
 		x.refuse(boxFullOutcome())
@@ -402,7 +400,7 @@
 	x.servePlain(ctx)
 }
 
-// setDeadline takes the sooner of what the caller and what the route allow.
+// setDeadline sets the earlier of the caller's and the route's deadline.
 func (x *exchange) setDeadline() {
 	x.deadline = x.arrived.Add(x.route.Timeout)
 	if x.meta.Patience > 0 && x.meta.Patience < x.route.Timeout {
@@ -410,7 +408,7 @@
 	}
 }
 
-// bufferBody reads the whole body: it may have to be sent to two endpoints.
+// bufferBody reads the whole body, because it may have to be sent to more than one endpoint.
 func (x *exchange) bufferBody() (outcome.Outcome, bool) {
 	if x.req.ContentLength == 0 {
 		return outcome.Outcome{}, true
@@ -428,13 +426,13 @@
 	case err != nil:
 		return outcome.Refuse(outcome.BadRequest, "the body ended early"), false
 	}
-	// The deadline must not end the watch for a caller that hangs up.
+	// The read deadline must not stop the detection of a caller that closes its connection.
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
 	x.body = b
 	return outcome.Outcome{}, true
 }
 
-// readBody reads the body into memory that is counted before it is taken.
+// readBody reads the body into memory that is reserved before it is allocated.
 func (x *exchange) readBody() ([]byte, error) {
 	n, most := x.req.ContentLength, x.cfg.Limits.MaxBody
 	src := http.MaxBytesReader(x.w, x.req.Body, most)
@@ -449,14 +447,14 @@
 	return b, err
 }
 
-// left is how long the caller still waits.
+// left returns the time until the deadline, and at least a millisecond.
 func (x *exchange) left() time.Duration { return max(time.Millisecond, clock.Until(x.deadline)) }
 
-// request makes the request for one endpoint from the caller's.
+// request builds the request for one endpoint from the caller's.
 func (x *exchange) request(address string, run Run) *h1.Request {
 	h := make(http.Header, len(x.req.Header)+4)
 	h1.CopyHeaders(h, x.req.Header)
-	h.Del("Content-Length") // Set anew with the body.
+	h.Del("Content-Length") // Set again from the body.
 	h.Del("Expect")
 	run.Left = x.left()
 	run.Account = x.account
@@ -475,23 +473,23 @@
 	return q
 }
 
-// refusal is the body of an answer that is the relay's own.
+// refusal is the body of an error answer of the relay itself.
 type refusal struct {
 	Reason  outcome.Reason `json:"reason"`
 	Run     outcome.Kind   `json:"run"`
 	Message string         `json:"message"`
 }
 
-// statusOf keeps the statuses that promise "not run" for refusals of which it is true.
+// statusOf uses statuses that imply "not run" only for requests that did not run.
 func statusOf(o outcome.Outcome) int {
 	s := o.Reason.Status()
 	switch {
 	case o.Kind != outcome.NotRun && s != http.StatusGatewayTimeout:
 		return http.StatusBadGateway
 	case o.Reason == outcome.EndsEndpoints:
-		return s // Not run, as the body says, and yet no invitation to come again.
+		return s // It was not run, as the body says, but must not be retried.
 	case o.Kind == outcome.NotRun && (s >= http.StatusInternalServerError || o.Reason == outcome.PromptTooLong):
-		// An engine too small for a prompt refuses it as a full one does.
+		// An engine whose memory is too small for a prompt refuses it in the same way as a full one.
 		return http.StatusServiceUnavailable
 	}
 	return s
@@ -515,10 +513,10 @@
 	x.acc.Close(o)
 }
 
-// cutOff ends an answer that cannot be completed, so that it does not look whole.
+// cutOff aborts an answer that cannot be completed, so that the caller does not take it for complete.
 func (x *exchange) cutOff(o outcome.Outcome) {
 	if x.begun {
-		_ = http.NewResponseController(x.w).Flush() // What came is the caller's.
+		_ = http.NewResponseController(x.w).Flush() // The caller gets the bytes received so far.
 	}
 	x.acc.Close(o)
 	panic(http.ErrAbortHandler)
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -8,10 +8,10 @@
 	"github.com/stoatramp/stoatramp/internal/overlay"
 )
 
-// This file asks other boxes for room on engines, and answers them. What a home is, package
-// overlay tells.
+// This file asks the owners of engines for room, and answers such requests from other boxes. Package overlay
+// defines owners.
 
-// askRoom asks the home of a decode engine whether it has room for the request.
+// askRoom asks the owner of a decode engine whether it has room for the request.
 func (r *Relay) askRoom(ctx context.Context, engine string, x *exchange) (granted bool, owner string) {
 	if !r.connected() {
 		return true, ""
@@ -22,7 +22,7 @@
 	})
 }
 
-// HasRoom answers another box for an engine whose home this one is.
+// HasRoom answers another box for an engine that this one owns.
 func (r *Relay) HasRoom(room overlay.Room) bool {
 	r.adopt(clock.Now(), room.Engine)
 	r.pollIfStale(room.Engine)
--- a/internal/relay/route.go
+++ b/internal/relay/route.go
@@ -10,18 +10,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sort puts the routes in the order in which RouteFor looks at them: longer prefixes
-// come first. Whoever makes a Config calls it once.
+// Sort orders the routes for RouteFor, longer prefixes first. It must be called once after a Config is made.
 func (c *Config) Sort() {
 	slices.SortStableFunc(c.Routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 }
 
-// has tells whether a route of that name is configured.
+// has reports whether a route of that name is configured.
 func (c *Config) has(route string) bool {
 	return slices.ContainsFunc(c.Routes, func(r *Route) bool { return r.Name == route })
 }
 
-// RouteFor finds the route of a host whose prefix begins the path and is longest.
+// RouteFor returns the route of a host with the longest matching path prefix; nil if there is none.
 func (c *Config) RouteFor(host, path string) *Route {
 	host = hostOnly(host)
 	for _, r := range c.Routes {
@@ -32,7 +31,7 @@
 	return nil
 }
 
-// hostOnly is a host without its port, if it has one.
+// hostOnly returns a host without its port, if it has one.
 func hostOnly(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		return h
@@ -40,15 +39,15 @@
 	return host
 }
 
-// repeats says whether a request of the route may run more than once.
+// repeats reports whether a request of the route may run more than once.
 func (r *Route) repeats() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
-// returningPatienceShare is the part of the longest patience seen below which a caller is taken for
-// one that was refused before: it has spent the rest on its earlier try.
+// returningPatienceShare is the share of the longest patience seen below which a caller is taken for one that was
+// refused before and has spent the rest on its earlier attempt.
 const returningPatienceShare = 0.97
 
-// isReturning tells whether a caller that will wait so long has tried before. Callers of
-// one route have the same patience, and the time of a refused try is gone from it.
+// isReturning reports whether a caller with so much patience left has tried before. Callers of one route start with
+// the same patience, and lose the time of each refused attempt.
 func (r *Route) isReturning(patience time.Duration) bool {
 	if patience <= 0 {
 		return false
@@ -64,8 +63,8 @@
 	}
 }
 
-// pick chooses the service for a request. It depends on the request's id alone, so
-// that every try of the request in every box comes to the same service.
+// pick selects the service for a request. The choice depends on the request's id alone, so that every attempt at
+// every box uses the same service.
 func (r *Route) pick(id string) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
--- a/internal/relay/split.go
+++ b/internal/relay/split.go
@@ -2,13 +2,13 @@
 
 import "bytes"
 
-// splitter cuts a stream of events at their ends.
-type splitter struct{ rest []byte } // What came after the last whole event.
+// splitter splits a stream of bytes into whole events.
+type splitter struct{ rest []byte } // Bytes after the last whole event.
 
-// eventEnd ends an event; lines end with a line feed alone or after a carriage return.
+// eventEnd ends an event. Lines end with a line feed, with or without a carriage return before it.
 var eventEnd = []byte("\n\n")
 
-// add takes bytes as they came and returns the whole events among what is known.
+// add appends bytes as received, and returns the whole events among the buffered bytes.
 //
 // Example: after "id: 1\ndata: a\n\nid: 2\nda" the first event is returned with the id
 // "1", and "id: 2\nda" is kept for the next call.
@@ -28,7 +28,7 @@
 	return part{bytes: whole, lastID: id, events: n}
 }
 
-// lastID finds the id of the last event that has one, and counts those that have.
+// lastID returns the id of the last event with an id, and counts the events with one.
 func lastID(events []byte) (id string, n int) {
 	for line := range bytes.Lines(events) {
 		if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -18,53 +18,53 @@
 )
 
 const (
-	// eventBuffer lets a few events wait for a caller that reads slowly.
+	// eventBuffer is the number of events buffered for a slow caller.
 	eventBuffer = 32
-	// sideLimit bounds the wait for a call that sets memory aside, and a call that frees it.
+	// sideLimit limits the wait for a call that reserves memory, and for a call that frees it.
 	sideLimit = 700 * time.Millisecond
-	// releaseTries is how often memory is freed whose engine does not answer, and dropAgain the pause.
+	// releaseTries is the number of attempts to free memory if the engine does not answer, and releaseRetryDelay the
+	// pause between them.
 	releaseTries      = 3
 	releaseRetryDelay = 250 * time.Millisecond
-	// maxSideAnswer bounds the answer to one, in bytes.
+	// maxSideAnswer limits the answer to such a call, in bytes.
 	maxSideAnswer = 64 << 10
 )
 
-// flight is one stream while engines work on it.
+// flight is the state of a stream while engines process it.
 type flight struct {
 	x      *exchange
 	id     decide.ID
 	call   *dispatch.Call
-	ctx    context.Context // Ends with the caller, the deadline or the request.
+	ctx    context.Context // Ends with the caller's connection, the deadline or the request.
 	events chan flightEvent
-	calls  sync.WaitGroup // Those to engines, which report to events.
+	calls  sync.WaitGroup // Calls to engines, which report to events.
 
 	prefillAttempt decide.Attempt // The current prefill.
 	prefillEngine  string         // The current prefill engine.
 	decodeAttempt  decide.Attempt // The current decode call.
 	decodeEngine   string         // The current decode engine.
-	// abandoned is the decode call that the core gave up as the answer began; 0 if there is none.
+	// abandoned is the decode call that the scheduler gave up as its answer began; 0 if there is none.
 	abandoned decide.Attempt
-	// plannedDecode is the decode engine that is asked to set memory aside.
+	// plannedDecode is the decode engine that is asked for a reservation.
 	plannedDecode string
-	// reservation and source are what engines keep for the flight: memory set aside, and the
-	// last prefill's result. Both are freed with the flight, unless an engine that has
-	// begun the answer has taken them.
+	// reservation and source are what engines store for the flight: reserved memory, and the result of the last
+	// prefill. Both are freed with the flight, unless an engine that has begun the answer has used them.
 	reservation reservation
 	source      Source
-	// prefillCalls and decodeCalls count the calls that were sent, to have the prompt read and the answer made.
+	// prefillCalls and decodeCalls count the calls sent to engines.
 	prefillCalls, decodeCalls int
-	// migration is the move of the stream to another engine that is under way; nil if none is.
+	// migration is the migration in progress; nil if there is none.
 	migration *migration
-	// stopDecode ends the current decode call.
+	// stopDecode cancels the current decode call.
 	stopDecode context.CancelFunc
 
-	firstEventAt time.Time // When the first event was written; zero before.
-	lastEventAt  time.Time
-	lastID       string // The id of the last event that the caller was sent.
-	eventsSent   int    // How many it was sent.
+	firstEventAt time.Time // When the first event was sent to the caller; zero before.
+	lastEventAt  time.Time // When the last event was sent; zero before.
+	lastID       string // The id of the last event sent to the caller.
+	eventsSent   int    // The number of events sent to the caller.
 }
 
-// reservation is memory set aside for the flight; ID is empty if there is none.
+// reservation is memory reserved for the flight; the ID is empty if there is none.
 type reservation struct {
 	engine string
 	id     string
@@ -72,63 +72,62 @@
 	owner string
 }
 
-// flightEvent is what the calls to engines report. Exactly one of the fields after
-// attempt is set, and unframed beside ended only.
+// flightEvent is an event reported by a call to an engine. Exactly one of the fields after attempt is set, except
+// that unframed may be set together with ended.
 type flightEvent struct {
 	attempt   decide.Attempt
-	reserved  *reservation // Memory was set aside.
-	noRoom    *noRoom      // It was refused.
-	prefilled *Source      // The prompt was read.
+	reserved  *reservation // Memory was reserved.
+	noRoom    *noRoom      // The reservation was refused.
+	prefilled *Source      // The prefill is done.
 	head      *headPart    // The answer began.
-	part      *part        // The answer went on.
-	ended     bool         // The answer is whole.
-	// unframed says of an answer that ended that its end was that of its connection.
+	part      *part        // More of the answer.
+	ended     bool         // The answer is complete.
+	// unframed is set if only the close of the connection marked the end of the answer.
 	unframed bool
 	final    *finalPart
 	err      *callError
-	moved    *migrationResult // An engine answered to a move.
-	overdue  bool             // A call that was stopped for a move should have ended.
-	// unanswered says that a move should have been answered whose run has ended.
+	moved    *migrationResult // An engine answered a migration request.
+	overdue  bool             // A call stopped for a migration has not ended in time.
+	// unanswered is set if a migration was not answered in time after its run has ended.
 	unanswered bool
 }
 
-// noRoom says who refused memory: the engine itself, or its home, which is named.
+// noRoom names the box that denied the reservation as the engine's owner; empty if the engine itself refused.
 type noRoom struct{ owner string }
 
-// headPart is an answer's head together with what came first of its body.
+// headPart is the header of an answer with the first part of its body.
 type headPart struct {
 	header http.Header
 	part   part
 }
 
-// part is some whole events of a stream.
+// part is a sequence of whole events of a stream.
 type part struct {
 	bytes []byte
-	// lastID is the id of the last event in it, empty if none had one, and events how many had.
+	// lastID is the id of the last event with one, empty if there is none, and events the number of events with one.
 	lastID string
 	events int
-	// reservedBytes is how much of the box's memory it takes until it was written, in bytes.
+	// reservedBytes is the memory reserved for it until it is written, in bytes.
 	reservedBytes int64
 }
 
-// finalPart is an engine's own failure, which the caller gets as it is.
+// finalPart is an engine's own error answer, which is passed to the caller unchanged.
 type finalPart struct {
 	resp *http.Response
 	body []byte
 }
 
-// callError is a call to an engine that came to nothing.
+// callError is a failed call to an engine.
 type callError struct {
 	reason outcome.Reason
 	ran    bool
-	// connLoss is set where the engine connLoss the call off.
+	// connLoss is set if the engine closed the connection.
 	connLoss connLoss
-	// detail is the error of the connection, for the record; empty if there is none.
+	// detail is the connection's error, for the record; empty if there is none.
 	detail string
 }
 
-// serveStream gives the request to the core and does what the core says until the
-// request ends.
+// serveStream passes the request to the scheduler and carries out its decisions until the request ends.
 func (x *exchange) serveStream(ctx context.Context) {
 	if x.r.outlastsStop(clock.Now(), x.service.Name, x.meta.GuessedOutput) {
 		x.refuse(outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.Draining, RetryAfter: drainRetryAfter})
@@ -140,13 +139,13 @@
 	o := x.runStream(ctx)
 	switch {
 	case o.Kind == outcome.Answered:
-		x.extendWriteDeadline() // The server still writes the end, which may come long after the last event.
+		x.extendWriteDeadline() // The server still has to write the end, perhaps long after the last event.
 		x.acc.Close(o)
 	case x.begun || o.Kind == outcome.Cancelled:
 		if o.Kind != outcome.Cancelled {
-			o.Kind = outcome.CutOff // The core does not know how much of the answer the caller has.
+			o.Kind = outcome.CutOff // The scheduler does not know how much of the answer the caller has.
 		}
-		x.cutOff(o) // A plain return would close the stream as if it were whole.
+		x.cutOff(o) // A plain return would end the stream as if it were complete.
 	default:
 		if o.RetryAfter > 0 {
 			o.RetryAfter = max(o.RetryAfter, jitter(streamRetryAfter))
@@ -155,24 +154,22 @@
 	}
 }
 
-// streamRetryAfter is when a refused stream may be tried again. What fills the engines lasts
-// some seconds, and a caller that comes back into it and is refused again has lost more
-// than one that came later. Measured from 1 to 4 s: no difference beyond the noise in
-// credit, and a tenth fewer refusals at 3 s than at 1 s.
+// streamRetryAfter is the retry delay of a refused stream. An overload of the engines lasts some seconds, and a
+// caller that returns during it and is refused again loses more than one that returns later. Between 1 and 4 s the
+// score differs by no more than the noise; 3 s leads to a tenth fewer refusals than 1 s.
 const streamRetryAfter = 3 * time.Second
 
-// jitter keeps callers refused together from coming back together.
+// jitter varies a delay by up to 20%, so that callers refused at the same time do not return at the same time.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.8 + 0.4*rand.Float64()))
 }
 
-// runStream returns when the request has ended; by then everything that it still held
-// is being freed.
+// runStream returns when the request has ended, and has then started to free everything stored for it.
 func (x *exchange) runStream(ctx context.Context) outcome.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	f := &flight{x: x, ctx: ctx, events: make(chan flightEvent, eventBuffer)}
 	f.id, f.call = x.r.disp.Arrive(x.meta.ID, f.request())
-	// Deferred, so that even a panic in the loop leaves no engine memory held.
+	// Deferred, so that engine memory is freed even if the loop panics.
 	defer func() {
 		f.publishEnded(f.decodeEngine)
 		x.r.disp.Leave(f.id)
@@ -182,8 +179,8 @@
 	return f.loop()
 }
 
-// end ends the flight's calls and frees what it holds. A call may have reported memory that
-// the loop has not taken any more: that is freed once no call can report another.
+// end cancels the flight's calls and frees its reservations. A call may have reported memory that the loop no longer
+// receives: that is freed once all calls have returned.
 func (f *flight) end(cancel context.CancelFunc) {
 	cancel()
 	f.free()
@@ -235,7 +232,7 @@
 			}
 		case ev := <-f.events:
 			if f.ctx.Err() != nil {
-				return f.rest(ev) // The calls of a request end with it.
+				return f.rest(ev) // The calls of a request are canceled with it.
 			}
 			if o, end := f.handleEvent(ev); end {
 				return o
@@ -244,8 +241,8 @@
 	}
 }
 
-// rest passes on an answer whose end had come when the request's time was over: a box that had no processor
-// finds both at once. An answer that has not begun and would be cut off is better not begun.
+// rest delivers an answer whose end was already received when the request's context ended: a box that was not
+// scheduled for a while finds both at once. An answer that is incomplete and has not begun is not begun.
 func (f *flight) rest(taken ...flightEvent) outcome.Outcome {
 	list, whole := f.collectUntilEnd(taken)
 	for _, ev := range list {
@@ -260,8 +257,8 @@
 	return f.over()
 }
 
-// collectUntilEnd takes what calls have reported beside what was taken already, up to the end of an answer or an error,
-// and says whether it came to the end.
+// collectUntilEnd appends the events reported by calls up to the end of an answer or an error, and reports whether
+// it found the end of an answer.
 func (f *flight) collectUntilEnd(list []flightEvent) (_ []flightEvent, whole bool) {
 	for n := 0; ; n++ {
 		if n == len(list) {
@@ -278,7 +275,7 @@
 	}
 }
 
-// over says why the request's context ended.
+// over returns the outcome of a request whose context has ended.
 func (f *flight) over() outcome.Outcome {
 	if f.x.req.Context().Err() != nil {
 		return callerGoneOutcome()
@@ -293,7 +290,7 @@
 	return o
 }
 
-// drainSteps records the actions that came with the end of the request.
+// drainSteps records the actions that the scheduler emitted with the end of the request.
 func (f *flight) drainSteps() {
 	for _, a := range f.call.Take() {
 		f.recordStep(a)
@@ -309,7 +306,7 @@
 	}
 }
 
-// apply does what the core decided.
+// apply carries out an action of the scheduler.
 func (f *flight) apply(a decide.Action) (outcome.Outcome, bool) {
 	f.recordStep(a)
 	switch a.(type) {
@@ -320,12 +317,12 @@
 	}
 	switch a := a.(type) {
 	case decide.Retry:
-		// A call that was given up without an answer may have run: quarantined must not say "not run" of it.
+		// A call given up without an answer may have run, so quarantined must not report it as "not run".
 		f.x.ran = f.x.ran || a.Reason == outcome.TransferStalled
 	case decide.Migrate:
 		f.migrate(a)
 	case decide.StartPrefill:
-		f.free() // What an earlier try left.
+		f.free() // Reservations of an earlier attempt.
 		f.prefillAttempt, f.prefillEngine, f.plannedDecode = a.Attempt, a.Prefill, a.Decode
 		ctx := f.call.Bind(f.ctx, a.Attempt)
 		f.calls.Go(func() { f.callPrefill(ctx, a) })
@@ -335,7 +332,7 @@
 		}
 		f.decodeAttempt, f.decodeEngine, f.plannedDecode = a.Attempt, a.Decode, a.Decode
 		if a.Prefill == "" {
-			f.free() // What an earlier try left.
+			f.free() // Reservations of an earlier attempt.
 			ctx, last := f.bindDecode(a.Attempt), f.lastID
 			f.calls.Go(func() { f.callCombined(ctx, a, last) })
 			break
@@ -351,8 +348,7 @@
 	return outcome.Outcome{}, false
 }
 
-// countCall counts a call that is sent to an engine. One that goes on with a moved stream is the
-// same run and no call of its own.
+// countCall counts a call sent to an engine. Resuming a migrated stream continues the same run and is not counted.
 func (f *flight) countCall(a decide.Attempt) {
 	n := &f.decodeCalls
 	if a == f.prefillAttempt {
@@ -363,15 +359,15 @@
 	}
 }
 
-// bindDecode makes the context of a decode call.
+// bindDecode returns the context of a decode call, and sets stopDecode.
 func (f *flight) bindDecode(a decide.Attempt) context.Context {
 	ctx, cancel := context.WithCancel(f.call.Bind(f.ctx, a))
 	f.stopDecode = cancel
 	return ctx
 }
 
-// dropReservation gives back memory that was set aside: once the answer has begun the engine
-// counts what the run takes, and would count the rest beside it until its lease ends.
+// dropReservation frees the reservation. Once the answer has begun the engine counts the memory of the run itself,
+// and would count the rest of the reservation beside it until it expires.
 func (f *flight) dropReservation() {
 	if f.reservation.id != "" {
 		f.x.r.drop(f.reservation.engine, f.x.r.disp.Address(f.reservation.engine), f.x.r.wire.DropHold(f.reservation.id))
@@ -379,16 +375,15 @@
 	}
 }
 
-// dropReservationElsewhere frees memory that was set aside at another engine than the one that will
-// write the answer.
+// dropReservationElsewhere frees a reservation at any engine but the one that will generate the answer.
 func (f *flight) dropReservationElsewhere(engine string) {
 	if f.reservation.engine != engine {
 		f.dropReservation()
 	}
 }
 
-// handleEvent takes what a call reported. What does not belong to the current attempt is
-// late: it is dropped, and freed where it holds memory.
+// handleEvent handles an event of a call. An event that does not belong to the current attempt is discarded, and the
+// memory that it names is freed.
 func (f *flight) handleEvent(ev flightEvent) (outcome.Outcome, bool) {
 	current := ev.attempt == f.prefillAttempt || ev.attempt == f.decodeAttempt || f.migration.is(ev.attempt)
 	if !current || ev.attempt == f.abandoned {
@@ -404,7 +399,7 @@
 	case ev.reserved != nil:
 		f.reservation = *ev.reserved
 		f.publishPlaced(ev.attempt)
-		f.countCall(ev.attempt) // What was asked until now reached no queue of an engine.
+		f.countCall(ev.attempt) // Until now the request was in no engine's queue.
 	case ev.noRoom != nil:
 		f.x.acc.Step(record.Step{Kind: record.StepNoRoom, Attempt: int(ev.attempt), Decode: f.plannedDecode, Text: ev.noRoom.owner})
 		f.x.r.disp.Step(decide.NoRoom{ID: f.id, Attempt: ev.attempt})
@@ -428,7 +423,7 @@
 	return outcome.Outcome{}, false
 }
 
-// discard frees what a call of an earlier attempt brought.
+// discard frees the memory that an event of an earlier attempt names.
 func (f *flight) discard(ev flightEvent) {
 	switch {
 	case ev.head != nil:
@@ -463,15 +458,14 @@
 	f.x.r.disp.Step(decide.Failed{ID: f.id, Attempt: a, Reason: e.reason, Ran: e.ran})
 }
 
-// recordFailure notes how a call to an engine failed.
+// recordFailure records the failure of a call to an engine.
 func (f *flight) recordFailure(a decide.Attempt, engine string, e *callError) {
 	f.x.acc.Step(record.Step{Kind: record.StepFailed, Attempt: int(a), Decode: engine, Reason: e.reason, Text: e.detail})
 	f.x.recordConnLoss(engine, e.connLoss)
 }
 
-// beginAnswer passes the head of the answer on, unless an earlier engine's head was: a stream
-// that goes on at another engine keeps the first one's. Of a call that the core has given up
-// nothing is passed on.
+// beginAnswer passes the header of the answer on, unless that of an earlier engine was: a stream resumed at another
+// engine keeps the first header. Nothing is passed on of a call that the scheduler has given up.
 func (f *flight) beginAnswer(ev flightEvent) (outcome.Outcome, bool) {
 	if !f.migration.is(ev.attempt) && !f.x.r.disp.Begin(decide.FirstToken{
 		ID: f.id, Attempt: ev.attempt, Tokens: ev.head.part.events * f.x.service.Engines.Stride,
@@ -485,7 +479,7 @@
 		f.x.rec.FirstToken = f.firstEventAt.Sub(f.x.arrived)
 		f.x.r.m.FirstToken.Update(f.x.rec.FirstToken.Seconds())
 	}
-	f.source = Source{} // The engine has taken it.
+	f.source = Source{} // The engine has used it.
 	f.dropReservation()
 	if f.migration.is(ev.attempt) {
 		f.finishMigration()
@@ -527,7 +521,7 @@
 	return outcome.Outcome{}, false
 }
 
-// passFailure sends an engine's own failure to the caller.
+// passFailure sends an engine's own error answer to the caller.
 func (f *flight) passFailure(p *finalPart) outcome.Outcome {
 	if f.x.begun {
 		return outcome.Outcome{Kind: outcome.CutOff, Reason: outcome.EndpointDied, Detail: "the engine answered " + p.resp.Status}
@@ -538,8 +532,8 @@
 	return outcome.Outcome{Kind: outcome.Answered}
 }
 
-// free gives back what the flight still holds. It outlives the request and is waited
-// for by a drain; beyond that the engines' own expiry frees the memory.
+// free frees what engines store for the flight. The calls for that may outlive the request; a drain waits for them.
+// If they fail, the memory is freed when it expires at the engine.
 func (f *flight) free() {
 	f.dropReservation()
 	f.dropMigration()
@@ -549,8 +543,8 @@
 	}
 }
 
-// drop makes a call that frees memory, without waiting for it. A call without an answer may not have freed
-// it and is made again; an engine whose port refuses has ended, and holds nothing.
+// drop makes a call that frees memory, without waiting for it. If there is no answer the memory may not have been
+// freed, and the call is repeated; an engine whose port refuses connections has crashed and stores nothing.
 func (r *Relay) drop(engine, address string, c Call) {
 	r.m.Aborts.Inc()
 	r.cleanups.Go(func() {
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// streamRates are how many streams a second all boxes place, by service. Other boxes tell of theirs.
+// streamRates are the streams placed a second by all boxes, by service. Other boxes publish theirs.
 type streamRates struct {
 	mu        sync.Mutex
 	byService map[string]streamRate
 }
 
-// streamRate is a mean that fades, as of a time.
+// streamRate is an exponentially decaying average, as of a time.
 type streamRate struct {
 	perSecond float64
 	at        time.Time
 }
 
-// rateTimeConstant is the time in which a stream's weight falls to a third: it outlasts the gaps between streams.
+// rateTimeConstant is the time in which a stream's weight falls to 1/e. It outlasts the gaps between streams.
 const rateTimeConstant = 5 * time.Second
 
 func (s streamRate) value(now time.Time) float64 {
 	return s.perSecond * math.Exp(-float64(now.Sub(s.at))/float64(rateTimeConstant))
 }
 
-// add counts streams.
+// add counts n streams placed now.
 func (s *streamRates) add(now time.Time, service string, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +35,7 @@
 	s.byService[service] = streamRate{s.byService[service].value(now) + float64(n)/rateTimeConstant.Seconds(), now}
 }
 
-// rate is how many streams of a service are placed a second.
+// rate returns the streams of a service placed a second.
 func (s *streamRates) rate(now time.Time, service string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/subset.go
+++ b/internal/relay/subset.go
@@ -11,50 +11,49 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file bounds the endpoints that a box deals with. Where a service has thousands, each box knows
-// some of each role, drawn by rendezvous hashing, more of its own hall than of others: what it keeps,
-// works out, asks and connects to does not grow with the fleet, and all but one endpoint in a hundred are
-// known to some box. A service with few endpoints is known whole. A box that finds no room widens its
-// circle.
+// This file limits the endpoints that a box uses to a subset. Where a service has thousands, each box selects some
+// of each role by rendezvous hashing, more in its own hall than in others. Memory, processor time, polls and
+// connections then do not grow with the fleet, and all but one endpoint in a hundred are in the subset of some
+// box. All endpoints of a small service are selected. A box that finds no capacity enlarges its subset.
 //
-// Weighed against knowing all (10 million pairs at 1,000 boxes before 10,000 endpoints: each change of
-// the list had every box sort 138,000 points of the prefix ring) and against sums by hall, with a call
-// to a home for each placement, which serve nobody while the home is away.
+// Alternatives: with all endpoints on every box there are 10 million pairs at 1,000 boxes and 10,000 endpoints, and
+// every box sorts 138,000 points of the prefix ring at each change of the list. With totals for each hall and a
+// call to an owner for each placement, no stream can be placed while the owner is unavailable.
 
 const (
-	// subsetNear and farKept are how many endpoints of a service and role a box keeps of its own hall
-	// and of others. A decision looks at 8 engines of a role, and a third of a hall may be gone.
+	// subsetNear and subsetFar are the endpoints of a service and role that a box selects in its own hall and in
+	// others. A decision compares 8 engines of a role, and a third of a hall may be down.
 	subsetNear = 32
 	subsetFar  = 16
-	// retainFor is for how long an endpoint stays that is not drawn any more: longer than a stream
-	// runs, which would otherwise be moved as if its engine left.
+	// retainFor is how long an endpoint stays in the subset after its last selection. It is longer than a stream runs,
+	// because a stream would otherwise be migrated as if its engine were leaving.
 	retainFor = time.Minute
-	// subsetGrowInterval is the least time between two widenings of a circle, and narrowAfter how long after
-	// the last one it is halved.
+	// subsetGrowInterval is the minimum time between two enlargements of a subset, and subsetShrinkAfter the time
+	// after the last one at which it is halved.
 	subsetGrowInterval = 500 * time.Millisecond
 	subsetShrinkAfter  = 30 * time.Second
 )
 
-// group is what the endpoints that stand for each other have alike.
+// group identifies interchangeable endpoints.
 type group struct {
 	service, region string
 	role            decide.EngineRole // Of engines.
 }
 
-// subsetScale is how many times the usual number of a service's endpoints a box keeps.
+// subsetScale is the size of a service's subset as a multiple of the normal one.
 type subsetScale struct {
 	factor  int // At least 1.
 	grownAt time.Time
 }
 
-// subset describes the endpoints that this box deals with, and counts the others that take requests. It
-// looks at every endpoint of the list but keeps something of few: a description of each of 10,000 was
-// 1.7 MB of garbage at each change. The lock is held.
+// subset returns the endpoints that this box uses, and counts the others that accept requests. It visits every
+// endpoint of the list but allocates for few: describing each of 10,000 made 1.7 MB of garbage at each change. The
+// lock is held.
 func (f *fleet) subset(now time.Time) []knownEndpoint {
 	named := f.cfg.regions()
 	groups := f.groups(named)
 	for id := range f.selected {
-		f.retain(id, now) // Also where it is not drawn any more.
+		f.retain(id, now) // Even if it is not selected any more.
 	}
 	f.selected, f.omitted = map[string]bool{}, map[group]int{}
 	var kept []int
@@ -88,8 +87,7 @@
 	return out
 }
 
-// groups sorts the endpoints that take requests, and to which this box may send some, by what they stand
-// for each other in. The lock is held.
+// groups returns the endpoints that accept requests and that this box may use, by group. The lock is held.
 func (f *fleet) groups(named map[string]bool) map[group][]int {
 	out := map[group][]int{}
 	for i := range f.endpoints {
@@ -103,7 +101,7 @@
 
 func (e *knownEndpoint) group() group { return group{e.Service, e.Region, e.Role} }
 
-// retain notes that an endpoint is dealt with now.
+// retain records that an endpoint is in use now.
 func (f *fleet) retain(id string, now time.Time) {
 	if f.retainedAt == nil {
 		f.retainedAt = map[string]time.Time{}
@@ -111,7 +109,7 @@
 	f.retainedAt[id] = now
 }
 
-// selectMembers picks the endpoints of a group that this box keeps.
+// selectMembers selects the endpoints of a group that are in this box's subset.
 func (f *fleet) selectMembers(members []int, c subsetScale) []int {
 	near, far := subsetNear*max(1, c.factor), subsetFar*max(1, c.factor)
 	if len(members) <= near+far {
@@ -128,7 +126,7 @@
 			others.add(r)
 		}
 	}
-	// What one side lacks the other makes up for.
+	// If one side has too few endpoints, more of the other are selected.
 	nOwn := min(len(own.list), max(near, near+far-len(others.list)))
 	nOthers := min(len(others.list), near+far-nOwn)
 	var out []int
@@ -138,13 +136,13 @@
 	return out
 }
 
-// rankedEndpoint is an endpoint, by its place in the list, with its rank for this box.
+// rankedEndpoint is the index of an endpoint in the list, with its rank for this box.
 type rankedEndpoint struct {
 	index int
 	rank  uint64
 }
 
-// topRanked keeps the endpoints of the topRanked ranks, the topRanked first.
+// topRanked keeps up to limit endpoints with the highest ranks, in descending order.
 type topRanked struct {
 	limit int
 	list  []rankedEndpoint
@@ -161,8 +159,8 @@
 	h.list = slices.Insert(h.list, at, r)
 }
 
-// engineCount is how many engines a service has in this box's region that take requests, and the part
-// of them that the box deals with.
+// engineCount returns the number of a service's engines in this box's region that accept requests, and the share
+// of them in the box's subset.
 func (f *fleet) engineCount(service string) (all int, part float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,8 +172,8 @@
 	return all, float64(kept) / float64(max(1, all))
 }
 
-// isPartial says that there are endpoints of a service which take requests and that the box does not deal with.
-// The lock is held.
+// isPartial reports whether endpoints of a service that accept requests are omitted from the box's subset. The
+// lock is held.
 func (f *fleet) isPartial(service string) bool {
 	for g, n := range f.omitted {
 		if g.service == service && n > 0 {
@@ -185,7 +183,7 @@
 	return false
 }
 
-// growSubset has the box deal with twice as many endpoints of a service, unless it knows all.
+// growSubset doubles the box's subset of a service, unless it has all endpoints.
 func (r *Relay) growSubset(now time.Time, service string) {
 	f := &r.fleet
 	f.mu.Lock()
@@ -203,7 +201,7 @@
 	r.applyFleet()
 }
 
-// inSubset says whether the box keeps an endpoint.
+// inSubset reports whether the box uses an endpoint.
 func (f *fleet) inSubset(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -211,7 +209,7 @@
 	return f.selected[id] || kept
 }
 
-// shrinkSubsets halves the circles that were not widened for a while. The lock is held.
+// shrinkSubsets halves the subsets that were not enlarged recently. The lock is held.
 func (f *fleet) shrinkSubsets(now time.Time) {
 	for service, c := range f.subsetScales {
 		if c.factor > 1 && now.Sub(c.grownAt) > subsetShrinkAfter {
@@ -225,7 +223,7 @@
 	}
 }
 
-// adopt has the box deal with an engine because others ask it, as the engine's home, for room there.
+// adopt adds an engine to the subset because another box asks this one, the engine's owner, for room there.
 func (r *Relay) adopt(now time.Time, id string) {
 	f := &r.fleet
 	f.mu.Lock()
@@ -242,7 +240,7 @@
 	}
 }
 
-// isCapacityRefusal are the refusals that a wider circle might have served.
+// isCapacityRefusal reports whether a larger subset might have avoided the refusal.
 func isCapacityRefusal(r outcome.Reason) bool {
 	switch r {
 	case outcome.NoPrefill, outcome.NoDecode, outcome.TooLate, outcome.WaitExpired, outcome.QueueFull, outcome.ConnectFailed, outcome.EndpointsThrottled, outcome.EndpointRefused:
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -1,10 +1,10 @@
-// Package relay is the path of requests that a box passes on byte for byte: routes are
-// picked by host and path, and what the decisions need to know of a prompt stands in
-// headers. Its stages follow one another as plain function calls with typed results:
+// Package relay forwards requests and answers without changing their bodies. Routes are selected by host and path,
+// and the scheduler gets what it needs to know of a prompt from headers. The stages of a request are plain
+// function calls with typed results:
 //
-//	route ► hold the body ► ask ► place/wait ► set memory aside ► prefill ► decode ► answer
+//	route ► buffer the body ► check limits ► place/wait ► reserve memory ► prefill ► decode ► answer
 //
-// How the platform spells any of this is behind the interface Wire.
+// The interface Wire hides the platform's encoding of headers, calls and answers.
 package relay
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/stoatramp/stoatramp/internal/notice"
 )
 
-// Kind says what may be done with the requests of a route.
+// Kind is the kind of a route's requests: whether they may run again, and whether they are streamed.
 type Kind uint8
 
 // The kinds.
 const (
-	// Once requests run at most once for each try of the caller.
+	// Once requests run at most once for each attempt of the caller.
 	Once Kind = iota
 	// Repeatable requests may run more than once.
 	Repeatable
-	// Stream requests are answered by engines with a series of events.
+	// Stream requests are answered by engines with a sequence of events.
 	Stream
 )
 
@@ -33,58 +33,56 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Config is one accepted configuration.
+// Config is an accepted configuration.
 type Config struct {
 	Version int64
-	// Digest tells texts of one version apart.
+	// Digest distinguishes different texts of one version.
 	Digest   Digest
 	Routes   []*Route
 	Services map[string]*Service
 	Limits   Limits
-	// Accounts finds the client account that holds a key, by the key's hash. It is nil where the
-	// platform has no accounts: requests need no key then.
+	// Accounts maps the hash of a key to its client account. It is nil if the platform has no accounts; requests need
+	// no key then.
 	Accounts map[KeyHash]*Account
 }
 
 // Digest is the SHA-256 of a text.
 type Digest [32]byte
 
-// Limits bound what callers may send.
+// Limits limit callers' requests.
 type Limits struct {
 	MaxBody int64 // Bytes; at least 1.
 }
 
-// Route says where requests of one host and path prefix go.
+// Route selects the services for the requests of a host and path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // Begins and ends with a slash.
 	Kind   Kind
-	// Regions are those in which its requests may be served; empty for the region of the box that
-	// takes them.
+	// Regions are the regions that may serve its requests; empty for the region of the box that receives them.
 	Regions []string
 	// Public routes need no key.
 	Public bool
-	// Priority is the route's rank among others, 0 the highest.
+	// Priority is the priority of the route's requests, 0 the highest.
 	Priority int
-	// Resumable streams may go on at another endpoint. Such a stream may run again.
+	// Resumable streams may be resumed at another endpoint. Such a stream may also run again.
 	Resumable bool
 	// Targets are the services that share the route; weights are positive.
 	Targets []Target
-	// Timeout bounds the whole request. Objective is the time inside which an answer,
-	// or the first event of a stream, has its full worth, and Gap the same for the
-	// pause between two events.
+	// Timeout limits the whole request. Objective is the latency target for an answer, or for the first event of a
+	// stream, and Gap the target for the pause between two events.
 	Timeout   time.Duration
 	Objective time.Duration
 	Gap       time.Duration
-	// Tries bounds the endpoints that one request may run on; at least 1.
+	// Tries limits the endpoints that one request may run on; at least 1.
 	Tries int
-	// patience is the longest that a caller of the route was seen to wait, in
-	// nanoseconds. One that will wait clearly less is back after a refusal.
+	// patience is the longest time, in nanoseconds, that a caller of the route was willing to wait. A caller with
+	// clearly less has been refused before (isReturning).
 	patience atomic.Int64
 }
 
-// Target is one service of a route and its share.
+// Target is a service of a route, with its share of the requests.
 type Target struct {
 	Service string
 	Weight  float64
@@ -95,109 +93,108 @@
 	Name string
 	// Engines is nil for a plain service.
 	Engines *Engines
-	// ColdFor is how long an endpoint is cold after its start, and ColdRate how many requests a
-	// second it bears meanwhile; 0 if the service knows no such time.
+	// ColdFor is how long an endpoint is cold after its start, and ColdRate the requests a second that it can handle
+	// meanwhile; 0 if the service has no such period.
 	ColdFor  time.Duration
 	ColdRate float64
 }
 
-// Engines describes the engines of a service, as configured.
+// Engines is the configuration of a service's engines.
 type Engines struct {
-	// Slots is how many streams one runs at once; 0 if that is not known.
+	// Slots is the number of streams that an engine runs at once; 0 if not known.
 	Slots      int
 	KVTokens   int
 	TokenBytes int
 	LinkRate   float64 // Bytes a second.
-	// HandleFor is how long a prefill's result is kept, and HoldFor the longest time
-	// that memory can be set aside.
+	// HandleFor is how long the result of a prefill is kept, and HoldFor the longest duration of a memory
+	// reservation.
 	HandleFor time.Duration
 	HoldFor   time.Duration
-	// Moves says that a stream being written can be given to another engine.
+	// Moves is set if a running stream can be migrated to another engine.
 	Moves bool
-	// Stride is how many tokens one event may hold.
+	// Stride is the maximum number of tokens in one event.
 	Stride int
 }
 
-// Endpoint is one endpoint as the platform's list shows it.
+// Endpoint is an entry of the platform's list of endpoints.
 type Endpoint struct {
-	// ID names one start of the endpoint. Whatever is known of an endpoint is known by it, and ends
-	// with the start.
+	// ID identifies one start of the endpoint. All state of an endpoint is stored under its ID and discarded with it.
 	ID string
-	// Started is when it started, in Unix milliseconds by its own clock; 0 where the platform does not
-	// say, and then each start has an ID of its own anyway.
+	// Started is the time of its start, in Unix milliseconds by its own clock. It is 0 if the platform does not
+	// publish it; each start then has an ID of its own anyway.
 	Started int64
 	Service string
 	Address string
 	Hall    string
-	Role    decide.EngineRole // Of an engine.
+	Role    decide.EngineRole // Engines only.
 	Leaving bool
-	// ColdFor is how much longer it was to be cold when it said so; 0 if it was not.
+	// ColdFor is the rest of its cold period when the entry was written; 0 if it was not cold.
 	ColdFor time.Duration
 }
 
-// Ask is what a caller says of its request.
+// Ask has what the headers of a caller's request say.
 type Ask struct {
 	ID string
-	// Patience is how long the caller will wait, from its start; 0 if it does not say.
+	// Patience is how long the caller will wait, from the start of the request; 0 if it does not say.
 	Patience     time.Duration
 	Model        string
 	PromptTokens int
-	MaxOutput    int // Tokens of the answer at most.
-	// GuessedOutput is the caller's guess of the answer's tokens; 0 if it has none.
+	MaxOutput    int // Maximum number of tokens of the answer.
+	// GuessedOutput is the caller's estimate of the answer's tokens; 0 if it has none.
 	GuessedOutput int
-	// Shared are chained hashes of the blocks of the prompt that other prompts share.
+	// Shared are chained hashes of the prompt's blocks that other prompts have in common.
 	Shared []uint64
-	// LastEvent is the event after which a stream is to go on; empty at the start.
+	// LastEvent is the event after which a stream is to be resumed; empty to start one.
 	LastEvent string
-	// Key is the hash of the key that came with it, if KeyState is OneKey.
+	// Key is the hash of the request's key, if KeyState is OneKey.
 	Key      KeyHash
 	KeyState KeyState
 }
 
-// Run is what the relay adds to a request for one endpoint.
+// Run has the headers that the relay adds to a request for one endpoint.
 type Run struct {
 	// Account is the client account of the request; nil if it has none.
 	Account *Account
-	// Instance is the only endpoint that may run it.
+	// Instance is the only endpoint that may run the request.
 	Instance string
-	// Left is how long the caller still waits.
+	// Left is how long the caller will still wait.
 	Left time.Duration
-	// ReadOnly asks for the prompt to be read and kept, and nothing to be made.
+	// ReadOnly requests a prefill only, whose result is kept.
 	ReadOnly bool
-	// Source is where the KV cache of the prompt is; empty where the endpoint reads it.
+	// Source is where the KV cache of the prompt is; empty if the endpoint does the prefill.
 	Source Source
-	// Hold names the memory set aside for it; empty if none was.
+	// Hold is the name of the memory reservation; empty if there is none.
 	Hold      string
 	LastEvent string
 }
 
-// Source names a prefill's result.
+// Source identifies the result of a prefill.
 type Source struct {
-	Engine  string // The ID of the engine that keeps it.
+	Engine  string // The ID of the engine that stores it.
 	Address string
 	Handle  string
 }
 
-// Reply is what an answer's head says to the relay.
+// Reply has what the relay reads from the header of an answer.
 type Reply struct {
-	// Signed says that the endpoint vouches for the answer.
+	// Signed is set if the answer has the endpoint's signature.
 	Signed bool
-	// NotRun says that the endpoint did not run the request and never will.
+	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
-	// Notice is what the endpoint says of itself.
+	// Notice has the limits or departure that the endpoint announces.
 	Notice notice.Notice
 }
 
-// Call is a call to an endpoint that is no request of a caller.
+// Call is a call to an endpoint that is not a caller's request.
 type Call struct {
 	Method string
 	Target string
 	Body   []byte
 }
 
-// Load is an engine's own account of itself.
+// Load is the load reported by an engine.
 type Load struct {
-	// Started is when the engine that says this started, as in Endpoint.
+	// Started is the start of the reporting engine, as in Endpoint.
 	Started int64
 	Role    decide.EngineRole
 	Queued  int
@@ -205,61 +202,60 @@
 	KVUsed  int
 	KVTotal int
 	Leaving bool
-	// Busy says that the engine carries out an order.
+	// Busy is set while the engine carries out an order.
 	Busy bool
-	// Orders counts the orders the engine took since its start.
+	// Orders is the number of orders that the engine has accepted since its start.
 	Orders int64
-	// Runs are its streams, with events in place of tokens made.
+	// Runs are its streams, measured in events rather than tokens.
 	Runs []RunLoad
-	// Age is how old the figures may be.
+	// Age is the maximum age of the figures.
 	Age time.Duration
 }
 
-// RunLoad is one stream that an engine runs.
+// RunLoad is a stream that runs at an engine.
 type RunLoad struct {
-	Tokens int // Of memory.
-	Events int // Made so far.
+	Tokens int // In memory.
+	Events int // Generated so far.
 }
 
-// Migration is an engine's answer to a move.
+// Migration is an engine's answer to a migration request.
 type Migration struct {
-	// Handle names the memory of the run, which was stopped and goes on by it: at the other engine if
-	// Copied, and otherwise where it was. It is empty if the run was not stopped.
+	// Handle names the memory of the run, which was stopped and can be resumed with it: at the other engine if
+	// Copied, and otherwise at the first one. It is empty if the run was not stopped.
 	Handle string
 	Copied bool
-	// UnderWay says that the engine has not answered an earlier call for the same move yet.
+	// UnderWay is set if an earlier request for the same migration has not been answered yet.
 	UnderWay bool
 }
 
-// Wire is how callers and endpoints spell what the relay hears and says.
+// Wire encodes and decodes the platform's headers, calls and answers.
 type Wire interface {
-	// Ask reads what the caller says of its request.
+	// Ask reads the headers of a caller's request.
 	Ask(r *http.Request) Ask
-	// Stamp sets a run's headers, in place of whatever the caller sent under their names.
+	// Stamp sets a run's headers, replacing any that the caller sent under the same names.
 	Stamp(h http.Header, run Run)
-	// Mine tells whether an answer belongs to the request of that id.
+	// Mine reports whether an answer belongs to the request of that id.
 	Mine(h http.Header, id string) bool
-	// Reply reads the head of an answer.
+	// Reply reads the header of an answer.
 	Reply(resp *http.Response) Reply
-	// Vouch removes from the head of an answer that the relay changed what only its
-	// endpoint may say.
+	// Vouch removes the endpoint's signature from the header of an answer that the relay has changed.
 	Vouch(h http.Header)
 	// Read reads the answer to a ReadOnly run.
 	Read(body []byte) (handle string, err error)
 
-	// TakeHold sets memory aside at an engine; Held reads the answer.
+	// TakeHold reserves memory at an engine; Held reads the answer.
 	TakeHold(tokens int, ttl time.Duration) Call
 	Held(body []byte) (hold string, err error)
-	// DropHold and DropHandle free what is not needed any more.
+	// DropHold and DropHandle free memory that is not needed any more.
 	DropHold(hold string) Call
 	DropHandle(handle string) Call
-	// Migrate has an engine stop the run of a request and give what it has in memory to
-	// another engine; Migrated reads the answer.
+	// Migrate asks an engine to stop the run of a request and to copy its memory to another engine; Migrated reads
+	// the answer.
 	Migrate(request, address string) Call
 	Migrated(status int, body []byte) (Migration, error)
-	// AskLoad asks an engine for its load; Load reads the answer.
+	// AskLoad requests an engine's load; Load reads the answer.
 	AskLoad() Call
 	Load(body []byte) (Load, error)
-	// SetRole orders an engine that has taken so many orders to change its role.
+	// SetRole orders an engine to change its role, provided that it has accepted exactly that number of orders.
 	SetRole(instance string, role decide.EngineRole, holder string, fence, orders int64) (Call, http.Header)
 }
