--- a/internal/relay/begin_test.go
+++ b/internal/relay/begin_test.go
@@ -15,13 +15,13 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// headEvent is the first event of an answer, as a call reports it.
+// headEvent returns the event of a call whose answer begins with one event.
 func headEvent(a decide.Attempt, text string) flightEvent {
 	return flightEvent{attempt: a, head: &headPart{header: http.Header{}, part: part{bytes: []byte(text), events: 1}}}
 }
 
-// arrivedFlight is a stream that has arrived before a prefill engine and decode engines of these names. What it
-// is asked for is filled in but for what the request says.
+// arrivedFlight returns a stream that has arrived at a box with one prefill engine and decode engines of these
+// names. It completes the request q.
 func arrivedFlight(t *testing.T, ctx context.Context, q decide.Request, writers ...string) (*Relay, *flight, *httptest.ResponseRecorder) {
 	t.Helper()
 	book := &account.Book{Metrics: telemetry.NewMetrics(), Log: account.Quiet()}
@@ -51,9 +51,9 @@
 	return r, f, w
 }
 
-// An answer's first event can lie in the box's queue when the core gives the call up as stalled and
-// calls another engine. The caller must get the second call's answer and nothing of the first's:
-// its text had the beginning twice.
+// TestStalledCallWritesNothing guards against an answer whose beginning is sent twice: the first event of a call may
+// be in the box's queue when the decision core gives the call up as stalled and calls another engine. The caller must
+// get the answer of the second call only.
 func TestStalledCallWritesNothing(t *testing.T) {
 	r, f, w := arrivedFlight(t, context.Background(), decide.Request{}, "writer-1", "writer-2")
 	takeWrite := func() decide.Attempt {
@@ -74,7 +74,7 @@
 	f.handleEvent(headEvent(stalled, "late "))
 	f.handleEvent(flightEvent{attempt: stalled, part: &part{bytes: []byte("late ")}})
 	if f.x.begun || w.Body.Len() > 0 {
-		t.Errorf("expected nothing from the call that was given up, got %q", w.Body)
+		t.Errorf("expected nothing from the abandoned call, got %q", w.Body)
 	}
 	again := takeWrite()
 	if again == stalled {
--- a/internal/relay/beliefs.go
+++ b/internal/relay/beliefs.go
@@ -25,7 +25,7 @@
 
 // logLearned logs the learned rates of a pool's engines and requests.
 func (r *Relay) logLearned(l decide.Learned) {
-	r.o.Book.Log.Belief("engines' pace", zap.String("service", l.Pool),
+	r.o.Book.Log.Belief("learned engine rates", zap.String("service", l.Pool),
 		zap.Float64("read_tokens_per_s", l.PrefillRate), zap.Duration("read_delay", l.ReadDelay), zap.Duration("begin", l.Begin),
 		zap.Duration("step", l.Step), zap.Duration("step_per_stream", l.StepPerStream),
 		zap.Float64("prompt_tokens", l.Prompt), zap.Float64("answer_tokens", l.Output))
@@ -61,7 +61,7 @@
 		}
 	}
 	if old == nil || lines > maxChangeLines {
-		r.o.Book.Log.Belief("list of endpoints", zap.Int("endpoints", len(list)), zap.Int("not_logged", max(0, lines-maxChangeLines)))
+		r.o.Book.Log.Belief("endpoint list changed", zap.Int("endpoints", len(list)), zap.Int("not_logged", max(0, lines-maxChangeLines)))
 	}
 }
 
--- a/internal/relay/callerconn_test.go
+++ b/internal/relay/callerconn_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// callerPair is a connection as a box has it, and the caller's end of it.
+// callerPair returns the two ends of a caller's connection to a box.
 func callerPair(t *testing.T) (box, caller net.Conn) {
 	t.Helper()
 	lis, err := ListenCallers("tcp", "127.0.0.1:0")
@@ -33,11 +33,11 @@
 	return box, caller
 }
 
-// A box that had no processor for seconds found the deadlines of its writes passed, and closed the
-// connections of callers who had read all that came. A caller that reads gets what is written.
+// TestWriteAfterAStall guards against closing the connections of callers that read all data sent to them: after a
+// box was not scheduled for seconds, the deadlines of its writes had passed.
 func TestWriteAfterAStall(t *testing.T) {
 	box, caller := callerPair(t)
-	text := bytes.Repeat([]byte("event"), 100_000) // More than the buffers of a connection.
+	text := bytes.Repeat([]byte("event"), 100_000) // More than the buffers of a connection hold.
 	if err := box.SetWriteDeadline(time.Now().Add(-time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -57,7 +57,7 @@
 	}
 }
 
-// A caller that takes nothing is given up, also after a stall.
+// TestWriteToOneThatDoesNotRead checks that a write to a caller that takes no data fails, also after a stall.
 func TestWriteToOneThatDoesNotRead(t *testing.T) {
 	box, _ := callerPair(t)
 	if err := box.SetWriteDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
@@ -65,7 +65,7 @@
 	}
 	n, err := box.Write(make([]byte, 64<<20))
 	if !errors.Is(err, os.ErrDeadlineExceeded) || n == 64<<20 {
-		t.Errorf("expected the write to be given up, got %d, %v", n, err)
+		t.Errorf("expected the write to fail with a passed deadline, got %d, %v", n, err)
 	}
 }
 
@@ -82,7 +82,7 @@
 	}
 	for range 2 {
 		for err := error(nil); err == nil; {
-			_, err = box.Write([]byte("the end")) // Until the reset has come.
+			_, err = box.Write([]byte("the end")) // Until the reset is received.
 		}
 	}
 	if reported != 1 {
@@ -90,7 +90,7 @@
 	}
 }
 
-// stallingConn is a connection whose process has no processor between each of the first deadlines and its write.
+// stallingConn is a connection whose process is not scheduled between each of the first deadlines and its write.
 type stallingConn struct {
 	stalls  int
 	written bytes.Buffer
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -132,7 +132,7 @@
 	}
 	id, err := r.wire.Held(body)
 	if err != nil {
-		r.o.Book.Log.Belief("answer about held memory not read", zap.String("endpoint", engine), zap.Error(err))
+		r.o.Book.Log.Belief("memory reservation answer could not be parsed", zap.String("endpoint", engine), zap.Error(err))
 	}
 	return id
 }
--- a/internal/relay/cold.go
+++ b/internal/relay/cold.go
@@ -85,7 +85,7 @@
 		e.Cold = pacing.Cold{Until: c.until, Pace: c.pace}
 		if !c.logged && lines < maxChangeLines {
 			lines++
-			r.o.Book.Log.Belief("endpoint cold", zap.String("endpoint", e.ID), zap.Duration("for", c.until.Sub(now)), zap.Duration("pace", time.Duration(c.pace)))
+			r.o.Book.Log.Belief("endpoint is cold", zap.String("endpoint", e.ID), zap.Duration("for", c.until.Sub(now)), zap.Duration("pace", time.Duration(c.pace)))
 		}
 		c.logged = true
 	}
--- a/internal/relay/end_test.go
+++ b/internal/relay/end_test.go
@@ -14,7 +14,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// fakeWire spells the calls that free memory.
+// fakeWire encodes the calls that free memory.
 type fakeWire struct{ Wire }
 
 func (fakeWire) Reply(*http.Response) Reply { return Reply{} }
@@ -33,7 +33,8 @@
 	return Call{Method: http.MethodDelete, Target: "/handle/" + handle}
 }
 
-// What a call has reported and the loop has not taken when the flight ends is freed too.
+// TestEndFreesReports checks that memory is freed that a call has reported and the loop has not received when the
+// flight ends.
 func TestEndFreesReports(t *testing.T) {
 	var freed atomic.Int32
 	engine := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { freed.Add(1) }))
@@ -47,12 +48,12 @@
 	f.end(func() {})
 	r.cleanups.Wait()
 	if n := freed.Load(); n != 2 {
-		t.Errorf("expected the hold and the handle to be freed, got %d calls", n)
+		t.Errorf("expected the reservation and the handle to be freed, got %d calls", n)
 	}
 }
 
-// A caller that leaves while memory is being set aside for it leaves none behind: whether
-// the engine did it is known only by its answer.
+// TestLeaveWhileSettingAside checks that no reservation remains for a caller that leaves while it is being made: only
+// the engine's answer tells whether it was made.
 func TestLeaveWhileSettingAside(t *testing.T) {
 	taken, dropped := make(chan struct{}), make(chan string, 1)
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -75,15 +76,15 @@
 		leave()
 	}()
 	if _, ok := f.reserveKV(ctx, 1, "w"); ok {
-		t.Error("expected nothing to be set aside for a caller that has left")
+		t.Error("expected no reservation for a caller that has left")
 	}
 	select {
 	case path := <-dropped:
 		if path != "/hold/h" {
-			t.Errorf("expected the hold to be dropped, got %s", path)
+			t.Errorf("expected the reservation to be dropped, got %s", path)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("expected the hold to be dropped, and it was not")
+		t.Error("expected the reservation to be dropped within 10 s")
 	}
 }
 
@@ -93,8 +94,8 @@
 
 func (fakeWire) Read(body []byte) (string, error) { return string(body), nil }
 
-// A caller that leaves just as its prompt was read leaves nothing behind: the engine's
-// answer, which names what is to be freed, is on its way by then.
+// TestLeaveAsPromptIsRead checks that nothing remains for a caller that leaves just as its prefill is done: the
+// engine's answer, which names the memory to free, is being sent at that moment.
 func TestLeaveAsPromptIsRead(t *testing.T) {
 	reading, dropped := make(chan struct{}), make(chan string, 2)
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -103,7 +104,7 @@
 			_, _ = w.Write([]byte("h"))
 		case "/prompt":
 			close(reading)
-			time.Sleep(10 * time.Millisecond) // The engine is done, and its answer under way.
+			time.Sleep(10 * time.Millisecond) // The engine is done, and its answer is being sent.
 			_, _ = w.Write([]byte("k"))
 		default:
 			dropped <- r.URL.Path
@@ -129,7 +130,7 @@
 		select {
 		case <-dropped:
 		case <-time.After(10 * time.Second):
-			t.Fatal("expected the hold and the handle to be dropped")
+			t.Fatal("expected the reservation and the handle to be dropped")
 		}
 	}
 }
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -134,16 +134,16 @@
 		return alive, ""
 	}
 	if !listed && r.fleet.hasAddress(e.Address) {
-		return crashed, "another start is at its address"
+		return crashed, "another instance is listed at its address"
 	}
 	err := r.checkReachable(e)
 	switch {
 	case errors.Is(err, errRestarted):
-		return crashed, "another start answers"
+		return crashed, "another instance answers at its address"
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return crashed, "its port refuses"
+		return crashed, "its port refuses connections"
 	case err != nil && !listed:
-		return crashed, "it is gone from the list and does not answer"
+		return crashed, "it was removed from the list and does not answer"
 	case err == nil && (last || r.isEngine(e.Service)):
 		return alive, ""
 	}
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An endpoint that breaks off part of its calls, with good answers between them, is seldom
-// chosen: two failures in a row, which set one aside, may never come.
+// TestFailingEndpoint checks that an endpoint which drops part of its calls is seldom selected. It may never have the
+// two failures in a row that set an endpoint aside.
 func TestFailingEndpoint(t *testing.T) {
 	table := newPlainTable("h")
 	table.set([]knownEndpoint{{Endpoint: Endpoint{ID: "sound", Service: "s", Hall: "h"}}, {Endpoint: Endpoint{ID: "failing", Service: "s", Hall: "h"}}})
@@ -19,7 +19,7 @@
 		c, _ := table.choose("s", "", now, nil)
 		ok := c.ID == "sound" || rng.Float64() > 0.4
 		table.done(c, now, 50*time.Millisecond, ok)
-		if n >= 100 { // What it is like is known by then.
+		if n >= 100 { // The failure rate has settled by then.
 			calls[c.ID]++
 		}
 	}
@@ -27,6 +27,6 @@
 		t.Errorf("expected few of 300 calls at an endpoint that fails 40 in 100, got %d", calls["failing"])
 	}
 	if calls["failing"] == 0 {
-		t.Error("expected it to be tried now and then: it may be well again")
+		t.Error("expected it to be tried occasionally, since it may have recovered")
 	}
 }
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -201,7 +201,7 @@
 	return k.listed
 }
 
-// applyFleet passes the box's view of the fleet to the scheduler.
+// applyFleet passes the box's view of the fleet to the decision core.
 func (r *Relay) applyFleet() {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
@@ -246,7 +246,7 @@
 	r.o.Others.WantFacts(names)
 }
 
-// describeEngines returns the scheduler's view of the engines and their addresses, and updates engineList.
+// describeEngines returns the decision core's view of the engines and their addresses, and updates engineList.
 func (f *fleet) describeEngines(known []knownEndpoint) (decide.Fleet, map[string]string) {
 	f.engineList, f.engineCounts = nil, map[string]int{}
 	var out decide.Fleet
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -7,7 +7,7 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// roleScene is a fleet of one engine whose list and reports disagree.
+// roleScene is a fleet of one engine with different listed and reported roles.
 type roleScene struct {
 	t     *testing.T
 	f     fleet
@@ -30,8 +30,8 @@
 	}
 }
 
-// A box that the store does not reach learns of a role from the engine itself; an old report
-// takes nothing back that the list has shown since.
+// TestReportedRole checks that a box which cannot reach the store learns a role from the engine itself, and that an
+// old report does not override what the list has shown since.
 func TestReportedRole(t *testing.T) {
 	s := roleScene{t: t, start: time.Unix(1_800_000_000, 0)}
 	s.list(10*time.Second, decide.Decode)
--- a/internal/relay/halls.go
+++ b/internal/relay/halls.go
@@ -70,7 +70,7 @@
 	}
 	for _, h := range slices.Sorted(maps.Keys(before)) {
 		if !next[h] {
-			r.o.Book.Log.Belief("hall taken back", zap.String("hall", h))
+			r.o.Book.Log.Belief("hall evacuation ended", zap.String("hall", h))
 		}
 	}
 }
--- a/internal/relay/learn.go
+++ b/internal/relay/learn.go
@@ -196,7 +196,7 @@
 }
 
 // ShareWaiting publishes the number of streams that wait here, and passes the number that wait on other boxes to
-// the scheduler, until ctx ends. It pauses while the box has no requests, because then no stream waits and there is
+// the decision core, until ctx ends. It pauses while the box has no requests, because then no stream waits and there is
 // nothing to decide.
 func (r *Relay) ShareWaiting(ctx context.Context) {
 	busy := r.Busy()
@@ -227,7 +227,7 @@
 type waitingPublisher struct {
 	published   int // This box's, to the other boxes.
 	publishedAt time.Time
-	remote      int // Other boxes', to the scheduler.
+	remote      int // Other boxes', to the decision core.
 }
 
 func (s *waitingPublisher) step(r *Relay, now time.Time) {
@@ -242,7 +242,7 @@
 	}
 }
 
-// Share tells the scheduler whether other boxes are connected, and sets this box's part of the retry limits, given
+// Share tells the decision core whether other boxes are connected, and sets this box's part of the retry limits, given
 // the number of boxes and the time at which this one started.
 func (r *Relay) Share(l retry.Limits, boxes int, started time.Time) {
 	r.disp.Connected(r.connected())
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -149,7 +149,7 @@
 	}
 	l, err := r.wire.Load(body)
 	if err != nil {
-		r.o.Book.Log.Belief("report not taken", zap.String("endpoint", e.ID), zap.Error(err))
+		r.o.Book.Log.Belief("engine load could not be parsed", zap.String("endpoint", e.ID), zap.Error(err))
 		return
 	}
 	if !l.matchesStart(&e) {
@@ -181,7 +181,7 @@
 		return
 	}
 	if !l.Busy && r.fleet.applyReportedRole(engine, l.Role, at) {
-		r.o.Book.Log.Belief("endpoint says it is now "+l.Role.String(), zap.String("endpoint", engine), zap.Duration("report_age", clock.Since(at)), zap.Duration("list_age", r.listAge()))
+		r.o.Book.Log.Belief("endpoint reports role "+l.Role.String(), zap.String("endpoint", engine), zap.Duration("report_age", clock.Since(at)), zap.Duration("list_age", r.listAge()))
 		r.applyFleet()
 	}
 	r.disp.Step(decide.Report{
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -79,7 +79,7 @@
 	x.reservedBytes = 0
 }
 
-var errBoxFull = errors.New("the box has no memory for more of the body")
+var errBoxFull = errors.New("not enough memory on this box for the request body")
 
 // countedBody reserves memory for a body of unknown length while it is read.
 type countedBody struct {
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -69,25 +69,25 @@
 	switch c {
 	case notice.LimitNamed:
 		r.m.LimitsNamed.Inc()
-		log("endpoint names a limit", zap.Float64("requests_per_s", a.Notice.Limit))
+		log("endpoint announced a request rate limit", zap.Float64("requests_per_s", a.Notice.Limit))
 		return true
 	case notice.LimitRepeated:
 		return true
 	case notice.LimitLifted:
 		r.m.LimitsLifted.Inc()
-		log("endpoint names no limit any more")
+		log("endpoint lifted its request rate limit")
 		return true
 	case notice.Leaves:
 		r.m.LeavingSeen.Inc()
-		log("endpoint says that it leaves", zap.Duration("list_age", r.listAge()))
+		log("endpoint announced that it is leaving", zap.Duration("list_age", r.listAge()))
 		r.applyFleet()
 		return true
 	case notice.RestAsked:
 		r.m.RestsAsked.Inc()
-		log("endpoint asks for rest", zap.Duration("for", a.Notice.Rest))
+		log("endpoint asked for a pause in requests", zap.Duration("for", a.Notice.Rest))
 	case notice.Misread:
 		r.m.NoticesUnread.Inc()
-		log("endpoint notice not read", zap.String("header", a.Notice.Unread))
+		log("endpoint notice could not be parsed", zap.String("header", a.Notice.Unread))
 	}
 	return false
 }
--- a/internal/relay/orders.go
+++ b/internal/relay/orders.go
@@ -15,10 +15,10 @@
 func (r *Relay) Advise() (decide.Advice, bool) { return r.disp.Advise() }
 
 var (
-	errBusy         = errors.New("the engine carries out another order")
-	errRestarted    = errors.New("the engine has started again")
-	errResting      = errors.New("the engine asked for rest")
-	errLeaseExpired = errors.New("the lease ended before the order was sent")
+	errBusy         = errors.New("the engine is carrying out another order")
+	errRestarted    = errors.New("the engine has restarted")
+	errResting      = errors.New("the engine asked for a pause in requests")
+	errLeaseExpired = errors.New("the lease expired before the order was sent")
 )
 
 // SetRole orders an engine to change its role. The order names the engine's start and the number of orders that
@@ -34,12 +34,12 @@
 	address := e.Address
 	resp, body, err := r.sidePool.Call(ctx, loadTimeout, sideRequest(engine, address, r.wire.AskLoad()), maxSideAnswer)
 	if err != nil {
-		return fmt.Errorf("ask the engine: %w", err)
+		return fmt.Errorf("query engine load: %w", err)
 	}
 	load, err := r.wire.Load(body)
 	switch {
 	case err != nil || resp.StatusCode != http.StatusOK:
-		return fmt.Errorf("ask the engine: %s, %w", resp.Status, err)
+		return fmt.Errorf("query engine load: %s, %w", resp.Status, err)
 	case !load.matchesStart(&e):
 		return errRestarted
 	case load.Busy || load.Leaving || load.Role == role:
@@ -55,10 +55,10 @@
 	}
 	resp, _, err = r.sidePool.Call(ctx, loadTimeout, q, maxSideAnswer)
 	if err != nil {
-		return fmt.Errorf("order: %w", err)
+		return fmt.Errorf("send order: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusAccepted {
-		return fmt.Errorf("the engine answered %s to the order", resp.Status)
+		return fmt.Errorf("the engine answered the order with %s", resp.Status)
 	}
 	return nil
 }
--- a/internal/relay/over_test.go
+++ b/internal/relay/over_test.go
@@ -11,10 +11,10 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// choiceTries is how often a choice between two events that are ready at once is made: each is made at random.
+// choiceTries is how often a test repeats a choice between two ready events, which select makes at random.
 const choiceTries = 64
 
-// expiredFlight is a stream that has begun, and whose time is over.
+// expiredFlight returns a stream that has begun and whose deadline has passed.
 func expiredFlight(t *testing.T) (*Relay, *flight) {
 	t.Helper()
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
@@ -32,13 +32,13 @@
 	return r, f
 }
 
-// The box ends its calls with the request's time, and an engine is not to blame for that.
+// The box cancels its calls at the request's deadline, which must not count as a failure of the engine.
 func TestEndOfARequestsTimeIsNoFailureOfItsEngine(t *testing.T) {
 	for range choiceTries {
 		r, f := expiredFlight(t)
 		f.events <- flightEvent{attempt: f.decodeAttempt, err: &callError{reason: outcome.Truncated, ran: true, detail: "use of closed network connection"}}
 		if o := f.loop(); o.Kind != outcome.CutOff || o.Reason != outcome.DecodeSilent {
-			t.Fatalf("expected the request's time to be over, got %+v", o)
+			t.Fatalf("expected the request's deadline to have passed, got %+v", o)
 		}
 		if len(f.x.rec.Steps) > 0 || r.m.RetryCount(outcome.Truncated) > 0 {
 			t.Fatalf("expected no failure of the engine, got %+v", f.x.rec.Steps)
--- a/internal/relay/parts_test.go
+++ b/internal/relay/parts_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the property tests: the same verdict on every run.
+// TestMain fixes the seed of the property tests, so that every run checks the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := false
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-// However a stream is cut up, the events come out whole, in order and once.
+// TestSplitter checks that events are returned whole, in order and once, however the stream is cut into reads.
 func TestSplitter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		end := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "end")
@@ -48,12 +48,12 @@
 			t.Fatalf("expected %q, got %q", want, got)
 		}
 		if string(s.rest) != torn || events > 0 && last != string(rune('a'+events-1)) {
-			t.Fatalf("expected the torn event to be kept and the last id told, got %q and %q", s.rest, last)
+			t.Fatalf("expected the incomplete event to be buffered and the last id returned, got %q and %q", s.rest, last)
 		}
 	})
 }
 
-// The share of a split route that each service gets is its weight.
+// TestPick checks that each service of a split route gets requests in proportion to its weight.
 func TestPick(t *testing.T) {
 	r := Route{Targets: []Target{{"a", 90}, {"b", 10}}}
 	n := map[string]int{}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -222,7 +222,7 @@
 // Busy returns a channel that receives an entry when the first request starts while none runs.
 func (r *Relay) Busy() <-chan struct{} { return r.gate.Busy() }
 
-// Tick lets the scheduler's timeouts fire.
+// Tick lets the decision core's timeouts fire.
 func (r *Relay) Tick() { r.disp.Step(decide.Tick{}) }
 
 // Running returns the number of requests in progress.
@@ -231,7 +231,7 @@
 // RunningIDs lists the requests that run at engines.
 func (r *Relay) RunningIDs() []string { return r.disp.Running() }
 
-// Engines lists the engines as the scheduler sees them.
+// Engines lists the engines as the decision core sees them.
 func (r *Relay) Engines() ([]decide.EngineState, int, []string) { return r.disp.Engines() }
 
 // Ready reports whether the box may be sent requests.
@@ -282,7 +282,7 @@
 	case v == nil:
 		return
 	case v != http.ErrAbortHandler:
-		x.r.o.Book.Log.Failed(x.meta.ID, "panic in a request", zap.Any("panic", v), zap.ByteString("stack", debug.Stack()))
+		x.r.o.Book.Log.Failed(x.meta.ID, "request handler panicked", zap.Any("panic", v), zap.ByteString("stack", debug.Stack()))
 		o := outcome.Outcome{Kind: outcome.MayHaveRun, Reason: outcome.Internal}
 		if !x.begun {
 			x.refuse(o)
--- a/internal/relay/room_test.go
+++ b/internal/relay/room_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// expectRoom has the home of one engine of 20,000 tokens grant room to a stream, hear that it
-// was placed, and answer for a second one of the same size.
+// expectRoom has the owner of an engine with 20,000 tokens grant room to a stream, receive the message that the
+// stream was placed, and answer for a second stream of the given size.
 func expectRoom(t *testing.T, placedBy string, want bool) {
 	t.Helper()
 	r := New(Options{Box: "home", Region: "r", Wire: fakeWire{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Book: &account.Book{Metrics: telemetry.NewMetrics(), Log: account.Quiet()}})
@@ -34,8 +34,8 @@
 	}
 }
 
-// A stream that this box has granted is booked once, whoever tells of it; one that another
-// box placed by itself is booked when it is heard of.
+// A stream that this box granted room to is counted once, whichever box publishes its placement; a stream that
+// another box placed by itself is counted when the message is received.
 func TestRoomBookedOnce(t *testing.T)  { expectRoom(t, "home", true) }
 func TestRoomOfAnother(t *testing.T)   { expectRoom(t, "elsewhere", false) }
 func TestRoomPlacedAlone(t *testing.T) { expectRoom(t, "", false) }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -43,7 +43,7 @@
 	prefillEngine  string         // The current prefill engine.
 	decodeAttempt  decide.Attempt // The current decode call.
 	decodeEngine   string         // The current decode engine.
-	// abandoned is the decode call that the scheduler gave up as its answer began; 0 if there is none.
+	// abandoned is the decode call that the decision core gave up as its answer began; 0 if there is none.
 	abandoned decide.Attempt
 	// plannedDecode is the decode engine that is asked for a reservation.
 	plannedDecode string
@@ -60,8 +60,8 @@
 
 	firstEventAt time.Time // When the first event was sent to the caller; zero before.
 	lastEventAt  time.Time // When the last event was sent; zero before.
-	lastID       string // The id of the last event sent to the caller.
-	eventsSent   int    // The number of events sent to the caller.
+	lastID       string    // The id of the last event sent to the caller.
+	eventsSent   int       // The number of events sent to the caller.
 }
 
 // reservation is memory reserved for the flight; the ID is empty if there is none.
@@ -127,7 +127,7 @@
 	detail string
 }
 
-// serveStream passes the request to the scheduler and carries out its decisions until the request ends.
+// serveStream passes the request to the decision core and carries out its decisions until the request ends.
 func (x *exchange) serveStream(ctx context.Context) {
 	if x.r.outlastsStop(clock.Now(), x.service.Name, x.meta.GuessedOutput) {
 		x.refuse(outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.Draining, RetryAfter: drainRetryAfter})
@@ -143,7 +143,7 @@
 		x.acc.Close(o)
 	case x.begun || o.Kind == outcome.Cancelled:
 		if o.Kind != outcome.Cancelled {
-			o.Kind = outcome.CutOff // The scheduler does not know how much of the answer the caller has.
+			o.Kind = outcome.CutOff // The decision core does not know how much of the answer the caller has.
 		}
 		x.cutOff(o) // A plain return would end the stream as if it were complete.
 	default:
@@ -290,7 +290,7 @@
 	return o
 }
 
-// drainSteps records the actions that the scheduler emitted with the end of the request.
+// drainSteps records the actions that the decision core emitted with the end of the request.
 func (f *flight) drainSteps() {
 	for _, a := range f.call.Take() {
 		f.recordStep(a)
@@ -306,7 +306,7 @@
 	}
 }
 
-// apply carries out an action of the scheduler.
+// apply carries out an action of the decision core.
 func (f *flight) apply(a decide.Action) (outcome.Outcome, bool) {
 	f.recordStep(a)
 	switch a.(type) {
@@ -465,7 +465,7 @@
 }
 
 // beginAnswer passes the header of the answer on, unless that of an earlier engine was: a stream resumed at another
-// engine keeps the first header. Nothing is passed on of a call that the scheduler has given up.
+// engine keeps the first header. Nothing is passed on of a call that the decision core has given up.
 func (f *flight) beginAnswer(ev flightEvent) (outcome.Outcome, bool) {
 	if !f.migration.is(ev.attempt) && !f.x.r.disp.Begin(decide.FirstToken{
 		ID: f.id, Attempt: ev.attempt, Tokens: ev.head.part.events * f.x.service.Engines.Stride,
--- a/internal/relay/subset_test.go
+++ b/internal/relay/subset_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// fleetOf lists engines and plain endpoints, spread over five halls.
+// fleetOf returns engines and plain endpoints in five halls.
 func fleetOf(engines, plain int) (list []Endpoint) {
 	for i := range engines {
 		role := decide.Decode
@@ -27,7 +27,7 @@
 	return list
 }
 
-// subsetRelay is a box before a list.
+// subsetRelay returns a box with a list of endpoints.
 func subsetRelay(box, hall string, list []Endpoint) *Relay {
 	r := New(Options{
 		Box: box, Hall: hall, Region: "r", Wire: fakeWire{}, Others: silentPeer{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1),
@@ -38,7 +38,7 @@
 	return r
 }
 
-// subsetMembers are the engines and plain endpoints that a box deals with.
+// subsetMembers returns the engines, and the number of plain endpoints, that a box uses.
 func (r *Relay) subsetMembers() (engines map[string]bool, plain int) {
 	engines = map[string]bool{}
 	list, _, _ := r.Engines()
@@ -51,8 +51,8 @@
 	return engines, plain
 }
 
-// 986 boxes that each dealt with all of 10,000 endpoints took 43 MB each and had the machine run out of
-// memory. What a box deals with does not grow with the fleet, and a small fleet is known whole.
+// TestSubsetSizeIsBounded guards against memory use that grows with the fleet: 986 boxes that each used all of 10,000
+// endpoints took 43 MB each, and the machine ran out of memory. A small fleet is used whole.
 func TestSubsetSizeIsBounded(t *testing.T) {
 	for _, c := range []struct{ engines, plain, wantEngines, wantPlain int }{
 		{9, 3, 9, 3},
@@ -62,14 +62,15 @@
 		{17300, 2700, 96, 48},
 	} {
 		engines, plain := subsetRelay("a", "h-0", fleetOf(c.engines, c.plain)).subsetMembers()
-		plain -= len(engines) // The table of plain calls has the engines' services too.
+		plain -= len(engines) // The table of plain services also has the engines.
 		if len(engines) != c.wantEngines || plain != c.wantPlain {
-			t.Errorf("%d engines and %d others: expected %d and %d to be dealt with, got %d and %d", c.engines, c.plain, c.wantEngines, c.wantPlain, len(engines), plain)
+			t.Errorf("%d engines and %d others: expected %d and %d in the subset, got %d and %d", c.engines, c.plain, c.wantEngines, c.wantPlain, len(engines), plain)
 		}
 	}
 }
 
-// Nearly every engine is dealt with by some boxes, so that its room is not lost, and none by very many.
+// TestSubsetsCoverFleet checks that nearly every engine is used by some boxes, so that its capacity is not lost, and
+// none by very many.
 func TestSubsetsCoverFleet(t *testing.T) {
 	list := fleetOf(1000, 0)
 	by := map[string]int{}
@@ -90,15 +91,15 @@
 			none++
 		}
 		if n := by[e.ID]; float64(n) > 3*mean {
-			t.Errorf("%s: expected at most %g boxes to deal with it, got %d", e.ID, 3*mean, n)
+			t.Errorf("%s: expected at most %g boxes to use it, got %d", e.ID, 3*mean, n)
 		}
 	}
 	if none > len(list)/100 {
-		t.Errorf("expected at most one engine in a hundred that no box deals with, got %d of %d", none, len(list))
+		t.Errorf("expected at most one engine in a hundred that no box uses, got %d of %d", none, len(list))
 	}
 }
 
-// A box that finds no room deals with more endpoints, and with the usual number again after a while.
+// TestSubsetGrowsOnRefusal checks that a box which finds no capacity uses more endpoints.
 func TestSubsetGrowsOnRefusal(t *testing.T) {
 	r := subsetRelay("a", "h-0", fleetOf(600, 0))
 	count := func() int { engines, _ := r.subsetMembers(); return len(engines) }
@@ -109,21 +110,22 @@
 	}
 	r.growSubset(now.Add(subsetGrowInterval/2), "llm")
 	if n := count(); n != 192 {
-		t.Errorf("expected one widening for refusals at one moment, got %d engines", n)
+		t.Errorf("expected the subset to grow once for refusals at one moment, got %d engines", n)
 	}
 	for n := 1; n <= 6; n++ {
 		r.growSubset(now.Add(time.Duration(n)*subsetGrowInterval), "llm")
 	}
 	if n := count(); n != 600 {
-		t.Errorf("expected all engines in the end, got %d", n)
+		t.Errorf("expected all engines after six more refusals, got %d", n)
 	}
 	if !isCapacityRefusal(outcome.NoDecode) || isCapacityRefusal(outcome.UnknownPath) {
-		t.Error("expected a box to widen where room lacks, and not otherwise")
+		t.Error("expected refusals for lack of capacity, and no others, to enlarge the subset")
 	}
 }
 
-// An engine that is not drawn any more stays for a while: a stream may be running there, and would be
-// moved as if the engine left. One whose home the box is, is dealt with from the first question on.
+// TestDeselectedEngineIsRetained checks that an engine which is no longer selected is used for some time: a stream may
+// be running there, and would be migrated as if the engine were leaving. An engine is also used once this box was
+// asked for room as its owner.
 func TestDeselectedEngineIsRetained(t *testing.T) {
 	r := subsetRelay("a", "h-0", fleetOf(600, 0))
 	before, _ := r.subsetMembers()
@@ -132,14 +134,14 @@
 	after, _ := r.subsetMembers()
 	for name := range before {
 		if !after[name] {
-			t.Errorf("expected %s to stay while streams may run there", name)
+			t.Errorf("expected %s to be retained while streams may run there", name)
 		}
 	}
 	for _, e := range list {
 		if !after[e.ID] {
 			r.adopt(time.Now(), e.ID)
 			if got, _ := r.subsetMembers(); !got[e.ID] {
-				t.Errorf("expected %s to be dealt with once its home is asked", e.ID)
+				t.Errorf("expected %s to be used once this box is asked as its owner", e.ID)
 			}
 			return
 		}
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -1,5 +1,5 @@
 // Package relay forwards requests and answers without changing their bodies. Routes are selected by host and path,
-// and the scheduler gets what it needs to know of a prompt from headers. The stages of a request are plain
+// and the decision core gets what it needs to know of a prompt from headers. The stages of a request are plain
 // function calls with typed results:
 //
 //	route ► buffer the body ► check limits ► place/wait ► reserve memory ► prefill ► decode ► answer
