--- a/internal/relay/accounts.go
+++ b/internal/relay/accounts.go
@@ -63,11 +63,11 @@
 const maxCountedTokens = 1 << 30
 
 // units returns what a request takes of its account's limit.
-func (a *Account) units(ask *Ask) float64 {
+func (a *Account) units(meta *Ask) float64 {
 	if !a.ByTokens {
 		return 1
 	}
-	if n := min(maxCountedTokens, ask.PromptTokens) + min(maxCountedTokens, ask.MaxOutput); n > 0 {
+	if n := min(maxCountedTokens, meta.PromptTokens) + min(maxCountedTokens, meta.MaxOutput); n > 0 {
 		return float64(n)
 	}
 	return float64(a.PlainTokens)
--- a/internal/relay/asking.go
+++ b/internal/relay/asking.go
@@ -10,7 +10,7 @@
 
 // This file decides when a box polls an engine for its load. Time alone is not enough: the rate allowed to all
 // boxes grows with their streams, so all engines polled a while ago would become due at once, on all boxes, as
-// soon as the rate rises: while streams come at a steady rate, a box polled 38 of its 96 engines, out of 8,650,
+// soon as the rate rises: while streams went on, a box polled 38 of its 96 engines, out of 8,650,
 // within five seconds, where seven are allowed (TestNewEnginesArePolledInTurn). So the rounds are counted too; in
 // one round all engines may be polled once.
 
@@ -43,8 +43,8 @@
 }
 
 // remaining returns the time until a delay is over that began ago and rounds before now.
-func (t pollSchedule) remaining(w pollDelay, ago time.Duration, rounds float64) time.Duration {
-	return max(w.time-ago, seconds((w.rounds-rounds)*t.round.Seconds()))
+func (t pollSchedule) remaining(delay pollDelay, ago time.Duration, rounds float64) time.Duration {
+	return max(delay.time-ago, seconds((delay.rounds-rounds)*t.round.Seconds()))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -82,20 +82,20 @@
 func (f *fleet) claimPoll(e Endpoint, now time.Time, t pollSchedule, again, first pollDelay) (due bool, left time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	done := f.rounds[e.Service].completed
-	h, known := f.lastReports[e.ID]
+	completed := f.rounds[e.Service].completed
+	last, known := f.lastReports[e.ID]
 	if !known {
-		h = lastReport{at: now, rounds: done, listedOnly: true}
-		f.setLastReport(e.ID, h)
+		last = lastReport{at: now, rounds: completed, listedOnly: true}
+		f.setLastReport(e.ID, last)
 	}
-	w := again
-	if h.listedOnly {
-		w = first
+	delay := again
+	if last.listedOnly {
+		delay = first
 	}
-	if left = t.remaining(w, now.Sub(h.at), done-h.rounds); left > 0 {
+	if left = t.remaining(delay, now.Sub(last.at), completed-last.rounds); left > 0 {
 		return false, left
 	}
-	f.setLastReport(e.ID, lastReport{at: now, rounds: done})
+	f.setLastReport(e.ID, lastReport{at: now, rounds: completed})
 	return true, maxPollPause
 }
 
@@ -103,7 +103,7 @@
 func (f *fleet) claimStalePoll(id string, now time.Time, within time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if h, known := f.lastReports[id]; known && !h.listedOnly && now.Sub(h.at) < within {
+	if last, known := f.lastReports[id]; known && !last.listedOnly && now.Sub(last.at) < within {
 		return false
 	}
 	f.recordReport(id, now)
@@ -112,16 +112,16 @@
 
 // recordReport records that an engine's load was received. f.mu is held.
 func (f *fleet) recordReport(id string, now time.Time) {
-	h := lastReport{at: now}
+	report := lastReport{at: now}
 	if i, listed := f.index[id]; listed {
-		h.rounds = f.rounds[f.endpoints[i].Service].completed
+		report.rounds = f.rounds[f.endpoints[i].Service].completed
 	}
-	f.setLastReport(id, h)
+	f.setLastReport(id, report)
 }
 
-func (f *fleet) setLastReport(id string, h lastReport) {
+func (f *fleet) setLastReport(id string, report lastReport) {
 	if f.lastReports == nil {
 		f.lastReports = map[string]lastReport{}
 	}
-	f.lastReports[id] = h
+	f.lastReports[id] = report
 }
--- a/internal/relay/begin_test.go
+++ b/internal/relay/begin_test.go
@@ -22,7 +22,7 @@
 
 // arrivedFlight returns a stream that has arrived at a box with one prefill engine and decode engines of these
 // names. It completes the request q.
-func arrivedFlight(t *testing.T, ctx context.Context, q decide.Request, writers ...string) (*Relay, *flight, *httptest.ResponseRecorder) {
+func arrivedFlight(t *testing.T, ctx context.Context, q decide.Request, decoders ...string) (*Relay, *flight, *httptest.ResponseRecorder) {
 	t.Helper()
 	book := &account.Book{Metrics: telemetry.NewMetrics(), Log: account.Quiet()}
 	r := New(Options{Wire: fakeWire{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Book: book})
@@ -33,7 +33,7 @@
 		})
 	}
 	add("reader", decide.Prefill)
-	for _, name := range writers {
+	for _, name := range decoders {
 		add(name, decide.Decode)
 	}
 	r.disp.SetFleet(fleet, nil)
@@ -56,7 +56,7 @@
 // get the answer of the second call only.
 func TestStalledCallWritesNothing(t *testing.T) {
 	r, f, w := arrivedFlight(t, context.Background(), decide.Request{}, "writer-1", "writer-2")
-	takeWrite := func() decide.Attempt {
+	takeDecode := func() decide.Attempt {
 		for _, a := range f.call.Take() {
 			switch a := a.(type) {
 			case decide.Retry:
@@ -68,7 +68,7 @@
 		return f.decodeAttempt
 	}
 	r.disp.Step(decide.PrefillDone{ID: f.id, Attempt: 1, Expires: time.Now().Add(time.Minute)})
-	stalled := takeWrite()
+	stalled := takeDecode()
 	r.disp.Step(decide.Failed{ID: f.id, Attempt: stalled, Reason: outcome.TransferStalled, Ran: true})
 
 	f.handleEvent(headEvent(stalled, "late "))
@@ -76,7 +76,7 @@
 	if f.x.begun || w.Body.Len() > 0 {
 		t.Errorf("expected nothing from the abandoned call, got %q", w.Body)
 	}
-	again := takeWrite()
+	again := takeDecode()
 	if again == stalled {
 		t.Fatal("expected another decode call")
 	}
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -95,12 +95,12 @@
 
 // reserveKV reserves memory at a decode engine, so that no prompt is prefilled without memory for its result. If
 // there is none it reports that to the loop, and ok is false.
-func (f *flight) reserveKV(ctx context.Context, a decide.Attempt, engine string) (h reservation, ok bool) {
+func (f *flight) reserveKV(ctx context.Context, a decide.Attempt, engine string) (res reservation, ok bool) {
 	x := f.x
 	granted, owner := x.r.askRoom(ctx, engine, x)
 	if !granted {
 		f.send(flightEvent{attempt: a, noRoom: &noRoom{owner}})
-		return h, false
+		return res, false
 	}
 	timeout := time.AfterFunc(sideLimit, func() {
 		if ctx.Err() == nil {
@@ -117,7 +117,7 @@
 	case inTime && ctx.Err() == nil:
 		f.send(flightEvent{attempt: a, noRoom: &noRoom{}})
 	}
-	return h, false
+	return res, false
 }
 
 // requestReservation has an engine reserve memory for the request, and returns the reservation's name; empty if there
--- a/internal/relay/end_test.go
+++ b/internal/relay/end_test.go
@@ -55,13 +55,13 @@
 // TestLeaveWhileSettingAside checks that no reservation remains for a caller that leaves while it is being made: only
 // the engine's answer tells whether it was made.
 func TestLeaveWhileSettingAside(t *testing.T) {
-	taken, dropped := make(chan struct{}), make(chan string, 1)
+	reserving, dropped := make(chan struct{}), make(chan string, 1)
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/take" {
 			dropped <- r.URL.Path
 			return
 		}
-		close(taken)
+		close(reserving)
 		time.Sleep(50 * time.Millisecond)
 		_, _ = w.Write([]byte("h"))
 	}))
@@ -72,7 +72,7 @@
 	f := &flight{x: x, events: make(chan flightEvent, eventBuffer)}
 	ctx, leave := context.WithCancel(context.Background())
 	go func() {
-		<-taken
+		<-reserving
 		leave()
 	}()
 	if _, ok := f.reserveKV(ctx, 1, "w"); ok {
--- a/internal/relay/ended.go
+++ b/internal/relay/ended.go
@@ -16,7 +16,7 @@
 	"github.com/stoatramp/stoatramp/internal/quarantine"
 )
 
-// This file finds out whether an endpoint crashed while it ran requests. A lost connection alone does not tell: a
+// This file finds out whether an endpoint crashed while it ran requests. A lost connection alone is no proof: a
 // healthy endpoint may drop one. So the endpoint is probed a few times until a probe decides: its port refuses
 // connections, another start of it has taken its place, or it still answers.
 
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -132,7 +132,7 @@
 
 // accepts reports whether an endpoint may get a call from this box that was not tried there yet. If it is
 // throttled, wait is the time until it may; otherwise wait is 0. t.mu is held.
-func (t *plainTable) accepts(e *plainEndpoint, region string, now time.Time, tried map[string]bool) (yes bool, wait time.Duration) {
+func (t *plainTable) accepts(e *plainEndpoint, region string, now time.Time, tried map[string]bool) (ok bool, wait time.Duration) {
 	if !e.open() || e.Region != region || e.cold(now) {
 		return false, 0
 	}
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -168,10 +168,10 @@
 	if len(f.roles) == len(f.endpoints) {
 		return // No engine was removed.
 	}
-	isGone := func(id string) bool { _, stays := f.index[id]; return !stays }
-	maps.DeleteFunc(f.roles, func(id string, _ knownRole) bool { return isGone(id) })
-	maps.DeleteFunc(f.refusalPolledAt, func(id string, _ time.Time) bool { return isGone(id) })
-	maps.DeleteFunc(f.lastReports, func(id string, _ lastReport) bool { return isGone(id) })
+	isRemoved := func(id string) bool { _, stays := f.index[id]; return !stays }
+	maps.DeleteFunc(f.roles, func(id string, _ knownRole) bool { return isRemoved(id) })
+	maps.DeleteFunc(f.refusalPolledAt, func(id string, _ time.Time) bool { return isRemoved(id) })
+	maps.DeleteFunc(f.lastReports, func(id string, _ lastReport) bool { return isRemoved(id) })
 }
 
 // applyReportedRole applies the role that an engine reported, as of a time, and reports whether that changes the
--- a/internal/relay/halls.go
+++ b/internal/relay/halls.go
@@ -133,10 +133,10 @@
 	if own && f.servingRegions[service][f.region] {
 		return f.region, true
 	}
-	most := uint64(0)
+	highest := uint64(0)
 	for _, name := range allowed {
-		if rank := xxhash.Sum64String(f.box + " " + name); f.servingRegions[service][name] && (!ok || rank > most) {
-			region, most, ok = name, rank, true
+		if rank := xxhash.Sum64String(f.box + " " + name); f.servingRegions[service][name] && (!ok || rank > highest) {
+			region, highest, ok = name, rank, true
 		}
 	}
 	if !ok && own {
--- a/internal/relay/held.go
+++ b/internal/relay/held.go
@@ -7,11 +7,11 @@
 	"github.com/stoatramp/stoatramp/internal/quarantine"
 )
 
-// This file keeps requests away from endpoints if earlier requests with the same fingerprint crashed some.
+// This file quarantines requests: one whose fingerprint equals that of requests that crashed endpoints is not sent to any.
 
 // quarantined reports whether the request must not be sent to an endpoint, because equal requests crashed
 // endpoints. It must be called before each call to an endpoint.
-func (x *exchange) quarantined() (o outcome.Outcome, yes bool) {
+func (x *exchange) quarantined() (o outcome.Outcome, quarantined bool) {
 	if x.r.o.Ends.Empty() {
 		return o, false
 	}
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -25,7 +25,7 @@
 // Where boxes exchange engine loads, one box polls an engine for all of them. Each box would poll an engine that
 // it has received no load of for pollInterval plus a jitter. The jitter is fixed for each box and engine, and its
 // range grows with the number of boxes: the first box polls, and the others receive its result before their own
-// time comes. If that box is gone, the next one polls.
+// time comes. If that box is down, the next one polls.
 //
 // Example: with 85 boxes the jitter is up to 12.75 s, so that a box is due about every 150 ms, and the same box
 // polls an engine about every 550 ms.
@@ -99,16 +99,16 @@
 	for _, e := range r.fleet.allEngines() {
 		t, known := schedules[e.Service]
 		if !known {
-			all, part := r.fleet.engineCount(e.Service)
+			all, share := r.fleet.engineCount(e.Service)
 			rate := min(maxPollRate, max(minPollRate, pollsPerStream*r.streams.rate(now, e.Service)))
 			t.round = seconds(max(1, float64(all)) / rate)
-			t.spread = seconds(max(1, part*neighbours) * gossipDelay.Seconds())
+			t.spread = seconds(max(1, share*neighbours) * gossipDelay.Seconds())
 			r.fleet.advanceRounds(e.Service, now, t.round)
 			schedules[e.Service] = t
 		}
 		again, first := t.delays(r.o.Box, e)
-		ask, left := r.fleet.claimPoll(e, now, t, again, first)
-		if ask {
+		due, left := r.fleet.claimPoll(e, now, t, again, first)
+		if due {
 			out = append(out, e)
 		}
 		next = min(next, left)
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -29,7 +29,7 @@
 }
 
 // expectPollRate runs one box with a number of decode engines for ten seconds, and checks its polls a second.
-func expectPollRate(t *testing.T, engines int, least, most float64) {
+func expectPollRate(t *testing.T, engines int, minRate, maxRate float64) {
 	t.Helper()
 	r := New(Options{Box: "a", Region: "r", Wire: fakeWire{}, Others: silentPeer{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Book: &account.Book{Metrics: telemetry.NewMetrics(), Log: account.Quiet()}})
 	r.SetConfig(&Config{Services: map[string]*Service{"s": {Engines: &Engines{}}}})
@@ -39,18 +39,18 @@
 	}
 	start := time.Now()
 	r.SetEndpoints(list)
-	asked := 0
+	polls := 0
 	const seconds = 10
 	for at := time.Second; at < (seconds+2)*time.Second; at += pollTick {
 		for range 100 { // A thousand streams a second.
 			r.streams.add(start.Add(at), "s", 1)
 		}
 		if n := len(duePollsAt(r, start.Add(at))); at >= 2*time.Second { // All engines are new at first.
-			asked += n
+			polls += n
 		}
 	}
-	if rate := float64(asked) / seconds; rate < least || rate > most {
-		t.Errorf("%d engines: expected %g to %g polls a second, got %g", engines, least, most, rate)
+	if rate := float64(polls) / seconds; rate < minRate || rate > maxRate {
+		t.Errorf("%d engines: expected %g to %g polls a second, got %g", engines, minRate, maxRate, rate)
 	}
 }
 
@@ -66,7 +66,7 @@
 		most    float64 // Polls a second of a box with 96 of 300 engines in its subset.
 	}{{0, 20. * 96 / 300}, {2, 20. * 96 / 300}, {20, 80. * 96 / 300}, {200, 300. * 96 / 300}} {
 		r := subsetRelay("a", "h-0", fleetOf(300, 0))
-		start, asked, due := time.Now(), 0, 0.0
+		start, polls, due := time.Now(), 0, 0.0
 		// 45 s are whole periods of the lowest rate, at which each engine is polled every 15 s, so the phase has no effect.
 		const from, until = 15 * time.Second, 60 * time.Second
 		for at := time.Duration(0); at < until; at += pollTick {
@@ -74,10 +74,10 @@
 				r.streams.add(start.Add(at), "llm", 1)
 			}
 			if n := len(duePollsAt(r, start.Add(at))); at >= from { // The stream rate has settled by then.
-				asked += n
+				polls += n
 			}
 		}
-		if rate := float64(asked) / (until - from).Seconds(); rate > c.most || rate < c.most/3 {
+		if rate := float64(polls) / (until - from).Seconds(); rate > c.most || rate < c.most/3 {
 			t.Errorf("%g streams a second: expected %g to %g polls a second, got %g", c.streams, c.most/3, c.most, rate)
 		}
 	}
@@ -86,8 +86,8 @@
 // TestSuspendedBox checks that what was received before a suspension of the machine is stale after it: engines are
 // polled again, and streams that waited on other boxes no longer count.
 func TestSuspendedBox(t *testing.T) {
-	var asleep time.Duration
-	defer clock.Set(func() time.Duration { return asleep })()
+	var suspended time.Duration
+	defer clock.Set(func() time.Duration { return suspended })()
 	f := fleet{}
 	if !f.claimStalePoll("e", clock.Now(), ownerLoadMaxAge) || f.claimStalePoll("e", clock.Now(), ownerLoadMaxAge) {
 		t.Error("expected one poll")
@@ -97,7 +97,7 @@
 	if n := w.total(clock.Now()); n != 3 {
 		t.Errorf("expected three waiting streams, got %d", n)
 	}
-	asleep = 5 * time.Second
+	suspended = 5 * time.Second
 	if !f.claimStalePoll("e", clock.Now(), ownerLoadMaxAge) {
 		t.Error("expected a poll after the suspension")
 	}
@@ -117,13 +117,13 @@
 // 2 s.
 func TestNewEnginesArePolledInTurn(t *testing.T) {
 	r := subsetRelay("a", "h-0", fleetOf(8650, 0))
-	start, asked := time.Now(), 0
+	start, polls := time.Now(), 0
 	for at := time.Duration(0); at < 10*time.Second; at += pollTick {
-		asked += len(duePollsAt(r, start.Add(at)))
+		polls += len(duePollsAt(r, start.Add(at)))
 	}
 	// The box polls each of its 96 engines once in the 432 s of a round.
-	if most := 8; asked > most {
-		t.Errorf("expected at most %d polls in the first ten seconds, got %d", most, asked)
+	if most := 8; polls > most {
+		t.Errorf("expected at most %d polls in the first ten seconds, got %d", most, polls)
 	}
 	// The same holds when streams begin, at 40 a second and then 80: these allow 160 and 300 polls a second of all
 	// boxes, 9 and 17 in five seconds of a box that receives no loads from others. The bound is twice that, for
@@ -149,12 +149,12 @@
 			t.Fatalf("after %s: expected at most %d polls in five seconds, got %d", at, most, sum)
 		}
 	}
-	few := subsetRelay("a", "h-0", fleetOf(9, 0))
-	asked = 0
+	small := subsetRelay("a", "h-0", fleetOf(9, 0))
+	polls = 0
 	for at := time.Duration(0); at <= 9*time.Second/minPollRate+pollTick; at += pollTick {
-		asked += len(duePollsAt(few, start.Add(at)))
+		polls += len(duePollsAt(small, start.Add(at)))
 	}
-	if asked < 9 {
-		t.Errorf("expected the nine engines of a small deployment to be polled within 0.45 s and a tick, got %d", asked)
+	if polls < 9 {
+		t.Errorf("expected the nine engines of a small deployment to be polled within 0.45 s and a tick, got %d", polls)
 	}
 }
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -47,7 +47,7 @@
 	requestOverheadBytes = 32 << 10
 	// bodyChunkBytes is the step in which memory is reserved for a body of unknown length.
 	bodyChunkBytes = 64 << 10
-	// callerWriteTimeout is how long a caller may take none of the data written to it. Endpoints abort an answer that
+	// callerWriteTimeout is how long a write to a caller may make no progress. Endpoints abort an answer that
 	// is not read for some seconds, which would look like a failure of the endpoint. pressureWriteTimeout replaces it
 	// while the box is short of memory.
 	callerWriteTimeout   = 4 * time.Second
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -170,10 +170,10 @@
 
 // applyMigrationResult applies the engine's answer. If the engine did not stop the run, the stream continues or has
 // already ended.
-func (f *flight) applyMigrationResult(ev *migrationResult) {
+func (f *flight) applyMigrationResult(result *migrationResult) {
 	m := f.migration
-	if ev.source.Handle != "" {
-		m.source, m.copied = ev.source, ev.copied
+	if result.source.Handle != "" {
+		m.source, m.copied = result.source, result.copied
 		m.keptUntil = clock.Now().Add(f.x.service.Engines.HandleFor)
 		if m.sourceEnd == nil {
 			attempt := m.attempt // The loop may have ended the migration by then.
@@ -183,10 +183,10 @@
 		return
 	}
 	f.migration = nil
-	f.abortMigration(m.attempt, ev.detail)
+	f.abortMigration(m.attempt, result.detail)
 	switch {
 	case m.sourceEnd == nil:
-	case m.sourceEnd.reason == outcome.OK && m.unframed && ev.unanswered:
+	case m.sourceEnd.reason == outcome.OK && m.unframed && result.unanswered:
 		f.requeue(flightEvent{attempt: f.decodeAttempt, err: &callError{
 			reason: outcome.Truncated, ran: true, detail: "the answer had no length, and the run may have been stopped",
 		}})
@@ -235,10 +235,10 @@
 }
 
 // abortMigration ends a migration before its next call was made.
-func (f *flight) abortMigration(move decide.Attempt, why string) {
+func (f *flight) abortMigration(attempt decide.Attempt, why string) {
 	f.x.r.m.MigratedNot.Inc()
 	f.x.acc.Step(record.Step{Kind: record.StepStayed, Text: why})
-	f.x.r.disp.Step(decide.MigrateFailed{ID: f.id, Attempt: move})
+	f.x.r.disp.Step(decide.MigrateFailed{ID: f.id, Attempt: attempt})
 }
 
 // resumeWhenStopped makes the next call once the run is stopped and its call has ended. It resumes at the source a
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// applyNotice applies the notice of an answer, and reports whether the other boxes must be told.
+// applyNotice applies the notice of an answer, and reports whether it must be published to the other boxes.
 func (r *Relay) applyNotice(a notice.Answer) (publish bool) {
 	e, _ := r.fleet.findCalled(a.Endpoint)
 	a.Region = r.fleet.regionOf(e.Hall)
@@ -61,7 +61,7 @@
 	return publish
 }
 
-// recordNoticeChange logs and counts a change, and reports whether the other boxes must be told.
+// recordNoticeChange logs and counts a change, and reports whether it must be published to the other boxes.
 func (r *Relay) recordNoticeChange(c notice.Change, a notice.Answer) (publish bool) {
 	log := func(what string, fields ...zap.Field) {
 		r.o.Book.Log.Belief(what, append(fields, zap.String("endpoint", a.Endpoint))...)
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -88,8 +88,8 @@
 
 // throttledOutcome refuses a request that no endpoint accepts for the given time.
 func throttledOutcome(wait time.Duration) outcome.Outcome {
-	back := time.Duration(float64(wait) * (1 + limitJitter*rand.Float64()))
-	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.EndpointsThrottled, RetryAfter: max(minLimitRetryAfter, back)}
+	delay := time.Duration(float64(wait) * (1 + limitJitter*rand.Float64()))
+	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.EndpointsThrottled, RetryAfter: max(minLimitRetryAfter, delay)}
 }
 
 // admitPlain evaluates the policy for a plain call. In a policy wait() has the effect of run() here, because plain
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -146,8 +146,8 @@
 func (r *Relay) SetConfig(c *Config) {
 	r.fleet.setConfig(c)
 	r.applyFleet()
-	gone := r.revoked.Load().after(r.cfg.Load(), c)
-	r.revoked.Store(&gone)
+	next := r.revoked.Load().after(r.cfg.Load(), c)
+	r.revoked.Store(&next)
 	r.cfg.Store(c)
 	now := clock.Now()
 	r.cfgAppliedAt.Store(&now)
@@ -248,8 +248,8 @@
 	if by == 0 {
 		return false
 	}
-	takes := lengthGuessMargin * r.disp.StreamTime(service, tokens).Seconds()
-	return now.Add(time.Duration(takes*float64(time.Second))).UnixNano() > by
+	estimate := lengthGuessMargin * r.disp.StreamTime(service, tokens).Seconds()
+	return now.Add(time.Duration(estimate*float64(time.Second))).UnixNano() > by
 }
 
 // lengthGuessMargin is a safety factor for output length estimates that are too low.
@@ -434,9 +434,9 @@
 
 // readBody reads the body into memory that is reserved before it is allocated.
 func (x *exchange) readBody() ([]byte, error) {
-	n, most := x.req.ContentLength, x.cfg.Limits.MaxBody
-	src := http.MaxBytesReader(x.w, x.req.Body, most)
-	if n < 0 || n > most {
+	n, limit := x.req.ContentLength, x.cfg.Limits.MaxBody
+	src := http.MaxBytesReader(x.w, x.req.Body, limit)
+	if n < 0 || n > limit {
 		return io.ReadAll(&countedBody{Reader: src, x: x})
 	}
 	if !x.reserveMemory(n) {
--- a/internal/relay/route.go
+++ b/internal/relay/route.go
@@ -73,8 +73,8 @@
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	const whole = 1 << 53
-	at := float64(xxhash.Sum64String(id)%whole) / whole * total
+	const scale = 1 << 53
+	at := float64(xxhash.Sum64String(id)%scale) / scale * total
 	for _, t := range r.Targets {
 		if at -= t.Weight; at < 0 {
 			return t.Service
--- a/internal/relay/subset.go
+++ b/internal/relay/subset.go
@@ -110,8 +110,8 @@
 }
 
 // selectMembers selects the endpoints of a group that are in this box's subset.
-func (f *fleet) selectMembers(members []int, c subsetScale) []int {
-	near, far := subsetNear*max(1, c.factor), subsetFar*max(1, c.factor)
+func (f *fleet) selectMembers(members []int, scale subsetScale) []int {
+	near, far := subsetNear*max(1, scale.factor), subsetFar*max(1, scale.factor)
 	if len(members) <= near+far {
 		return members
 	}
@@ -148,20 +148,20 @@
 	list  []rankedEndpoint
 }
 
-func (h *topRanked) add(r rankedEndpoint) {
-	if len(h.list) == h.limit {
-		if h.list[h.limit-1].rank >= r.rank {
+func (t *topRanked) add(r rankedEndpoint) {
+	if len(t.list) == t.limit {
+		if t.list[t.limit-1].rank >= r.rank {
 			return
 		}
-		h.list = h.list[:h.limit-1]
+		t.list = t.list[:t.limit-1]
 	}
-	at, _ := slices.BinarySearchFunc(h.list, r, func(a, b rankedEndpoint) int { return cmp.Compare(b.rank, a.rank) })
-	h.list = slices.Insert(h.list, at, r)
+	at, _ := slices.BinarySearchFunc(t.list, r, func(a, b rankedEndpoint) int { return cmp.Compare(b.rank, a.rank) })
+	t.list = slices.Insert(t.list, at, r)
 }
 
 // engineCount returns the number of a service's engines in this box's region that accept requests, and the share
 // of them in the box's subset.
-func (f *fleet) engineCount(service string) (all int, part float64) {
+func (f *fleet) engineCount(service string) (all int, share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	kept := f.engineCounts[service]
--- a/internal/relay/subset_test.go
+++ b/internal/relay/subset_test.go
@@ -73,29 +73,29 @@
 // none by very many.
 func TestSubsetsCoverFleet(t *testing.T) {
 	list := fleetOf(1000, 0)
-	by := map[string]int{}
+	users := map[string]int{}
 	const boxes = 200
 	for n := range boxes {
 		engines, _ := subsetRelay(fmt.Sprint("box-", n), fmt.Sprint("h-", n%5), list).subsetMembers()
 		for name := range engines {
-			by[name]++
+			users[name]++
 		}
 	}
-	none := 0
+	unused := 0
 	for _, e := range list {
 		mean := float64(boxes) * 48 / 750
 		if e.Role == decide.Prefill {
 			mean = float64(boxes) * 48 / 250
 		}
-		if by[e.ID] == 0 {
-			none++
+		if users[e.ID] == 0 {
+			unused++
 		}
-		if n := by[e.ID]; float64(n) > 3*mean {
+		if n := users[e.ID]; float64(n) > 3*mean {
 			t.Errorf("%s: expected at most %g boxes to use it, got %d", e.ID, 3*mean, n)
 		}
 	}
-	if none > len(list)/100 {
-		t.Errorf("expected at most one engine in a hundred that no box uses, got %d of %d", none, len(list))
+	if unused > len(list)/100 {
+		t.Errorf("expected at most one engine in a hundred that no box uses, got %d of %d", unused, len(list))
 	}
 }
 
