--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,6 +1,6 @@
-// Package account keeps the account of each request: what was decided about it, by which
-// inputs and how old these were. An account becomes a record, which `stoatramp why`
-// explains, and lines of the decision log. Both fronts keep their accounts here.
+// Package account tracks each request: what was decided about it, on which inputs and how
+// old these were. An Account becomes a decision record, which `stoatramp why` explains, and
+// lines of the decision log. Both gateway and relay use it. It has nothing to do with client accounts.
 package account
 
 import (
@@ -11,58 +11,58 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Sink takes finished records and must not block.
+// Sink receives finished records. Add must not block.
 type Sink interface{ Add(r *record.Record) }
 
-// Book is where all accounts of a box go.
+// Book collects the Accounts of a box.
 type Book struct {
-	// Records keeps the newest records in memory, and Archive takes each beside it.
+	// Records keeps the newest records in memory; Archive also receives each record.
 	Records *record.Ring
 	Archive Sink
 	Metrics *telemetry.Metrics
 	Log     *Log
-	// Conditions says how the box fares, for the lines of requests that were not answered whole; nil if that
-	// is not known.
+	// Conditions describes the state of the box, for the log lines of requests that were not answered whole; may
+	// be nil.
 	Conditions func() Conditions
 }
 
-// Conditions are how a box fares at a moment.
+// Conditions describes the state of a box at one moment.
 type Conditions struct {
-	// ConfigAge is for how long its configuration has been in force.
+	// ConfigAge is how long its configuration has been in force.
 	ConfigAge time.Duration
-	// Stall is for how long its process had no processor when that was last the case, and StallAge how long
-	// ago that ended; Stall is 0 if it never was.
+	// Stall is how long the last stall of the process was, in which it got no CPU time, and StallAge how long ago
+	// that ended; Stall is 0 if there was none.
 	Stall, StallAge time.Duration
 }
 
-// Account is the account of one request. One goroutine at a time uses it.
+// Account tracks one request. It is not safe for concurrent use.
 type Account struct {
 	book *Book
 	Rec  *record.Record
-	// arrived has the steady clock, which Rec.At loses in the archive.
+	// arrived has a monotonic clock reading, which Rec.At loses in the archive.
 	arrived time.Time
-	// told says that each decision is logged as it is made. Otherwise its lines are
-	// written at its end, and only if something went wrong by then.
-	told bool
-	// closed says that the account has ended.
+	// logged means that each decision is logged as it is made. Otherwise the lines are written
+	// when the request ends, and only if something went wrong.
+	logged bool
+	// closed means that the request has ended.
 	closed bool
 }
 
-// Open begins an account; the record's At is when the request arrived.
+// Open starts tracking a request; the record's At is when it arrived.
 func (b *Book) Open(rec *record.Record) *Account {
-	return &Account{book: b, Rec: rec, arrived: rec.At, told: b.Log.Admit(time.Now())}
+	return &Account{book: b, Rec: rec, arrived: rec.At, logged: b.Log.Sample(time.Now())}
 }
 
 // Step adds a decision.
 func (a *Account) Step(s record.Step) {
 	s.After = time.Since(a.arrived)
 	a.Rec.Steps = append(a.Rec.Steps, s)
-	if a.told {
+	if a.logged {
 		a.book.Log.step(a.Rec, &a.Rec.Steps[len(a.Rec.Steps)-1])
 	}
 }
 
-// Close ends the account. What is said of its end later does not count.
+// Close records the outcome of the request. Only the first call has an effect.
 func (a *Account) Close(o outcome.Outcome) {
 	if a.closed {
 		return
@@ -74,19 +74,19 @@
 	a.book.Archive.Add(a.Rec)
 	a.book.Metrics.Ended(o)
 	a.book.Metrics.Took(a.Rec)
-	a.tell()
+	a.writeLog()
 }
 
-// tell writes what the log does not have of the account yet.
-func (a *Account) tell() {
+// writeLog writes the lines that have not been logged yet.
+func (a *Account) writeLog() {
 	switch {
-	case a.told:
-	case eventful(a.Rec):
+	case a.logged:
+	case alwaysLogged(a.Rec):
 		for i := range a.Rec.Steps {
 			a.book.Log.step(a.Rec, &a.Rec.Steps[i])
 		}
 	default:
-		a.book.Log.skipped()
+		a.book.Log.countLeftOut()
 		return
 	}
 	a.book.Log.end(a.Rec, a.book.conditions())
@@ -99,15 +99,15 @@
 	return b.Conditions()
 }
 
-// Undelivered says that the end of an answer could not be written, so long after its account was closed.
+// Undelivered records that the end of an answer could not be written, and how long after Close that was.
 func (b *Book) Undelivered(id string, after time.Duration, err error) {
 	b.Metrics.BrokenOff(outcome.Undelivered)
 	b.Log.undelivered(id, after, err, b.conditions())
 }
 
-// eventful says that something about the request may be asked about. Its lines are never
-// left out.
-func eventful(r *record.Record) bool {
+// alwaysLogged reports whether someone may ask about this request later. Its lines are
+// written whatever the log rate.
+func alwaysLogged(r *record.Record) bool {
 	if r.Kind != outcome.Answered {
 		return true
 	}
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -20,8 +20,8 @@
 
 func (noArchive) Add(*record.Record) {}
 
-// book returns a book that logs up to rate requests a second to the buffer.
-func book(rate float64) (*Book, *bytes.Buffer) {
+// newBook returns a book that logs up to rate requests per second to the buffer.
+func newBook(rate float64) (*Book, *bytes.Buffer) {
 	var out bytes.Buffer
 	m := telemetry.NewMetrics()
 	return &Book{
@@ -30,8 +30,8 @@
 	}, &out
 }
 
-// one goes through a request of three decisions that ends so.
-func (b *Book) one(id string, o outcome.Outcome, steps ...record.Step) {
+// runRequest records a request with its decisions and outcome.
+func (b *Book) runRequest(id string, o outcome.Outcome, steps ...record.Step) {
 	a := b.Open(&record.Record{ID: id, Route: "r", ConfigVersion: 7, At: time.Now()})
 	choice := &decide.Choice{Compared: 5, Candidates: []decide.Candidate{{Prefill: "p", Decode: "d", ReportAge: 900 * time.Millisecond}, {Decode: "d2"}, {Decode: "d3"}}}
 	a.Step(record.Step{Kind: record.StepPrefill, Attempt: 1, Prefill: "p", Decode: "d", Choice: choice})
@@ -41,8 +41,8 @@
 	a.Close(o)
 }
 
-// lines decodes what was logged; a line that is not JSON fails the test.
-func lines(t *testing.T, out *bytes.Buffer) (got []map[string]any) {
+// parseLines decodes the log; a line that is not JSON fails the test.
+func parseLines(t *testing.T, out *bytes.Buffer) (got []map[string]any) {
 	t.Helper()
 	for line := range strings.Lines(out.String()) {
 		var m map[string]any
@@ -54,12 +54,12 @@
 	return got
 }
 
-// A decision's line has the request's id, the inputs with their age, and the version of
-// what was believed.
+// The line of a decision contains the request's id and the inputs with their age, and the last
+// line the version of the configuration.
 func TestLines(t *testing.T) {
-	b, out := book(10)
-	b.one("id-1", outcome.Outcome{Kind: outcome.Answered}, record.Step{Kind: record.StepFirst, Decode: "d"})
-	got := lines(t, out)
+	b, out := newBook(10)
+	b.runRequest("id-1", outcome.Outcome{Kind: outcome.Answered}, record.Step{Kind: record.StepFirst, Decode: "d"})
+	got := parseLines(t, out)
 	if len(got) != 3 {
 		t.Fatalf("expected two decisions and an end, got %v", got)
 	}
@@ -70,36 +70,36 @@
 	}
 	inputs := got[0]["inputs"].(map[string]any)
 	if chosen := inputs["chosen"].(map[string]any); chosen["report_age_ms"] != 900.0 || inputs["compared"] != 5.0 || inputs["next_best"] == nil {
-		t.Errorf("expected the figures of the choice with their age, got %v", inputs)
+		t.Errorf("expected the inputs of the choice with their age, got %v", inputs)
 	}
 	if end := got[2]; end["outcome"] != "answered" || end["config_version"] != 7.0 {
 		t.Errorf("expected the end to tell the outcome and the version, got %v", end)
 	}
 }
 
-// Requests that go well are logged up to the rate; all that do not are logged whole, each
-// decision included, whatever the rate; those left out are counted.
+// Successful requests are logged up to the rate. All others are logged with every decision,
+// whatever the rate, and requests left out are counted.
 func TestSampling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, out := book(10)
-		const each, seconds = 200, 10 // A second: 20 times the rate.
+		b, out := newBook(10)
+		const each, seconds = 200, 10 // 20 times the rate.
 		refused, retried := 0, 0
 		for n := range each * seconds {
 			switch {
 			case n%100 == 0:
 				refused++
-				b.one("refused", outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.TooLate})
+				b.runRequest("refused", outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.TooLate})
 			case n%100 == 1:
 				retried++
-				b.one("retried", outcome.Outcome{Kind: outcome.Answered}, record.Step{Kind: record.StepRetry, Reason: outcome.EndpointDied})
+				b.runRequest("retried", outcome.Outcome{Kind: outcome.Answered}, record.Step{Kind: record.StepRetry, Reason: outcome.EndpointDied})
 			default:
-				b.one("well", outcome.Outcome{Kind: outcome.Answered})
+				b.runRequest("well", outcome.Outcome{Kind: outcome.Answered})
 			}
 			time.Sleep(time.Second / each)
 		}
 		ends := map[any]int{}
 		steps := map[any]int{}
-		for _, m := range lines(t, out) {
+		for _, m := range parseLines(t, out) {
 			if m["msg"] == "request" {
 				ends[m["id"]]++
 			} else {
@@ -118,18 +118,18 @@
 		}
 		left := each*seconds - refused - retried - ends["well"]
 		if got := b.Metrics.LogLeftOut.Get(); got != uint64(left) {
-			t.Errorf("expected %d left out to be counted, got %d", left, got)
+			t.Errorf("expected %d requests left out to be counted, got %d", left, got)
 		}
 	})
 }
 
-// A log that does not keep up is spared the requests that go well.
+// While the log writer falls behind, successful requests are not logged.
 func TestBusyLog(t *testing.T) {
-	b, out := book(1000)
+	b, out := newBook(1000)
 	b.Log.busy = func() bool { return true }
-	b.one("well", outcome.Outcome{Kind: outcome.Answered})
-	b.one("cut", outcome.Outcome{Kind: outcome.CutOff, Reason: outcome.Truncated})
-	for _, m := range lines(t, out) {
+	b.runRequest("well", outcome.Outcome{Kind: outcome.Answered})
+	b.runRequest("cut", outcome.Outcome{Kind: outcome.CutOff, Reason: outcome.Truncated})
+	for _, m := range parseLines(t, out) {
 		if m["id"] != "cut" {
 			t.Errorf("expected only the request that was cut off, got %v", m)
 		}
@@ -139,11 +139,11 @@
 	}
 }
 
-// BenchmarkAccount is the cost of a request's account at 20 times the logged rate, with a
-// writer that hangs: nothing waits, and what does not fit is counted.
+// BenchmarkAccount measures the cost of tracking a request at 20 times the logged rate with a
+// writer that hangs: nothing blocks, and lines that do not fit are counted.
 func BenchmarkAccount(b *testing.B) {
 	hang := make(chan struct{})
-	out := telemetry.NewAsync(hanging{hang})
+	out := telemetry.NewAsync(hangingWriter{hang})
 	m := telemetry.NewMetrics()
 	book := &Book{
 		Records: record.NewRing(4096), Archive: noArchive{}, Metrics: m,
@@ -153,34 +153,34 @@
 	n := 0
 	for b.Loop() {
 		if n++; n%10 == 0 {
-			book.one("refused", outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.TooLate})
+			book.runRequest("refused", outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.TooLate})
 			continue
 		}
-		book.one("well", outcome.Outcome{Kind: outcome.Answered})
+		book.runRequest("well", outcome.Outcome{Kind: outcome.Answered})
 	}
 	out.Register(m.Set)
 	b.ReportMetric(float64(m.LogLeftOut.Get())/float64(n), "left_out/req")
 	b.ReportMetric(m.Set.GetOrCreateGauge("stoatramp_log_lines_dropped_total", nil).Get()/float64(n), "dropped/req")
 }
 
-type hanging struct{ never chan struct{} }
+type hangingWriter struct{ never chan struct{} }
 
-func (h hanging) Write(b []byte) (int, error) {
+func (h hangingWriter) Write(b []byte) (int, error) {
 	<-h.never
 	return len(b), nil
 }
 
-// Operators look for warnings; how the box fared is in the line, whatever the rate.
+// An answer that was cut off is logged as a warning, which operators search for, with the state of the box, whatever the rate.
 func TestAnswerThatWasCutOffIsAWarningWithTheBoxsConditions(t *testing.T) {
-	b, out := book(0)
+	b, out := newBook(0)
 	b.Conditions = func() Conditions {
 		return Conditions{ConfigAge: 120 * time.Millisecond, Stall: time.Second, StallAge: 30 * time.Millisecond}
 	}
-	b.one("id-1", outcome.Outcome{Kind: outcome.CutOff, Reason: outcome.Truncated})
-	b.one("id-2", outcome.Outcome{Kind: outcome.Cancelled, Reason: outcome.CallerGone})
+	b.runRequest("id-1", outcome.Outcome{Kind: outcome.CutOff, Reason: outcome.Truncated})
+	b.runRequest("id-2", outcome.Outcome{Kind: outcome.Cancelled, Reason: outcome.CallerGone})
 	b.Undelivered("id-3", time.Millisecond, io.ErrShortWrite)
 	ends := map[any]map[string]any{}
-	for _, m := range lines(t, out) {
+	for _, m := range parseLines(t, out) {
 		ends[m["id"]] = m // The last line of each request is its end.
 	}
 	for id, level := range map[string]string{"id-1": "warn", "id-2": "info", "id-3": "warn"} {
--- a/internal/account/log.go
+++ b/internal/account/log.go
@@ -13,70 +13,70 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// Log is the decision log. Requests that go well are logged up to a rate; those that do
-// not, and whatever changes what the box believes, are always logged.
+// Log is the decision log. Successful requests are logged up to a rate; all others, and
+// changes of the box's observed state, are always logged.
 type Log struct {
 	z *zap.Logger
-	// busy tells that lines are about to be dropped; nil if that is not known.
+	// busy reports that the writer is about to drop lines; may be nil.
 	busy func() bool
-	// left out counts the requests whose lines were not written.
+	// leftOut counts the requests whose lines were not written.
 	leftOut *metrics.Counter
 
-	mu    sync.Mutex
-	rate  float64 // Requests a second.
-	saved float64
-	at    time.Time
+	mu         sync.Mutex
+	rate       float64 // Requests per second.
+	tokens     float64
+	refilledAt time.Time
 }
 
-// savedFor is for how many seconds of the rate a quiet box saves up.
-const savedFor = 2
+// burstSeconds is how many seconds of the rate an idle box may use at once.
+const burstSeconds = 2
 
-// NewLog returns a decision log that writes to z the requests that go well at up to rate
-// a second; leftOut counts the others.
+// NewLog returns a decision log that writes to z, with up to rate successful requests per
+// second; leftOut counts the others.
 func NewLog(z *zap.Logger, rate float64, busy func() bool, leftOut *metrics.Counter) *Log {
-	return &Log{z: z, rate: rate, saved: rate * savedFor, busy: busy, leftOut: leftOut}
+	return &Log{z: z, rate: rate, tokens: rate * burstSeconds, busy: busy, leftOut: leftOut}
 }
 
 // Quiet returns a log that writes nothing.
 func Quiet() *Log { return NewLog(zap.NewNop(), 0, nil, nil) }
 
-// SetRate changes how many requests that go well are logged a second.
+// SetRate changes how many successful requests are logged per second.
 func (l *Log) SetRate(rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rate = rate
 }
 
-// Admit says whether a request that begins now is logged even if all goes well.
-func (l *Log) Admit(now time.Time) bool {
+// Sample reports whether a request that begins now is logged even if it succeeds.
+func (l *Log) Sample(now time.Time) bool {
 	if l.busy != nil && l.busy() {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.at.IsZero() {
-		l.saved = min(l.rate*savedFor, l.saved+l.rate*now.Sub(l.at).Seconds())
+	if !l.refilledAt.IsZero() {
+		l.tokens = min(l.rate*burstSeconds, l.tokens+l.rate*now.Sub(l.refilledAt).Seconds())
 	}
-	l.at = now
-	if l.saved < 1 {
+	l.refilledAt = now
+	if l.tokens < 1 {
 		return false
 	}
-	l.saved--
+	l.tokens--
 	return true
 }
 
-func (l *Log) skipped() {
+func (l *Log) countLeftOut() {
 	if l.leftOut != nil {
 		l.leftOut.Inc()
 	}
 }
 
-// Belief logs a change of what the box believes.
+// Belief logs a change of the box's observed state.
 func (l *Log) Belief(what string, fields ...zap.Field) {
 	l.z.Info("belief", append([]zap.Field{zap.String("change", what)}, fields...)...)
 }
 
-// ms says a duration in milliseconds, with as much as anybody reads.
+// ms is a field with a duration in milliseconds, rounded to 10 µs.
 func ms(key string, d time.Duration) zap.Field {
 	return zap.Float64(key, milliseconds(d))
 }
@@ -106,7 +106,7 @@
 	l.z.Info("decision", fields...)
 }
 
-// Failed logs an error of the box itself that a request met.
+// Failed logs an internal error of the box during a request.
 func (l *Log) Failed(id, what string, fields ...zap.Field) {
 	l.z.Error(what, append([]zap.Field{zap.String("id", id)}, fields...)...)
 }
@@ -123,8 +123,8 @@
 	return out
 }
 
-// levelOf is that at which operators look for what the box did to its callers.
-func levelOf(r *record.Record) zapcore.Level {
+// endLevel returns warn for answers that the box cut off or failed to give, which operators search for.
+func endLevel(r *record.Record) zapcore.Level {
 	if r.Kind == outcome.CutOff || r.Reason == outcome.CallerSlow || r.Reason == outcome.Internal {
 		return zapcore.WarnLevel
 	}
@@ -156,18 +156,18 @@
 	if r.PromptTokens > 0 {
 		fields = append(fields, zap.Int("prompt_tokens", r.PromptTokens), zap.Int("output", r.Output), ms("first_token_ms", r.FirstToken), ms("longest_gap_ms", r.LongestGap))
 	}
-	l.z.Log(levelOf(r), "request", fields...)
+	l.z.Log(endLevel(r), "request", fields...)
 }
 
-// choiceLine is the two best of the pairs compared, and what was left out.
+// choiceLine logs the best of the compared pairs, and how many engines were left out and why.
 type choiceLine decide.Choice
 
-// linePairs bounds the pairs in a line; the record has more.
-const linePairs = 2
+// maxLoggedPairs bounds the pairs in a log line; the record has more.
+const maxLoggedPairs = 2
 
 func (c *choiceLine) MarshalLogObject(e zapcore.ObjectEncoder) error {
 	e.AddInt("compared", c.Compared)
-	for i := range c.Candidates[:min(linePairs, len(c.Candidates))] {
+	for i := range c.Candidates[:min(maxLoggedPairs, len(c.Candidates))] {
 		name := "chosen"
 		if i > 0 {
 			name = "next_best"
@@ -176,20 +176,20 @@
 			return err
 		}
 	}
-	left := func(name string, n int) {
+	addCount := func(name string, n int) {
 		if n > 0 {
 			e.AddInt(name, n)
 		}
 	}
-	left("leaving", c.Passed.Leaving)
-	left("set_aside", c.Passed.SetAside)
-	left("no_room", c.Passed.NoRoom)
-	left("too_slow", c.Passed.TooSlow)
-	left("busy", c.Passed.Busy)
+	addCount("leaving", c.Passed.Leaving)
+	addCount("set_aside", c.Passed.SetAside)
+	addCount("no_room", c.Passed.NoRoom)
+	addCount("too_slow", c.Passed.TooSlow)
+	addCount("busy", c.Passed.Busy)
 	return nil
 }
 
-// pairLine is one pair with the figures it was judged by.
+// pairLine logs one pair with the figures that the choice was based on.
 type pairLine decide.Candidate
 
 func (p *pairLine) MarshalLogObject(e zapcore.ObjectEncoder) error {
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// seenLine is what a box knew of an endpoint when it chose it.
+// seenLine logs what the box knew of an endpoint when it selected it.
 type seenLine record.Seen
 
 func (s *seenLine) MarshalLogObject(e zapcore.ObjectEncoder) error {
