--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -82,9 +82,9 @@
 func TestSampling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, out := newBook(10)
-		const each, seconds = 200, 10 // 20 times the rate.
+		const requestsPerSecond, seconds = 200, 10 // 20 times the rate.
 		refused, retried := 0, 0
-		for n := range each * seconds {
+		for n := range requestsPerSecond * seconds {
 			switch {
 			case n%100 == 0:
 				refused++
@@ -95,7 +95,7 @@
 			default:
 				b.runRequest("well", outcome.Outcome{Kind: outcome.Answered})
 			}
-			time.Sleep(time.Second / each)
+			time.Sleep(time.Second / requestsPerSecond)
 		}
 		ends := map[any]int{}
 		steps := map[any]int{}
@@ -116,7 +116,7 @@
 		if ends["well"] < 10*seconds/2 || ends["well"] > most {
 			t.Errorf("expected up to %d requests that went well, got %d", most, ends["well"])
 		}
-		left := each*seconds - refused - retried - ends["well"]
+		left := requestsPerSecond*seconds - refused - retried - ends["well"]
 		if got := b.Metrics.LogLeftOut.Get(); got != uint64(left) {
 			t.Errorf("expected %d requests left out to be counted, got %d", left, got)
 		}
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -1,6 +1,6 @@
-// Package archive keeps decision records in the platform's object store, so that
-// they outlive their box. A request id names its box, incarnation and minute, and
-// the objects are named after those, so that finding a record needs no index:
+// Package archive stores decision records in the platform's object store, so that they
+// outlive their box. A request id contains its box, incarnation and minute, and the
+// objects are named after those, so that a record is found without an index:
 //
 //	records/BOX-INCARNATION/MINUTE/0, then 1, 2, … as records of that minute end
 package archive
@@ -23,30 +23,30 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// Objects is the part of the platform's object store that the archive needs.
-type Objects interface {
+// ObjectStore is the part of the platform's object store that the archive needs.
+type ObjectStore interface {
 	PutObject(ctx context.Context, key string, b []byte) error
 	GetObject(ctx context.Context, key string) ([]byte, error)
 }
 
 const (
-	// flushEvery is how often records are written.
-	flushEvery = 10 * time.Second
-	// maxWaiting bounds the records kept through an outage of the store; older ones
-	// are dropped and counted.
-	maxWaiting = 4096
-	// maxParts bounds the objects of one minute that a search reads.
+	// flushInterval is the time between writes.
+	flushInterval = 10 * time.Second
+	// maxPending bounds the records kept in memory during an outage of the store; older
+	// ones are dropped and counted.
+	maxPending = 4096
+	// maxParts bounds the objects of one minute that are written and that a search reads.
 	maxParts = 64
 )
 
-// Archive writes the records of one box and reads those of all.
+// Archive writes the records of one box and reads those of all boxes.
 type Archive struct {
-	store Objects
+	store ObjectStore
 	lost  *metrics.Counter
 
 	mu      sync.Mutex
-	waiting []*record.Record
-	parts   map[string]partState // The next part of each minute of this box.
+	pending []*record.Record
+	parts   map[string]partState // The next part of each of this box's minutes.
 }
 
 type partState struct {
@@ -54,33 +54,33 @@
 	at   time.Time // When the last part was written.
 }
 
-// partsKept is how long a minute's next part is remembered.
-const partsKept = 10 * time.Minute
+// partsRetention is how long the next part of a minute is remembered.
+const partsRetention = 10 * time.Minute
 
-// New returns an archive; lost counts the records dropped.
-func New(store Objects, lost *metrics.Counter) *Archive {
+// New returns an archive; lost counts the dropped records.
+func New(store ObjectStore, lost *metrics.Counter) *Archive {
 	return &Archive{store: store, lost: lost, parts: map[string]partState{}}
 }
 
-// Add takes a finished record; it never blocks on the store.
+// Add queues a finished record; it never waits for the store.
 func (a *Archive) Add(r *record.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.waiting = keep(a.waiting, r, a.lost)
+	a.pending = appendBounded(a.pending, r, a.lost)
 }
 
-// keep adds a record to those that wait for the store, within bounds.
-func keep(waiting []*record.Record, r *record.Record, lost *metrics.Counter) []*record.Record {
-	if len(waiting) == maxWaiting {
-		waiting = append(waiting[:0], waiting[1:]...)
+// appendBounded adds a record to the pending ones, and drops the oldest if there are maxPending already.
+func appendBounded(pending []*record.Record, r *record.Record, lost *metrics.Counter) []*record.Record {
+	if len(pending) == maxPending {
+		pending = append(pending[:0], pending[1:]...)
 		lost.Inc()
 	}
-	return append(waiting, r)
+	return append(pending, r)
 }
 
 // Run writes records until ctx ends.
 func (a *Archive) Run(ctx context.Context) {
-	t := time.NewTicker(flushEvery)
+	t := time.NewTicker(flushInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -92,16 +92,16 @@
 	}
 }
 
-// Flush writes what waits, one object for each minute. What cannot be written
-// stays for the next time.
+// Flush writes the pending records, one object for each minute. Records that cannot be
+// written stay pending.
 func (a *Archive) Flush(ctx context.Context) {
 	a.mu.Lock()
 	byMinute := map[string][]*record.Record{}
-	for _, r := range a.waiting {
-		dir := directory(r.ID)
+	for _, r := range a.pending {
+		dir := keyPrefix(r.ID)
 		byMinute[dir] = append(byMinute[dir], r)
 	}
-	a.waiting = nil
+	a.pending = nil
 	a.mu.Unlock()
 	for dir, list := range byMinute {
 		if err := a.write(ctx, dir, list); err != nil {
@@ -112,10 +112,10 @@
 	}
 }
 
-// write stores one part. A write whose answer is lost is written again under the
-// same name, with more records perhaps, which replaces the first.
+// write stores one part. A write whose answer was lost is repeated under the same name,
+// possibly with more records, and replaces the first.
 func (a *Archive) write(ctx context.Context, dir string, list []*record.Record) error {
-	b, err := pack(list)
+	b, err := encodeRecords(list)
 	if err != nil {
 		return err
 	}
@@ -130,15 +130,15 @@
 	defer a.mu.Unlock()
 	a.parts[dir] = partState{part + 1, time.Now()}
 	for d, p := range a.parts {
-		if time.Since(p.at) > partsKept {
+		if time.Since(p.at) > partsRetention {
 			delete(a.parts, d)
 		}
 	}
 	return nil
 }
 
-// nextPart is the first part of a minute not written yet. What is not remembered
-// is looked up, so that no part is ever replaced by other records.
+// nextPart returns the first part of a minute that is not written yet. If that is not
+// remembered, it reads the store, so that no part is replaced by other records.
 func (a *Archive) nextPart(ctx context.Context, dir string) (int, error) {
 	a.mu.Lock()
 	p, ok := a.parts[dir]
@@ -158,7 +158,7 @@
 	return 0, fmt.Errorf("archive: %s has %d parts already", dir, maxParts)
 }
 
-func pack(list []*record.Record) ([]byte, error) {
+func encodeRecords(list []*record.Record) ([]byte, error) {
 	var buf bytes.Buffer
 	w := gzip.NewWriter(&buf)
 	enc := json.NewEncoder(w)
@@ -171,8 +171,8 @@
 	return buf.Bytes(), err
 }
 
-// directory turns an id, BOX-INCARNATION-MINUTE-NUMBER, into its objects' prefix.
-func directory(id string) string {
+// keyPrefix returns the object prefix of an id of the form BOX-INCARNATION-MINUTE-NUMBER.
+func keyPrefix(id string) string {
 	parts := strings.Split(id, "-")
 	if len(parts) < 4 {
 		return "records/other"
@@ -181,12 +181,12 @@
 	return "records/" + strings.Join(parts[:n-2], "-") + "/" + parts[n-2]
 }
 
-// ErrNotFound means that no part holds the record.
+// ErrNotFound means that no object contains the record.
 var ErrNotFound = errors.New("archive: no such record")
 
 // Find reads a record of any box.
 func (a *Archive) Find(ctx context.Context, id string) (*record.Record, error) {
-	dir := directory(id)
+	dir := keyPrefix(id)
 	for part := range maxParts {
 		b, err := a.store.GetObject(ctx, fmt.Sprintf("%s/%d", dir, part))
 		if errors.Is(err, platform.ErrNotFound) {
@@ -195,14 +195,14 @@
 		if err != nil {
 			return nil, err
 		}
-		if r, err := search(b, id); r != nil || err != nil {
+		if r, err := findRecord(b, id); r != nil || err != nil {
 			return r, err
 		}
 	}
 	return nil, ErrNotFound
 }
 
-func search(b []byte, id string) (*record.Record, error) {
+func findRecord(b []byte, id string) (*record.Record, error) {
 	z, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
 		return nil, err
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -17,31 +17,31 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// store is an object store that can be down, or lose the answer to a write.
-type store struct {
-	mu      sync.Mutex
-	objects map[string][]byte
-	down    bool
-	lose    int
+// fakeStore is an object store that can be down, or lose the answer to a write.
+type fakeStore struct {
+	mu          sync.Mutex
+	objects     map[string][]byte
+	down        bool
+	loseAnswers int
 }
 
 var errDown = errors.New("down")
 
-func (s *store) PutObject(_ context.Context, key string, b []byte) error {
+func (s *fakeStore) PutObject(_ context.Context, key string, b []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return errDown
 	}
 	s.objects[key] = b
-	if s.lose > 0 {
-		s.lose--
+	if s.loseAnswers > 0 {
+		s.loseAnswers--
 		return errDown
 	}
 	return nil
 }
 
-func (s *store) GetObject(_ context.Context, key string) ([]byte, error) {
+func (s *fakeStore) GetObject(_ context.Context, key string) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -53,8 +53,8 @@
 	return nil, platform.ErrNotFound
 }
 
-func newArchive() (*Archive, *store, *metrics.Counter) {
-	s := &store{objects: map[string][]byte{}}
+func newArchive() (*Archive, *fakeStore, *metrics.Counter) {
+	s := &fakeStore{objects: map[string][]byte{}}
 	lost := metrics.NewSet().NewCounter("lost")
 	return New(s, lost), s, lost
 }
@@ -69,8 +69,8 @@
 	}
 }
 
-// Records are found by their ids alone, by any box, however they were spread over
-// parts and minutes, and also after the writer started anew.
+// Any box finds records by their ids alone, however they are spread over parts and
+// minutes, and also after the writer restarted.
 func TestFind(t *testing.T) {
 	a, s, _ := newArchive()
 	for n := range 250 {
@@ -82,7 +82,7 @@
 	a.Flush(context.Background())
 	again := New(s, nil)
 	again.Add(&record.Record{ID: id(1000)})
-	again.Add(&record.Record{ID: id(50)}) // A long request of an early minute.
+	again.Add(&record.Record{ID: id(50)}) // A long request that began in an early minute.
 	again.Flush(context.Background())
 	for _, n := range []int{0, 39, 40, 99, 100, 249, 1000} {
 		expectFound(t, again, n, nil)
@@ -90,17 +90,17 @@
 	expectFound(t, again, 250, ErrNotFound)
 }
 
-// An outage keeps records within bounds and counts what is lost; a lost answer
-// loses nothing.
+// During an outage records are kept up to a limit, and dropped ones are counted. A lost
+// answer loses no record.
 func TestOutage(t *testing.T) {
 	a, s, lost := newArchive()
 	s.down = true
-	for n := range maxWaiting + 10 {
+	for n := range maxPending + 10 {
 		a.Add(&record.Record{ID: id(n)})
 	}
 	a.Flush(context.Background())
 	expectFound(t, a, 100, errDown)
-	s.down, s.lose = false, 3
+	s.down, s.loseAnswers = false, 3
 	for range 3 {
 		a.Flush(context.Background())
 	}
@@ -108,19 +108,19 @@
 		t.Errorf("expected 10 records lost, got %d", lost.Get())
 	}
 	expectFound(t, a, 9, ErrNotFound)
-	for _, n := range []int{10, 500, maxWaiting + 9} {
+	for _, n := range []int{10, 500, maxPending + 9} {
 		expectFound(t, a, n, nil)
 	}
 }
 
-// listed is the same store, as one that is listed.
-type listed struct{ *store }
+// listedStore is the same store with a listing.
+type listedStore struct{ *fakeStore }
 
-func (l listed) Put(ctx context.Context, name string, b []byte) error {
+func (l listedStore) Put(ctx context.Context, name string, b []byte) error {
 	return l.PutObject(ctx, name, b)
 }
 
-func (l listed) Get(ctx context.Context, name string) ([]byte, error) {
+func (l listedStore) Get(ctx context.Context, name string) ([]byte, error) {
 	b, err := l.GetObject(ctx, name)
 	if errors.Is(err, platform.ErrNotFound) {
 		return nil, ErrNotFound
@@ -128,7 +128,7 @@
 	return b, err
 }
 
-func (l listed) List(_ context.Context, prefix string) ([]string, error) {
+func (l listedStore) List(_ context.Context, prefix string) ([]string, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
@@ -137,30 +137,30 @@
 	return slices.Sorted(maps.Keys(l.objects)), nil
 }
 
-func (l listed) Delete(_ context.Context, name string) error {
+func (l listedStore) Delete(_ context.Context, name string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.objects, name)
 	return nil
 }
 
-// Any box finds a record by the caller's id, through an outage and a lost answer, and
-// objects of boxes that are gone are removed in time.
+// Any box finds a record by the caller's id, also after an outage and a lost answer, and
+// objects of boxes that no longer exist are removed when they are too old.
 func TestByTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := listed{&store{objects: map[string][]byte{}, down: true}}
+		s := listedStore{&fakeStore{objects: map[string][]byte{}, down: true}}
 		lost := metrics.NewSet().NewCounter("lost")
 		a, b := NewByTime(s, "a", lost), NewByTime(s, "b", lost)
 		ctx, cancel := context.WithCancel(context.Background())
 		go a.Run(ctx)
 		a.Add(&record.Record{ID: "one"})
-		time.Sleep(byTimeEvery + time.Second)
+		time.Sleep(byTimeInterval + time.Second)
 		s.mu.Lock()
-		s.down, s.lose = false, 1
+		s.down, s.loseAnswers = false, 1
 		s.mu.Unlock()
-		time.Sleep(2 * byTimeEvery)
+		time.Sleep(2 * byTimeInterval)
 		a.Add(&record.Record{ID: "two"})
-		time.Sleep(byTimeEvery)
+		time.Sleep(byTimeInterval)
 		cancel()
 		for _, id := range []string{"one", "two"} {
 			if r, err := b.Find(context.Background(), id); err != nil || r.ID != id {
@@ -170,7 +170,7 @@
 		if _, err := b.Find(context.Background(), "three"); !errors.Is(err, ErrNotFound) {
 			t.Errorf("expected no record, got %v", err)
 		}
-		time.Sleep(keptFor)
+		time.Sleep(retention)
 		b.removeOld(context.Background(), time.Now())
 		if n := len(s.objects); n != 0 || lost.Get() != 0 {
 			t.Errorf("expected all objects removed and no record lost, got %d and %d", n, lost.Get())
@@ -180,7 +180,7 @@
 
 func TestRecordsAreWrittenAgainWhenTheStoreCameBackWithoutThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := listed{&store{objects: map[string][]byte{}}}
+		s := listedStore{&fakeStore{objects: map[string][]byte{}}}
 		a := NewByTime(s, "a", metrics.NewSet().NewCounter("lost"))
 		ctx, cancel := context.WithCancel(context.Background())
 		go a.Run(ctx)
@@ -190,8 +190,8 @@
 			clear(s.objects)
 			s.down = down
 			s.mu.Unlock()
-			a.Restored()
-			time.Sleep(restoredSpread)
+			a.StoreRestored()
+			time.Sleep(rewriteSpread)
 			s.mu.Lock()
 			s.down = false
 			s.mu.Unlock()
@@ -201,11 +201,11 @@
 			}
 		}
 		a.Add(&record.Record{ID: "one"})
-		time.Sleep(byTimeEvery + time.Second)
-		expect("lost a second later", 0, false, nil)
-		expect("with the store down again", restoredSpread, true, nil)
-		time.Sleep(lastKept)
-		expect("long after it was written", restoredSpread, false, ErrNotFound)
+		time.Sleep(byTimeInterval + time.Second)
+		expect("lost by a restore a second later", 0, false, nil)
+		expect("with the store down again", rewriteSpread, true, nil)
+		time.Sleep(lastObjectRetention)
+		expect("long after it was written", rewriteSpread, false, ErrNotFound)
 		cancel()
 		time.Sleep(time.Minute)
 	})
--- a/internal/archive/bytime.go
+++ b/internal/archive/bytime.go
@@ -15,7 +15,7 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// Listed is an object store that can be listed by prefix. Names come back in order.
+// Listed is an object store that can list names by prefix, in ascending order.
 type Listed interface {
 	Put(ctx context.Context, name string, b []byte) error
 	Get(ctx context.Context, name string) ([]byte, error)
@@ -24,23 +24,23 @@
 }
 
 const (
-	// byTimeEvery is how often a box writes its records: one object each time.
-	byTimeEvery = time.Minute
-	// keptFor is how long objects are kept; any box removes older ones, so that those of
-	// boxes that are gone go too, at most removedAtOnce each time.
-	keptFor       = 30 * time.Minute
-	removedAtOnce = 32
-	// searched bounds the objects that one search reads, the newest first.
-	searched = 256
-	// byTimePrefix begins the names of all objects, and stampForm comes next: names are in
-	// the order of time.
-	byTimePrefix = "records-"
-	stampForm    = "20060102150405"
+	// byTimeInterval is how often a box writes its records, as one object.
+	byTimeInterval = time.Minute
+	// retention is how long objects are kept. Any box removes older ones, at most maxRemovals each time, so
+	// that those of boxes that no longer exist are removed as well.
+	retention   = 30 * time.Minute
+	maxRemovals = 32
+	// maxSearched bounds the objects that one search reads, newest first.
+	maxSearched = 256
+	// byTimePrefix starts the names of all objects. The time follows in timestampLayout, so that names sort
+	// by time.
+	byTimePrefix    = "records-"
+	timestampLayout = "20060102150405"
 )
 
-// ByTime keeps the records of requests that are named by their callers, so that nothing
-// in an id tells where or when the request was served. Objects are named after the time
-// and the box, and a search goes back through them:
+// ByTime stores the records of requests whose ids are chosen by callers, so that an id does not tell where or
+// when the request was served. Objects are named after the time and the box, and a search goes back through
+// them:
 //
 //	records-20261202115600-front-malaga-hall-1
 type ByTime struct {
@@ -48,68 +48,68 @@
 	box   string
 	lost  *metrics.Counter
 
-	mu      sync.Mutex
-	waiting []*record.Record
-	last    writtenObject
-	// restored wakes Run when the store came back from an older copy.
-	restored chan struct{}
+	mu         sync.Mutex
+	pending    []*record.Record
+	lastObject writtenObject
+	// storeRestored wakes Run after the store was restored from an older snapshot.
+	storeRestored chan struct{}
 }
 
-// writtenObject is the newest object that a box wrote.
+// writtenObject is the object that the box wrote last.
 type writtenObject struct {
 	name  string
 	bytes []byte
 }
 
 const (
-	// lastKept is for how long an object is kept that an older copy of the store may lack, and mostLast bounds
-	// one that is kept, in bytes.
-	lastKept = 20 * time.Second
-	mostLast = 512 << 10
-	// restoredSpread keeps boxes from writing their objects again together.
-	restoredSpread = 5 * time.Second
+	// lastObjectRetention is how long the last object is kept in memory, since an older snapshot of the store
+	// may lack it, and maxLastObjectBytes bounds its size.
+	lastObjectRetention = 20 * time.Second
+	maxLastObjectBytes  = 512 << 10
+	// rewriteSpread keeps boxes from rewriting their objects all at the same time.
+	rewriteSpread = 5 * time.Second
 )
 
-// NewByTime returns an archive for a box; lost counts the records dropped.
+// NewByTime returns an archive for a box; lost counts the dropped records.
 func NewByTime(store Listed, box string, lost *metrics.Counter) *ByTime {
-	return &ByTime{store: store, box: box, lost: lost, restored: make(chan struct{}, 1)}
+	return &ByTime{store: store, box: box, lost: lost, storeRestored: make(chan struct{}, 1)}
 }
 
-// Add takes a finished record; it never blocks on the store.
+// Add queues a finished record; it never waits for the store.
 func (a *ByTime) Add(r *record.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.waiting = keep(a.waiting, r, a.lost)
+	a.pending = appendBounded(a.pending, r, a.lost)
 }
 
 // Run writes records until ctx ends.
 func (a *ByTime) Run(ctx context.Context) {
-	t := time.NewTicker(byTimeEvery)
+	t := time.NewTicker(byTimeInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			a.Flush(ctx)
 			a.removeOld(ctx, time.Now())
-		case <-a.restored:
-			a.writeAgain(ctx)
+		case <-a.storeRestored:
+			a.rewriteLast(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Flush writes what waits. What cannot be written stays for the next time.
+// Flush writes the pending records. If that fails, they stay pending.
 func (a *ByTime) Flush(ctx context.Context) {
 	a.mu.Lock()
-	list := a.waiting
-	a.waiting = nil
+	list := a.pending
+	a.pending = nil
 	a.mu.Unlock()
 	if len(list) == 0 {
 		return
 	}
-	b, err := pack(list)
-	name := byTimePrefix + time.Now().UTC().Format(stampForm) + "-" + a.box
+	b, err := encodeRecords(list)
+	name := byTimePrefix + time.Now().UTC().Format(timestampLayout) + "-" + a.box
 	if err == nil {
 		err = a.store.Put(ctx, name, b)
 	}
@@ -119,71 +119,71 @@
 		}
 		return
 	}
-	a.keepLast(writtenObject{name, b})
+	a.rememberLast(writtenObject{name, b})
 }
 
-// keepLast remembers an object for as long as an older copy of the store may lack it.
-func (a *ByTime) keepLast(o writtenObject) {
+// rememberLast keeps an object in memory for as long as an older snapshot of the store may lack it.
+func (a *ByTime) rememberLast(o writtenObject) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.last = o; len(o.bytes) > mostLast {
-		a.last = writtenObject{}
+	if a.lastObject = o; len(o.bytes) > maxLastObjectBytes {
+		a.lastObject = writtenObject{}
 		return
 	}
-	time.AfterFunc(lastKept, func() {
+	time.AfterFunc(lastObjectRetention, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if a.last.name == o.name {
-			a.last = writtenObject{}
+		if a.lastObject.name == o.name {
+			a.lastObject = writtenObject{}
 		}
 	})
 }
 
-// Restored says that the store has come back from an older copy.
-func (a *ByTime) Restored() {
+// StoreRestored tells the archive that the store was restored from an older snapshot.
+func (a *ByTime) StoreRestored() {
 	select {
-	case a.restored <- struct{}{}:
+	case a.storeRestored <- struct{}{}:
 	default:
 	}
 }
 
-// writeAgain writes the newest object again, which an older copy may lack.
-func (a *ByTime) writeAgain(ctx context.Context) {
+// rewriteLast writes the last object again, which an older snapshot may lack.
+func (a *ByTime) rewriteLast(ctx context.Context) {
 	select {
-	case <-time.After(rand.N(restoredSpread)):
+	case <-time.After(rand.N(rewriteSpread)):
 	case <-ctx.Done():
 		return
 	}
 	a.mu.Lock()
-	o := a.last
+	o := a.lastObject
 	a.mu.Unlock()
 	if o.name != "" && a.store.Put(ctx, o.name, o.bytes) != nil {
-		a.Restored() // Tried again until the object is too old.
+		a.StoreRestored() // Tried again until the object is too old.
 	}
 }
 
-// removeOld removes what is too old, whoever wrote it.
+// removeOld removes objects that are too old, of any box.
 func (a *ByTime) removeOld(ctx context.Context, now time.Time) {
 	names, err := a.store.List(ctx, byTimePrefix)
 	if err != nil {
 		return
 	}
-	oldest := byTimePrefix + now.Add(-keptFor).UTC().Format(stampForm)
+	oldest := byTimePrefix + now.Add(-retention).UTC().Format(timestampLayout)
 	for i, name := range names {
-		if i == removedAtOnce || name >= oldest || a.store.Delete(ctx, name) != nil {
+		if i == maxRemovals || name >= oldest || a.store.Delete(ctx, name) != nil {
 			return
 		}
 	}
 }
 
-// Find reads a record of any box, from the newest objects on.
+// Find reads a record of any box, searching from the newest object back.
 func (a *ByTime) Find(ctx context.Context, id string) (*record.Record, error) {
 	names, err := a.store.List(ctx, byTimePrefix)
 	if err != nil {
 		return nil, err
 	}
 	slices.Reverse(names)
-	for _, name := range names[:min(len(names), searched)] {
+	for _, name := range names[:min(len(names), maxSearched)] {
 		b, err := a.store.Get(ctx, name)
 		if errors.Is(err, ErrNotFound) {
 			continue // Another box has just removed it.
@@ -191,12 +191,12 @@
 		if err != nil {
 			return nil, err
 		}
-		if r, err := search(b, id); r != nil || err != nil {
+		if r, err := findRecord(b, id); r != nil || err != nil {
 			return r, err
 		}
 	}
-	if len(names) > searched {
-		return nil, fmt.Errorf("%w among the newest %d objects; the oldest of them is %s", ErrNotFound, searched, strings.TrimPrefix(names[searched-1], byTimePrefix))
+	if len(names) > maxSearched {
+		return nil, fmt.Errorf("%w among the newest %d objects; the oldest of them is %s", ErrNotFound, maxSearched, strings.TrimPrefix(names[maxSearched-1], byTimePrefix))
 	}
 	return nil, ErrNotFound
 }
--- a/internal/box/eras.go
+++ b/internal/box/eras.go
@@ -34,7 +34,7 @@
 	previous := int64(0)
 	if next.restored {
 		previous = last.era
-		b.archive.Restored()
+		b.archive.StoreRestored()
 	}
 	b.book.Log.Belief("store era", zap.Int64("era", era), zap.Int64("before", previous))
 }
