--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -72,8 +72,8 @@
 	a.Rec.Took = time.Since(a.arrived)
 	a.book.Records.Add(a.Rec)
 	a.book.Archive.Add(a.Rec)
-	a.book.Metrics.Ended(o)
-	a.book.Metrics.Took(a.Rec)
+	a.book.Metrics.CountEnd(o)
+	a.book.Metrics.ObserveTimes(a.Rec)
 	a.writeLog()
 }
 
@@ -101,7 +101,7 @@
 
 // Undelivered records that the end of an answer could not be written, and how long after Close that was.
 func (b *Book) Undelivered(id string, after time.Duration, err error) {
-	b.Metrics.BrokenOff(outcome.Undelivered)
+	b.Metrics.CountIncomplete(outcome.Undelivered)
 	b.Log.undelivered(id, after, err, b.conditions())
 }
 
--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -10,63 +10,62 @@
 )
 
 const (
-	// asyncBuffer bounds the lines that wait to be written, in bytes: some seconds of a
-	// busy box.
-	asyncBuffer = 256 << 10
-	// asyncEvery is how long lines are gathered before they are written together. It
-	// bounds what a killed process has not written yet.
-	asyncEvery = 200 * time.Millisecond
-	// hurriedEvery is the same once Hurry was called: what went wrong just before a process is killed must
-	// be in its log.
-	hurriedEvery = 5 * time.Millisecond
+	// maxPendingBytes bounds the lines that wait to be written, in bytes: several seconds of
+	// a busy box.
+	maxPendingBytes = 256 << 10
+	// flushDelay is how long lines are collected before they are written together. It
+	// bounds how many lines are lost when the process is killed.
+	flushDelay = 200 * time.Millisecond
+	// hurriedFlushDelay replaces flushDelay after a call of Hurry: a problem just before the process is killed
+	// must still reach the log.
+	hurriedFlushDelay = 5 * time.Millisecond
 )
 
-// Async hands lines to a writer from a goroutine of its own, so that nobody who logs ever
-// waits for it: not for a slow disk, nor for a pipe that nobody reads. Lines that do not
-// fit into its buffer are dropped and counted, and a line says how many once there is
-// room again.
+// Async passes lines to a writer from its own goroutine, so that logging never blocks: not on
+// a slow disk, nor on a pipe that nobody reads. Lines that do not fit into its buffer are
+// dropped and counted, and a line reports how many once there is room again.
 //
 // Example: the reader of standard output hangs for a minute. The first 256 KB of lines
-// wait, those after them are dropped, and when it reads again it finds the first ones,
-// then {"level":"warn","msg":"log lines dropped","lines":812}, then new ones.
+// are buffered, the ones after that are dropped, and when it reads again it receives the first
+// ones, then {"level":"warn","msg":"log lines dropped","lines":812}, then new ones.
 type Async struct {
 	w io.Writer
 	// wake has an entry while there is something to write.
 	wake chan struct{}
-	// hurry has an entry while what waits is to be written soon.
+	// hurry has an entry while the pending lines are to be written soon.
 	hurry chan struct{}
 
 	mu      sync.Mutex
-	waiting []byte
-	// writing says that lines were taken from waiting and are not written yet.
+	pending []byte
+	// writing means that lines were taken from pending and are not written yet.
 	writing bool
-	// gap counts the lines dropped since the last one that was taken.
-	gap     uint64
-	written uint64 // Bytes.
-	dropped uint64 // Lines.
+	// unreportedDrops counts the lines dropped since the last one that was accepted.
+	unreportedDrops uint64
+	written         uint64 // Bytes.
+	dropped         uint64 // Lines.
 }
 
-// NewAsync returns a writer of lines to w. Its goroutine lives as long as the process.
+// NewAsync returns a writer of lines to w. Its goroutine runs as long as the process.
 func NewAsync(w io.Writer) *Async {
 	a := &Async{w: w, wake: make(chan struct{}, 1), hurry: make(chan struct{}, 1)}
 	go a.run()
 	return a
 }
 
-// Write takes one line and never blocks on the writer behind it.
+// Write accepts one line and never blocks on the underlying writer.
 func (a *Async) Write(line []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.waiting)+len(line) > asyncBuffer {
-		a.gap++
+	if len(a.pending)+len(line) > maxPendingBytes {
+		a.unreportedDrops++
 		a.dropped++
 		return len(line), nil
 	}
-	if a.gap > 0 {
-		a.waiting = append(a.waiting, droppedLine(time.Now(), a.gap)...)
-		a.gap = 0
+	if a.unreportedDrops > 0 {
+		a.pending = append(a.pending, droppedNotice(time.Now(), a.unreportedDrops)...)
+		a.unreportedDrops = 0
 	}
-	a.waiting = append(a.waiting, line...)
+	a.pending = append(a.pending, line...)
 	select {
 	case a.wake <- struct{}{}:
 	default:
@@ -74,7 +73,7 @@
 	return len(line), nil
 }
 
-// Hurry has the lines that wait written soon.
+// Hurry has the pending lines written soon.
 func (a *Async) Hurry() {
 	select {
 	case a.hurry <- struct{}{}:
@@ -82,25 +81,25 @@
 	}
 }
 
-// gather returns once the lines that wait are to be written.
-func (a *Async) gather() {
+// awaitBatch returns once the pending lines are to be written.
+func (a *Async) awaitBatch() {
 	select {
-	case <-time.After(asyncEvery):
+	case <-time.After(flushDelay):
 	case <-a.hurry:
-		time.Sleep(hurriedEvery)
+		time.Sleep(hurriedFlushDelay)
 	}
 }
 
-// droppedLine says how many lines are missing at its place.
-func droppedLine(now time.Time, lines uint64) string {
+// droppedNotice is a log line that reports how many lines are missing at its place.
+func droppedNotice(now time.Time, lines uint64) string {
 	return fmt.Sprintf("{\"level\":\"warn\",\"time\":%q,\"msg\":\"log lines dropped\",\"lines\":%d}\n", now.Format(time.RFC3339Nano), lines)
 }
 
-// Sync waits until everything is written, but not for long: a reader that hangs must not
-// hold up the end of the process.
+// Sync waits until everything is written, but only briefly: a reader that hangs must not
+// delay the end of the process.
 func (a *Async) Sync() error {
 	const pause = 10 * time.Millisecond
-	for range 2 * asyncEvery / pause {
+	for range 2 * flushDelay / pause {
 		if a.idle() {
 			return nil
 		}
@@ -112,17 +111,17 @@
 func (a *Async) idle() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.waiting) == 0 && !a.writing
+	return len(a.pending) == 0 && !a.writing
 }
 
-// Busy says that the writer does not keep up: half of the room for lines is taken.
+// Busy reports whether the writer is falling behind: more than half of the buffer is used.
 func (a *Async) Busy() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.waiting) > asyncBuffer/2
+	return len(a.pending) > maxPendingBytes/2
 }
 
-// Register adds the writer's own figures to a set.
+// Register adds the writer's own metrics to a set.
 func (a *Async) Register(s *metrics.Set) {
 	read := func(n *uint64) func() float64 {
 		return func() float64 {
@@ -135,17 +134,17 @@
 	s.NewGauge("stoatramp_log_bytes_total", read(&a.written))
 }
 
-// run writes what waits, some lines at a time.
+// run writes the pending lines in batches.
 func (a *Async) run() {
 	var spare []byte
 	for range a.wake {
-		a.gather()
+		a.awaitBatch()
 		a.mu.Lock()
-		lines := a.waiting
-		a.waiting = spare[:0]
+		lines := a.pending
+		a.pending = spare[:0]
 		a.writing = true
 		a.mu.Unlock()
-		_, _ = a.w.Write(lines) // There is nowhere to say that the log is broken.
+		_, _ = a.w.Write(lines) // An error cannot be reported, since the log itself fails.
 		a.mu.Lock()
 		a.writing = false
 		a.written += uint64(len(lines))
--- a/internal/telemetry/async_test.go
+++ b/internal/telemetry/async_test.go
@@ -12,34 +12,34 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// gated is a writer that hangs until its gate opens.
-type gated struct {
+// gatedWriter blocks until its gate opens.
+type gatedWriter struct {
 	gate chan struct{}
 
 	mu  sync.Mutex
 	got bytes.Buffer
 }
 
-func (g *gated) Write(b []byte) (int, error) {
+func (g *gatedWriter) Write(b []byte) (int, error) {
 	<-g.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.got.Write(b)
 }
 
-func (g *gated) text() string {
+func (g *gatedWriter) text() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.got.String()
 }
 
-// end ends the writer's goroutine within the bubble.
-func end(a *Async) {
+// stopWriter ends the writer's goroutine, as synctest requires.
+func stopWriter(a *Async) {
 	close(a.wake)
 	time.Sleep(time.Minute)
 }
 
-func figure(t *testing.T, a *Async, name string) string {
+func gaugeValue(t *testing.T, a *Async, name string) string {
 	t.Helper()
 	s := metrics.NewSet()
 	a.Register(s)
@@ -54,21 +54,21 @@
 	return ""
 }
 
-// Nobody who logs waits while the reader hangs: in a bubble, a Write that waited for it
-// would be a deadlock. What did not fit is counted, and a line stands in its place.
+// Logging does not block while the reader hangs: in the synctest bubble a Write that waited for it would
+// deadlock. Lines that do not fit are counted, and a line reports them in their place.
 func TestAsyncHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gated{gate: make(chan struct{})}
+		g := &gatedWriter{gate: make(chan struct{})}
 		a := NewAsync(g)
 		line := strings.Repeat("x", 1023) + "\n"
-		const lines = 3 * asyncBuffer / 1024
+		const lines = 3 * maxPendingBytes / 1024
 		for range lines {
 			if n, err := a.Write([]byte(line)); n != len(line) || err != nil {
 				t.Fatalf("expected every line to be taken or dropped, got %d, %v", n, err)
 			}
 		}
 		if !a.Busy() {
-			t.Error("expected a full buffer to show")
+			t.Error("expected a full buffer to be reported as busy")
 		}
 		if err := a.Sync(); err != nil { // Bounded, although nothing can be written.
 			t.Error(err)
@@ -85,17 +85,17 @@
 		if want := fmt.Sprintf(`"lines":%d}`+"\nafter\n", lines-kept); !strings.HasSuffix(text, want) {
 			t.Errorf("expected the log to end with %q, got %q", want, text[len(text)-100:])
 		}
-		if got := figure(t, a, "stoatramp_log_lines_dropped_total"); got != fmt.Sprint(lines-kept) {
+		if got := gaugeValue(t, a, "stoatramp_log_lines_dropped_total"); got != fmt.Sprint(lines-kept) {
 			t.Errorf("expected %d dropped lines to be counted, got %s", lines-kept, got)
 		}
-		end(a)
+		stopWriter(a)
 	})
 }
 
-// Lines come out in order and whole, whoever writes them.
+// Lines are written whole and in order.
 func TestAsyncOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gated{gate: make(chan struct{})}
+		g := &gatedWriter{gate: make(chan struct{})}
 		close(g.gate)
 		a := NewAsync(g)
 		var want strings.Builder
@@ -108,27 +108,27 @@
 		if g.text() != want.String() {
 			t.Errorf("expected all lines in order, got %q", g.text())
 		}
-		end(a)
+		stopWriter(a)
 	})
 }
 
-// A process may be killed right after it cut an answer off.
+// Warnings are written without the usual delay, since the process may be killed right after it cut an answer off.
 func TestWarningsAreWrittenWithoutTheUsualPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &gated{gate: make(chan struct{})}
+		g := &gatedWriter{gate: make(chan struct{})}
 		close(g.gate)
 		a := NewAsync(g)
 		log := NewLogger(a)
 		log.Info("before")
-		time.Sleep(2 * hurriedEvery)
+		time.Sleep(2 * hurriedFlushDelay)
 		if g.text() != "" {
-			t.Errorf("expected lines to be gathered, got %q", g.text())
+			t.Errorf("expected lines to be batched, got %q", g.text())
 		}
 		log.Warn("cut off")
-		time.Sleep(2 * hurriedEvery)
+		time.Sleep(2 * hurriedFlushDelay)
 		if text := g.text(); !strings.Contains(text, "before") || !strings.Contains(text, "cut off") {
 			t.Errorf("expected both lines, got %q", text)
 		}
-		end(a)
+		stopWriter(a)
 	})
 }
--- a/internal/telemetry/routes.go
+++ b/internal/telemetry/routes.go
@@ -12,44 +12,44 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// Stage is a part of a request's time.
+// Stage is a phase of a request whose duration is measured.
 type Stage string
 
-// The stages. A plain request has StageWhole only.
+// The stages. A request that runs on no engine has StageTotal only.
 const (
-	// StageDecide ends when a pair of engines was chosen for the first time.
+	// StageDecide ends when a pair of engines was first selected.
 	StageDecide Stage = "decide"
-	// StageRead ends when a decode engine was told to take the prompt.
-	StageRead Stage = "read"
-	// StageBegin ends with the first event or token.
-	StageBegin Stage = "begin"
-	StageWhole Stage = "whole"
+	// StagePrefill ends when the prompt's cache is handed to a decode engine.
+	StagePrefill Stage = "read"
+	// StageFirstToken ends with the first event or token.
+	StageFirstToken Stage = "begin"
+	StageTotal      Stage = "whole"
 )
 
-// routes are the histograms of the routes that were asked for something. Routes come and
-// go with the configuration, so theirs do too.
-type routes struct {
+// routeHistograms are the histograms of the routes that received requests. Routes come and go with the
+// configuration, and so do their histograms.
+type routeHistograms struct {
 	set *metrics.Set
 
 	mu sync.Mutex
-	// names are those of a route's histograms, by route.
-	names map[string][]string
+	// histograms are the names of each route's histograms.
+	histograms map[string][]string
 }
 
-// maxRoutes bounds the routes with histograms of their own; others share one name.
+// maxRoutes bounds the routes with their own histograms; the others share those of otherRoutes.
 const maxRoutes = 64
 
 const otherRoutes = "(other)"
 
-// Took takes the times of a finished request.
-func (m *Metrics) Took(r *record.Record) {
+// ObserveTimes records the durations of a finished request.
+func (m *Metrics) ObserveTimes(r *record.Record) {
 	if r.Route == "" {
 		return
 	}
-	route := m.routes.name(r.Route)
-	m.routes.update(route, StageWhole, r.Took)
+	route := m.routes.label(r.Route)
+	m.routes.update(route, StageTotal, r.Took)
 	var last time.Duration
-	took := func(s Stage, at time.Duration) {
+	observe := func(s Stage, at time.Duration) {
 		m.routes.update(route, s, at-last)
 		last = at
 	}
@@ -57,16 +57,16 @@
 	for i := range r.Steps {
 		s := &r.Steps[i]
 		if seen[s.Kind] {
-			continue // Only the first try is timed; retries have counters.
+			continue // Only the first attempt is timed; retries have counters.
 		}
 		seen[s.Kind] = true
 		switch s.Kind {
 		case record.StepPrefill:
-			took(StageDecide, s.After)
+			observe(StageDecide, s.After)
 		case record.StepDecode:
-			took(StageRead, s.After)
+			observe(StagePrefill, s.After)
 		case record.StepFirst:
-			took(StageBegin, s.After)
+			observe(StageFirstToken, s.After)
 		}
 	}
 	if r.Kind != outcome.Answered {
@@ -81,43 +81,43 @@
 	}
 }
 
-// name is the name under which a route's times are kept.
-func (t *routes) name(route string) string {
+// label is the route label under which a route's durations are recorded.
+func (t *routeHistograms) label(route string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, ok := t.names[route]; ok {
+	if _, ok := t.histograms[route]; ok {
 		return route
 	}
-	if len(t.names) >= maxRoutes {
+	if len(t.histograms) >= maxRoutes {
 		return otherRoutes
 	}
-	t.names[route] = nil
+	t.histograms[route] = nil
 	return route
 }
 
-func (t *routes) update(route string, s Stage, took time.Duration) {
+func (t *routeHistograms) update(route string, s Stage, took time.Duration) {
 	name := fmt.Sprintf("stoatramp_stage_seconds{route=%q,stage=%q}", route, s)
 	t.set.GetOrCreateHistogram(name).Update(took.Seconds())
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if list, ok := t.names[route]; ok && len(list) < len(stages) && !slices.Contains(list, name) {
-		t.names[route] = append(list, name)
+	if list, ok := t.histograms[route]; ok && len(list) < len(stages) && !slices.Contains(list, name) {
+		t.histograms[route] = append(list, name)
 	}
 }
 
-var stages = [...]Stage{StageDecide, StageRead, StageBegin, StageWhole}
+var stages = [...]Stage{StageDecide, StagePrefill, StageFirstToken, StageTotal}
 
-// KeepRoutes drops the histograms of routes that are no longer configured.
+// KeepRoutes removes the histograms of routes that are no longer configured.
 func (m *Metrics) KeepRoutes(configured func(route string) bool) {
 	m.routes.mu.Lock()
 	defer m.routes.mu.Unlock()
-	for route, list := range m.routes.names {
+	for route, list := range m.routes.histograms {
 		if configured(route) {
 			continue
 		}
 		for _, name := range list {
 			m.Set.UnregisterMetric(name)
 		}
-		delete(m.routes.names, route)
+		delete(m.routes.histograms, route)
 	}
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry holds the counters, histograms and logger of a box.
+// Package telemetry contains the metrics and the logger of a box.
 package telemetry
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// Metrics are the figures of one box. Each box has a set of its own, so that
-// several can run in one test process.
+// Metrics are the metrics of one box. Each box has its own set, so that several boxes can
+// run in one test process.
 type Metrics struct {
 	Set *metrics.Set
 
@@ -21,23 +21,23 @@
 	refusals map[outcome.Reason]*metrics.Counter
 	retries  map[outcome.Reason]*metrics.Counter
 	wasted   map[outcome.Reason]*metrics.Counter
-	// broken counts answers that callers did not get whole, by cause.
-	broken map[outcome.Reason]*metrics.Counter
+	// incomplete counts the answers that callers did not receive whole, by cause.
+	incomplete map[outcome.Reason]*metrics.Counter
 
 	Moves       *metrics.Counter
 	Migrated    *metrics.Counter
 	MigratedNot *metrics.Counter
 	Resumes     *metrics.Counter
-	// CallsAgain counts the calls sent beyond the first of their request. The first that only
-	// has a prompt read is none of them.
+	// CallsAgain counts the calls beyond the first one of each request. The call that only runs the
+	// prefill is not counted.
 	CallsAgain *metrics.Counter
-	// EndedUnder counts the requests under which an endpoint ended, one for each call.
+	// EndedUnder counts calls during which an endpoint is suspected to have crashed.
 	EndedUnder *metrics.Counter
 	Aborts     *metrics.Counter
-	// LimitsNamed and LimitsLifted count the changes of limits that endpoints name in their answers,
-	// LeavingSeen and RestsAsked what else they ask for there, and NoticesUnread what cannot be read.
+	// LimitsNamed and LimitsLifted count changes of the limits that endpoints state in their answers, LeavingSeen
+	// and RestsAsked their notices of leaving and of pauses, and NoticesUnread notices that cannot be parsed.
 	LimitsNamed, LimitsLifted, LeavingSeen, RestsAsked, NoticesUnread *metrics.Counter
-	// Widened counts the times that a box took more endpoints of a service into account.
+	// Widened counts how often the box took more endpoints of a service into account.
 	Widened       *metrics.Counter
 	AbortsLost    *metrics.Counter
 	Crossed       *metrics.Counter
@@ -48,19 +48,19 @@
 	Goodput       *metrics.Counter
 	OnTime        *metrics.Counter
 	LogLeftOut    *metrics.Counter
-	// Stalls counts the times that the process was found to have had no processor for a while.
+	// Stalls counts the times that the process was found to have had no CPU time for a while.
 	Stalls        *metrics.Counter
 	ControlBytes  *metrics.Counter
 	RecordsLost   *metrics.Counter
 	FirstToken    *metrics.Histogram
 	BetweenTokens *metrics.Histogram
-	// LimitAsked is what finding out whether requests are within their clients' limits took.
+	// LimitAsked is the time that checking clients' limits took.
 	LimitAsked *metrics.Histogram
 
-	routes routes
+	routes routeHistograms
 }
 
-// NewMetrics makes every counter at zero, so that a reason never seen reads 0.
+// NewMetrics registers all counters, so that a reason that never occurred reads 0.
 func NewMetrics() *Metrics {
 	s := metrics.NewSet()
 	m := &Metrics{
@@ -69,7 +69,7 @@
 		refusals:      map[outcome.Reason]*metrics.Counter{},
 		retries:       map[outcome.Reason]*metrics.Counter{},
 		wasted:        map[outcome.Reason]*metrics.Counter{},
-		broken:        map[outcome.Reason]*metrics.Counter{},
+		incomplete:    map[outcome.Reason]*metrics.Counter{},
 		Moves:         s.NewCounter("stoatramp_moves_total"),
 		Migrated:      s.NewCounter(`stoatramp_migrations_total{outcome="moved"}`),
 		MigratedNot:   s.NewCounter(`stoatramp_migrations_total{outcome="stayed"}`),
@@ -93,7 +93,7 @@
 		OnTime:        s.NewCounter("stoatramp_on_time_total"),
 		Stalls:        s.NewCounter("stoatramp_stalls_total"),
 		LogLeftOut:    s.NewCounter("stoatramp_log_requests_left_out_total"),
-		routes:        routes{set: s, names: map[string][]string{}},
+		routes:        routeHistograms{set: s, histograms: map[string][]string{}},
 		ControlBytes:  s.NewCounter("stoatramp_control_bytes_total"),
 		RecordsLost:   s.NewCounter("stoatramp_records_lost_total"),
 		FirstToken:    s.NewHistogram("stoatramp_first_token_seconds"),
@@ -110,62 +110,59 @@
 		m.refusals[r] = s.NewCounter(fmt.Sprintf("stoatramp_refusals_total{reason=%q}", r))
 		m.retries[r] = s.NewCounter(fmt.Sprintf("stoatramp_retries_total{reason=%q}", r))
 		m.wasted[r] = s.NewCounter(fmt.Sprintf("stoatramp_wasted_prefill_tokens_total{reason=%q}", r))
-		m.broken[r] = s.NewCounter(fmt.Sprintf("stoatramp_answers_broken_off_total{cause=%q}", r))
+		m.incomplete[r] = s.NewCounter(fmt.Sprintf("stoatramp_answers_broken_off_total{cause=%q}", r))
 	})
 	return m
 }
 
-// Ended counts the end of a request.
-func (m *Metrics) Ended(o outcome.Outcome) {
+// CountEnd counts the outcome of a request.
+func (m *Metrics) CountEnd(o outcome.Outcome) {
 	m.outcomes[o.Kind].Inc()
 	if c := m.refusals[o.Reason]; c != nil {
 		c.Inc()
 	}
 	if o.Kind == outcome.CutOff || o.Kind == outcome.Cancelled {
-		m.BrokenOff(o.Reason)
+		m.CountIncomplete(o.Reason)
 	}
 }
 
-// BrokenOff counts an answer that its caller did not get whole.
-func (m *Metrics) BrokenOff(r outcome.Reason) {
-	if c := m.broken[r]; c != nil {
+// CountIncomplete counts an answer that its caller did not receive whole.
+func (m *Metrics) CountIncomplete(r outcome.Reason) {
+	if c := m.incomplete[r]; c != nil {
 		c.Inc()
 	}
 }
 
-// Retried counts a retry or move for its reason.
+// Retried counts a retry or migration by its reason.
 func (m *Metrics) Retried(r outcome.Reason) {
 	if c := m.retries[r]; c != nil {
 		c.Inc()
 	}
 }
 
-// Wasted counts prompt tokens read and thrown away.
+// Wasted counts prompt tokens that were computed and thrown away.
 func (m *Metrics) Wasted(r outcome.Reason, tokens int) {
 	if c := m.wasted[r]; c != nil {
 		c.Add(tokens)
 	}
 }
 
-// RefusalCount reads one counter.
 func (m *Metrics) RefusalCount(r outcome.Reason) uint64 { return m.refusals[r].Get() }
 
-// RetryCount reads one counter.
 func (m *Metrics) RetryCount(r outcome.Reason) uint64 { return m.retries[r].Get() }
 
-// WastedCount reads one counter.
 func (m *Metrics) WastedCount(r outcome.Reason) uint64 { return m.wasted[r].Get() }
 
-// Write prints all figures in the Prometheus text form.
+// Write writes all metrics in the Prometheus text format.
 func (m *Metrics) Write(w io.Writer) {
 	m.Set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-// hurrier is a writer that gathers lines, and that can be asked to write them soon.
+// hurrier is a writer that batches lines and can be asked to write them soon.
 type hurrier interface{ Hurry() }
 
-// NewLogger writes JSON lines to w.
+// NewLogger returns a logger that writes JSON lines to w.
 func NewLogger(w io.Writer) *zap.Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.TimeKey = "time"
