--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A suspension counts in full, and nothing that ran before it is taken back.
+// A suspension counts in full, also for times taken before it.
 func TestSuspended(t *testing.T) {
 	var d time.Duration
 	defer Set(func() time.Duration { return d })()
@@ -19,7 +19,7 @@
 	}
 }
 
-// While nothing is suspended it is the time of package time, and never goes back.
+// Without a suspension the time equals that of package time, and never decreases.
 func TestAwake(t *testing.T) {
 	last := Now()
 	for range 100_000 {
@@ -30,7 +30,7 @@
 		last = now
 	}
 	if d := time.Until(last); d > time.Millisecond || d < -time.Second {
-		t.Errorf("expected package time's time, got %s beside it", d)
+		t.Errorf("expected the time of package time, got %s beside it", d)
 	}
 }
 
