--- a/internal/box/relay.go
+++ b/internal/box/relay.go
@@ -321,7 +321,8 @@
 // shareInterval is the time between checks of how many other boxes there are.
 const shareInterval = time.Second
 
-// runShare has the box share its retry budget with the other boxes while it hears from them, and act alone otherwise.
+// runShare has the box coordinate with the other boxes while it hears from them, and act alone otherwise. It also
+// sets the box's share of the retries that the platform allows.
 func (b *RelayBox) runShare() {
 	for b.ctx.Err() == nil {
 		cfg := b.settings.Load()
