--- a/internal/decide/advise.go
+++ b/internal/decide/advise.go
@@ -7,85 +7,85 @@
 	"time"
 )
 
-// Advice says that engines of a pool should change their role.
+// Advice proposes that engines of a pool change their role.
 type Advice struct {
 	Pool    string
 	Region  string
 	Engines []string
-	Role    EngineRole // The one they should have.
+	Role    EngineRole // The role they should take.
 }
 
 const (
-	// adviceGain is how much more a pool must be able to carry for a change of role while it
-	// has requests: an engine that changes does nothing for some seconds. idleGain is the same
-	// while it has none, when a change costs nothing.
-	adviceGain = 1.25
-	idleGain   = 1.1
-	// idleAfter is how long ago the last request was seen where there are none, and for how
-	// long a box must have looked to say so.
+	// minGain is by what factor the capacity of a pool must grow for a change of role while it
+	// has requests: an engine that changes its role is unavailable for some seconds. minIdleGain
+	// is the same while the pool has none, when a change costs nothing.
+	minGain     = 1.25
+	minIdleGain = 1.1
+	// idleAfter is the time without requests after which a pool counts as idle. A box must
+	// also have been running for that long.
 	idleAfter = 2 * time.Second
-	// busyPart is the part of a role's engines, one in so many, that change at once while there
-	// are requests: what they did must be done by the others meanwhile.
-	busyPart = 4
-	// steadyFor is for how long no engine must have come or gone: when a fleet starts, or its
-	// list is read again, engines are listed one by one, and half a list advises wrongly.
-	steadyFor = 1500 * time.Millisecond
-	// usualRatio is how many times as long a request takes a decode engine as a prefill engine,
-	// for all that is known before the first: 2.8 to 3.4 on the deployments that were measured
-	// (docs/design/measures.md). It counts as much as usualSeen requests do.
-	usualRatio = 3.0
-	usualSeen  = 100
+	// busyChangeDivisor bounds how many engines change at once while there are requests: one in
+	// so many of a role. The other engines must take over their work meanwhile.
+	busyChangeDivisor = 4
+	// stableFor is how long no engine must have been added or removed: when a fleet starts or its
+	// list is read again, engines appear one by one, and a partial list gives wrong advice.
+	stableFor = 1500 * time.Millisecond
+	// defaultWorkRatio is the ratio of a request's work on a decode engine to that on a prefill
+	// engine before any requests are observed. On real deployments it is 2.8 to 3.4
+	// (docs/design/measures.md). It has the weight of defaultRatioWeight requests.
+	defaultWorkRatio   = 3.0
+	defaultRatioWeight = 100
 )
 
-// workRatio is how many times as long a mean request takes a decode engine as a prefill
-// engine. The longer requests have been seen, the less the usual one counts.
+// workRatio is the ratio of a mean request's work on a decode engine to that on a prefill
+// engine. The more requests have been observed, the less the default ratio counts.
 //
-// Example: the first 100 requests take a decode engine as long as a prefill engine, where
-// three times as long is usual. The ratio is the mean of both, by their logarithms: 1.7.
+// Example: the first 100 requests take a decode engine as long as a prefill engine, and the
+// default is three times as long. The ratio is the geometric mean of both: 1.7.
 func (p *pool) workRatio(region string) float64 {
-	n := p.evidence()
+	n := p.sampleCount()
 	if n == 0 {
-		return usualRatio
+		return defaultWorkRatio
 	}
 	g := p.in(region)
 	f := &flight{Request: Request{
-		Region: region, PromptTokens: int(p.meanPrompt), MaxTokens: int(p.meanOutput), BetweenTokens: p.gap,
+		Region: region, PromptTokens: int(p.meanPrompt), MaxTokens: int(p.meanOutput), BetweenTokens: p.tokenTarget,
 	}}
-	read := max(g.decode[0].readTime(int(p.meanRead)), p.idleTransfer(int(p.meanPrompt))) // All engines of a pool are alike.
-	seen := float64(n) / float64(n+usualSeen)
-	ratio := max(minRatio, p.decodeWork(f).Seconds()/max(minWork, read.Seconds()))
-	return math.Exp(seen*math.Log(ratio) + (1-seen)*math.Log(usualRatio))
+	prefillTime := max(g.decode[0].prefillTime(int(p.meanRead)), p.minTransferTime(int(p.meanPrompt))) // All engines of a pool are alike.
+	weight := float64(n) / float64(n+defaultRatioWeight)
+	ratio := max(minRatio, p.decodeWork(f).Seconds()/max(minWork, prefillTime.Seconds()))
+	return math.Exp(weight*math.Log(ratio) + (1-weight)*math.Log(defaultWorkRatio))
 }
 
-// evidence is how many requests tell what a request asks of engines.
-func (p *pool) evidence() int {
+// sampleCount is how many requests the estimated work per request is based on.
+func (p *pool) sampleCount() int {
 	switch {
-	case !p.known() || p.gap == 0: // Without a request of its own a box knows no target.
+	case !p.speedKnown() || p.tokenTarget == 0: // The target between tokens is known only from the box's own requests.
 		return 0
 	case !p.Learns:
-		return p.seen
+		return p.requestCount
 	}
-	return min(p.seen, p.speed.readsSeen, p.speed.stepsSeen)
+	return min(p.requestCount, p.speed.prefillCount, p.speed.stepCount)
 }
 
-// minRatio and minWork, in seconds, keep the arithmetic sound.
+// minRatio and minWork, in seconds, avoid division by zero and the logarithm of zero.
 const (
 	minRatio = 1e-3
 	minWork  = 1e-6
 )
 
-// Advise says which engine should change its role, if any should. A pool carries as
-// many requests as its scarcer role does, so the best split is the one whose busier
-// role is least busy.
+// Advise returns which engines should change their role, if any. A pool carries as many
+// requests as its scarcer role does, so the best split is the one whose busier role is
+// least busy.
 //
 // Example: a request takes 100 ms of a prefill engine and 500 ms of a decode engine, and
-// there are 3 and 6. The roles take 33 and 83 ms a request; with 2 and 7 it is 50 and 71,
-// which is 1.17 times better. With 300 ms instead of 500 it would be 50 and 43 in place of
-// 33 and 50, and nothing changes.
+// there are 3 and 6 of them. The roles take 33 and 83 ms per request; with 2 and 7 engines
+// it is 50 and 71, which is 1.17 times better. With 300 ms instead of 500 it would be 50 and
+// 43 instead of 33 and 50, and nothing changes.
 func (c *Core) Advise() (Advice, bool) {
 	for _, name := range c.names {
 		p := c.pools[name]
-		if c.now.Sub(p.changedAt) < steadyFor {
+		if c.now.Sub(p.changedAt) < stableFor {
 			continue
 		}
 		for _, region := range p.regionNames() {
@@ -108,32 +108,32 @@
 
 func (p *pool) advise(region string, now time.Time) (Advice, bool) {
 	g := p.in(region)
-	prefills, decodes := staying(g.prefill), staying(g.decode)
+	prefills, decodes := notLeaving(g.prefill), notLeaving(g.decode)
 	if len(prefills) == 0 && len(decodes) > 1 {
-		return Advice{Pool: p.Name, Region: region, Engines: mostAlike(decodes, 1), Role: Prefill}, true
+		return Advice{Pool: p.Name, Region: region, Engines: pickAcrossHalls(decodes, 1), Role: Prefill}, true
 	}
 	if len(prefills) == 0 || len(decodes) == 0 {
 		return Advice{}, false
 	}
 	ratio := p.workRatio(region)
-	readersNow, writersNow := len(prefills)+p.Beyond[Prefill], len(decodes)+p.Beyond[Decode]
-	busy := func(readers int) float64 {
-		writers := readersNow + writersNow - readers
-		return max(1/float64(readers), ratio/float64(writers))
+	prefillsNow, decodesNow := len(prefills)+p.Beyond[Prefill], len(decodes)+p.Beyond[Decode]
+	load := func(nPrefill int) float64 {
+		nDecode := prefillsNow + decodesNow - nPrefill
+		return max(1/float64(nPrefill), ratio/float64(nDecode))
 	}
-	idle := now.Sub(p.seenAt) > idleAfter && now.Sub(p.since) > idleAfter
-	gain := adviceGain
+	idle := now.Sub(p.lastRequestAt) > idleAfter && now.Sub(p.createdAt) > idleAfter
+	gain := minGain
 	if idle {
-		gain = idleGain
+		gain = minIdleGain
 	}
-	current := readersNow
+	current := prefillsNow
 	best := current
-	for n := 1; n < readersNow+writersNow; n++ {
-		if busy(n) < busy(best) {
+	for n := 1; n < prefillsNow+decodesNow; n++ {
+		if load(n) < load(best) {
 			best = n
 		}
 	}
-	if best == current || busy(current) < gain*busy(best) {
+	if best == current || load(current) < gain*load(best) {
 		return Advice{}, false
 	}
 	from, role := prefills, Decode
@@ -142,22 +142,22 @@
 	}
 	n := min(max(current-best, best-current), len(from)-1)
 	if !idle {
-		n = min(n, max(1, len(from)/busyPart))
+		n = min(n, max(1, len(from)/busyChangeDivisor))
 	}
 	if n < 1 {
 		return Advice{}, false
 	}
-	return Advice{Pool: p.Name, Region: region, Engines: mostAlike(from, n), Role: role}, true
+	return Advice{Pool: p.Name, Region: region, Engines: pickAcrossHalls(from, n), Role: role}, true
 }
 
-// staying lists the engines that are not leaving, by name.
-func staying(list []*engine) []*engine {
+// notLeaving returns the engines that are not leaving, in the same order.
+func notLeaving(list []*engine) []*engine {
 	return slices.DeleteFunc(slices.Clone(list), func(e *engine) bool { return e.leaving() })
 }
 
-// mostAlike picks n engines, each of the hall that has most engines of the role left, so
-// that every hall keeps some.
-func mostAlike(list []*engine, n int) []string {
+// pickAcrossHalls picks n engines, each in the hall with the most engines of the role left,
+// so that every hall keeps some.
+func pickAcrossHalls(list []*engine, n int) []string {
 	list = slices.Clone(list)
 	halls := map[string]int{}
 	for _, e := range list {
--- a/internal/decide/advise_test.go
+++ b/internal/decide/advise_test.go
@@ -9,8 +9,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// poolOf returns a core with so many engines of each role, in three halls.
-func poolOf(prefills, decodes int, selfRead float64) *Core {
+// newPoolCore returns a core with the given number of engines of each role, in three halls.
+func newPoolCore(prefills, decodes int, selfRead float64) *Core {
 	c := New(rand.New(rand.NewPCG(1, 1)), 100)
 	f := Fleet{Pools: []Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: time.Second, SelfRead: selfRead}}}
 	for i := range prefills + decodes {
@@ -25,23 +25,23 @@
 	}
 	now := time.Unix(1_800_000_000, 0)
 	c.Step(now, f)
-	c.now = now.Add(idleAfter + time.Millisecond) // An advice waits until no engine comes any more.
+	c.now = now.Add(idleAfter + time.Millisecond) // Advise waits until the list of engines is stable.
 	return c
 }
 
-// seen has the pool have seen many requests of 5,000 tokens with answers of so many.
-func (c *Core) seen(output int) *Core {
-	for range 100 * usualSeen {
-		c.pools["p"].saw(c.now, 5000, 5000, output, 5*time.Millisecond)
+// observeOutputs makes the pool observe many requests of 5,000 tokens with answers of the given length.
+func (c *Core) observeOutputs(output int) *Core {
+	for range 100 * defaultRatioWeight {
+		c.pools["p"].observe(c.now, 5000, 5000, output, 5*time.Millisecond)
 	}
 	return c
 }
 
-// expectAdvice has a pool see requests with answers of so many tokens until a time ago, and
-// expects so many engines to be told to change.
+// expectAdvice makes a pool observe requests with answers of the given length, the last one
+// the given time ago, and expects that number of engines to be told to change.
 func expectAdvice(t *testing.T, prefills, decodes, output int, ago time.Duration, changes int, role EngineRole) {
 	t.Helper()
-	c := poolOf(prefills, decodes, 0).seen(output)
+	c := newPoolCore(prefills, decodes, 0).observeOutputs(output)
 	c.now = c.now.Add(ago)
 	a, ok := c.Advise()
 	if ok != (changes > 0) || len(a.Engines) != changes || ok && a.Role != role {
@@ -56,13 +56,13 @@
 	expectAdvice(t, 2, 7, 4400, 0, 0, Decode)
 	expectAdvice(t, 1, 8, 4400, 0, 1, Prefill)
 	expectAdvice(t, 0, 9, 4400, 0, 1, Prefill)
-	expectAdvice(t, 3, 6, 100, 0, 1, Prefill) // Long prompts, terse answers.
+	expectAdvice(t, 3, 6, 100, 0, 1, Prefill) // Long prompts, short answers.
 	expectAdvice(t, 3, 6, 100, idleAfter+time.Millisecond, 5, Prefill)
 	expectAdvice(t, 30, 60, 100, 0, 15, Prefill)
 	expectAdvice(t, 1, 0, 4400, 0, 0, Decode)
 }
 
-// A change that gains little is made only while there are no requests that it could hurt.
+// A change that gains little is made only while there are no requests that it could disturb.
 func TestAdviseSmallGain(t *testing.T) {
 	expectAdvice(t, 4, 5, 4400, 0, 0, Decode)
 	expectAdvice(t, 4, 5, 4400, idleAfter+time.Millisecond, 2, Decode)
@@ -70,54 +70,54 @@
 	expectAdvice(t, 3, 6, 5500, idleAfter+time.Millisecond, 1, Decode)
 }
 
-// Before the first requests the usual ratio of the roles stands for what they ask of each.
-func TestAdviseUnseen(t *testing.T) {
+// Before the first requests the default work ratio of the roles applies.
+func TestAdviseWithoutRequests(t *testing.T) {
 	for _, tc := range []struct{ prefills, decodes, changes int }{{4, 5, 2}, {3, 6, 0}, {2, 7, 0}, {30, 60, 7}} {
-		a, _ := poolOf(tc.prefills, tc.decodes, 0).Advise()
+		a, _ := newPoolCore(tc.prefills, tc.decodes, 0).Advise()
 		if len(a.Engines) != tc.changes {
 			t.Errorf("%d and %d engines: expected %d changes, got %+v", tc.prefills, tc.decodes, tc.changes, a)
 		}
 	}
 }
 
-// While engines are still being listed nothing is ordered: what is there is a part.
+// While engines are still being listed there is no advice, since the list is incomplete.
 func TestAdviseGrowingList(t *testing.T) {
-	c := poolOf(4, 5, 0)
-	c.now = c.pools["p"].changedAt.Add(steadyFor - time.Millisecond)
+	c := newPoolCore(4, 5, 0)
+	c.now = c.pools["p"].changedAt.Add(stableFor - time.Millisecond)
 	if a, ok := c.Advise(); ok {
 		t.Errorf("expected no advice so soon after the last engine was listed, got %+v", a)
 	}
 }
 
-// A box that has only heard of other boxes' requests knows no target between tokens.
-func TestAdviseOthersOnly(t *testing.T) {
-	c := poolOf(2, 7, 0)
-	for range 100 * usualSeen {
-		c.pools["p"].sawElsewhere(Sent{At: c.now, Prompt: 5000, KV: 9400})
+// A box that knows only the requests of other boxes knows no target between tokens.
+func TestAdviseRemoteRequestsOnly(t *testing.T) {
+	c := newPoolCore(2, 7, 0)
+	for range 100 * defaultRatioWeight {
+		c.pools["p"].observeRemote(Sent{At: c.now, Prompt: 5000, KV: 9400})
 	}
 	if a, ok := c.Advise(); ok {
 		t.Errorf("expected no advice, got %+v", a)
 	}
 }
 
-// What engines' first answers seem to tell of their pace does not turn the roles over.
+// A few timings that suggest slow engines must not reverse the roles.
 func TestAdviseLittleEvidence(t *testing.T) {
-	c := poolOf(2, 7, 0).seen(4400)
+	c := newPoolCore(2, 7, 0).observeOutputs(4400)
 	p := c.pools["p"]
 	p.Learns = true
-	for range speedLeast {
+	for range minTimings {
 		c.learn(p, Timing{ReadTokens: 5000, Read: 2 * time.Second, Begin: time.Millisecond, Step: time.Millisecond, Streams: 5})
 	}
 	if a, ok := c.Advise(); ok {
-		t.Errorf("expected no advice by %d timings, got %+v", speedLeast, a)
+		t.Errorf("expected no advice after %d timings, got %+v", minTimings, a)
 	}
 }
 
-// Without prefill engines a decode engine that can reads the prompt, and one that cannot
-// leaves a truthful refusal.
+// Without prefill engines, a decode engine prefills the prompt itself if it can. If it
+// cannot, the request is refused as not run.
 func TestNoPrefillEngines(t *testing.T) {
 	for _, self := range []float64{0, 0.5} {
-		c := poolOf(0, 3, self)
+		c := newPoolCore(0, 3, self)
 		out := c.Step(c.now, Arrive{Request{ID: 1, Pool: "p", Region: "r", PromptTokens: 100, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond}})
 		switch a := out[len(out)-1].(type) {
 		case StartDecode:
@@ -134,7 +134,7 @@
 	}
 }
 
-// retriesLeft is how many retries may be spent now.
+// retriesLeft is how many retries the budget allows now.
 func retriesLeft(c *Core) (n int) {
 	for c.budget.Has(c.now, n+1) {
 		n++
@@ -142,10 +142,10 @@
 	return n
 }
 
-// An engine that refused to set memory aside is left alone for a moment, and no retry is
-// taken from the budget.
+// An engine that refused to reserve memory is not asked again for a short time, and the next
+// placement takes no retry from the budget.
 func TestNoRoomTriesAnother(t *testing.T) {
-	c := poolOf(1, 2, 0)
+	c := newPoolCore(1, 2, 0)
 	before := retriesLeft(c)
 	out := c.Step(c.now, Arrive{Request{ID: 1, Pool: "p", Region: "r", PromptTokens: 100, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond}})
 	first := out[len(out)-1].(StartPrefill)
@@ -158,55 +158,55 @@
 	if _, ok := out[len(out)-1].(Waiting); !ok {
 		t.Errorf("expected the request to wait while both are full, got %+v", out)
 	}
-	if out = c.Step(c.now.Add(noRoomPause+time.Millisecond), Tick{}); len(out) == 0 {
+	if out = c.Step(c.now.Add(refusedKVPause+time.Millisecond), Tick{}); len(out) == 0 {
 		t.Error("expected another try after the pause")
 	}
 }
 
-// expectReader has one prompt placed and expects it to be read by that engine.
-func expectReader(t *testing.T, c *Core, id ID, want string) Attempt {
+// expectPrefillOn places one request and expects the given engine to prefill its prompt.
+func expectPrefillOn(t *testing.T, c *Core, id ID, want string) Attempt {
 	t.Helper()
 	out := c.Step(c.now, Arrive{Request{ID: id, Pool: "p", Region: "r", PromptTokens: 100, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond, Repeatable: true, ReadNotRun: true}})
 	a, ok := out[len(out)-1].(StartPrefill)
 	if !ok || a.Prefill != want && want != "" {
-		t.Fatalf("expected request %d to be read by %q, got %+v", id, want, out)
+		t.Fatalf("expected request %d to be prefilled by %q, got %+v", id, want, out)
 	}
 	return a.Attempt
 }
 
-// An engine that turned a prompt away is a last resort for some seconds: whatever made it do
-// so lasts, and each refusal takes one of the few retries.
-func TestRefusedIsLastResort(t *testing.T) {
-	c := poolOf(2, 2, 0)
+// An engine that refused a prompt is a last resort for some seconds: the cause usually
+// persists, and each further refusal would take one of the few retries.
+func TestRefusingEngineIsLastResort(t *testing.T) {
+	c := newPoolCore(2, 2, 0)
 	out := c.Step(c.now, Arrive{Request{ID: 1, Pool: "p", Region: "r", PromptTokens: 100, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond, Repeatable: true, ReadNotRun: true}})
 	first := out[len(out)-1].(StartPrefill)
 	out = c.Step(c.now, Failed{ID: 1, Attempt: first.Attempt, Reason: outcome.EndpointRefused})
 	second := out[len(out)-1].(StartPrefill)
 	if second.Prefill == first.Prefill {
-		t.Fatalf("expected the other engine to read the prompt, got %+v", second)
+		t.Fatalf("expected the other engine to prefill the prompt, got %+v", second)
 	}
 	for id := ID(2); id < 8; id++ {
-		expectReader(t, c, id, second.Prefill)
+		expectPrefillOn(t, c, id, second.Prefill)
 	}
-	c.Step(c.now.Add(firstDoubt), Tick{})
+	c.Step(c.now.Add(minAvoidPeriod), Tick{})
 	c.Step(c.now, Cancel{ID: 1})
 	for id := ID(2); id < 8; id++ {
 		c.Step(c.now, Cancel{ID: id})
 	}
-	c.engines[second.Prefill].health.refused(c.now)
-	expectReader(t, c, 8, first.Prefill)
-	c.engines[first.Prefill].health.refused(c.now)
-	expectReader(t, c, 9, "")
+	c.engines[second.Prefill].health.noteRefusal(c.now)
+	expectPrefillOn(t, c, 8, first.Prefill)
+	c.engines[first.Prefill].health.noteRefusal(c.now)
+	expectPrefillOn(t, c, 9, "")
 }
 
-// An engine that carried out an order takes work as soon as its new role is known, and not
-// only when it is asked for its load again.
-func TestRoleChangeEndsOrder(t *testing.T) {
-	c := poolOf(1, 2, 0)
+// An engine that completed a role change takes work as soon as its new role is known, and not
+// only after the next load probe.
+func TestRoleChangeClearsLeaving(t *testing.T) {
+	c := newPoolCore(1, 2, 0)
 	e := c.engines["e01"]
 	c.Step(c.now, Report{Engine: "e01", At: c.now, Leaving: true})
 	if !e.leaving() {
-		t.Fatal("expected the engine to be away while it carries out an order")
+		t.Fatal("expected the engine to be unavailable while it changes its role")
 	}
 	f := Fleet{}
 	for _, name := range []string{"e00", "e01", "e02"} {
@@ -219,31 +219,31 @@
 	}
 }
 
-// A box that has just started has seen no requests and cannot say that there are none.
+// A box that has just started has observed no requests and cannot tell whether the pool is idle.
 func TestAdviseAtStart(t *testing.T) {
-	c := poolOf(4, 5, 0)
-	c.now = c.pools["p"].since.Add(steadyFor)
+	c := newPoolCore(4, 5, 0)
+	c.now = c.pools["p"].createdAt.Add(stableFor)
 	if a, ok := c.Advise(); ok {
 		t.Errorf("expected no advice for a small gain so soon after the start, got %+v", a)
 	}
 }
 
-// A box that starts with what others learned goes by that at once, and not by what is usual.
-func TestAdviseRemembered(t *testing.T) {
-	c := poolOf(2, 7, 0).seen(4400)
-	l := c.pools["p"].learned()
+// A box that starts with the estimates of other boxes uses them at once instead of the default ratio.
+func TestAdviseWithPriorEstimates(t *testing.T) {
+	c := newPoolCore(2, 7, 0).observeOutputs(4400)
+	l := c.pools["p"].estimates()
 	l.PrefillRate, l.Step, l.Requests = 50_000, 600*time.Microsecond, 10_000
-	l.Output = 2200 // As much work for each role.
-	late := poolOf(4, 5, 0)
-	late.pools["p"].Learns = true
-	late.Step(late.now, Remember{l})
-	if a, ok := late.Advise(); ok {
-		t.Errorf("expected the split to stand, got %+v", a)
+	l.Output = 2200 // Equal work for both roles.
+	other := newPoolCore(4, 5, 0)
+	other.pools["p"].Learns = true
+	other.Step(other.now, Remember{l})
+	if a, ok := other.Advise(); ok {
+		t.Errorf("expected the split to be kept, got %+v", a)
 	}
 }
 
 // Engines whose streams do not slow each other, or seem not to by the first timings, are
-// bounded by memory and places, and not taken to write one stream at a time.
+// bounded by memory and slots. They must not be treated as running one stream at a time.
 func TestBatch(t *testing.T) {
 	for _, tc := range []struct {
 		perStream time.Duration
@@ -255,10 +255,10 @@
 		{100 * time.Microsecond, 0, 190 * time.Millisecond},
 		{10 * time.Millisecond, 0, 5 * time.Second}, // The target allows one.
 	} {
-		p := &pool{bestStep: time.Millisecond, bestPerStream: tc.perStream, regions: map[string]*region{"r": {mostKV: 10_000, mostSlots: tc.slots}}}
+		p := &pool{minStep: time.Millisecond, minStepPerStream: tc.perStream, regions: map[string]*region{"r": {maxKV: 10_000, maxSlots: tc.slots}}}
 		f := &flight{Request: Request{Region: "r", PromptTokens: 500, MaxTokens: 1000, BetweenTokens: 5 * time.Millisecond}}
 		if got := p.decodeWork(f); got != tc.want {
-			t.Errorf("%v a stream, %d places: expected %v, got %v", tc.perStream, tc.slots, tc.want, got)
+			t.Errorf("%v per stream, %d slots: expected %v, got %v", tc.perStream, tc.slots, tc.want, got)
 		}
 	}
 }
--- a/internal/decide/arrive.go
+++ b/internal/decide/arrive.go
@@ -8,97 +8,96 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file takes requests in: from arrival to the queue, and out of it again.
+// This file handles requests from their arrival to the queue, and those that leave the queue.
 
-func (c *Core) arrive(r Request) {
+func (c *Core) handleArrive(r Request) {
 	c.budget.Arrived(c.now)
-	f := &flight{Request: r, pool: c.pools[r.Pool], arrived: c.now, patient: r.ServeLate, yields: r.ServeLate}
+	f := &flight{Request: r, pool: c.pools[r.Pool], arrived: c.now, mayBeLate: r.ServeLate, yieldsToOnTime: r.ServeLate}
 	f.PromptTokens = max(1, f.PromptTokens)
 	c.flights[r.ID] = f
 	if f.pool == nil {
 		c.end(f, outcome.UnknownModel, "")
 		return
 	}
-	if !c.fits(f) {
+	if !c.checkCapacity(f) {
 		return
 	}
-	c.setWork(f)
-	f.pool.saw(c.now, f.PromptTokens, f.readTokens, f.expected(), f.BetweenTokens)
+	c.estimateWork(f)
+	f.pool.observe(c.now, f.PromptTokens, f.uncachedTokens, f.expectedOutput(), f.BetweenTokens)
 	f.order = f.latestStart.Add(time.Duration(f.Priority) * time.Second)
 	if f.Policy != nil && !c.admit(f) {
 		return
 	}
-	if f.yields {
-		f.order = f.order.Add(patientDelay)
+	if f.yieldsToOnTime {
+		f.order = f.order.Add(lateOrderDelay)
 	}
 	if f.CameBack {
 		f.order = f.arrived
 	}
-	f.pool.urgency.arrived(f)
-	if !f.patient && c.now.Add(c.shortestQueue(f)).After(f.latestStart) {
-		c.endLate(f, "every prefill engine has more to read already than the target allows")
+	f.pool.urgency.addArrival(f)
+	if !f.mayBeLate && c.now.Add(c.shortestQueue(f)).After(f.latestStart) {
+		c.endTooLate(f, "every prefill engine has more to read already than the target allows")
 		return
 	}
-	c.wait(f)
+	c.enqueue(f)
 }
 
-// comeBack is when a caller may try again where the reason may pass but nothing
-// tells when.
+// comeBack is the retry delay for a reason that is temporary but whose end is unknown.
 const comeBack = time.Second
 
-// fits refuses a request that no engine of the pool could ever hold, or that
+// checkCapacity refuses a request that is too large for every engine of the pool, or that
 // has no engine in its region at all.
-func (c *Core) fits(f *flight) bool {
+func (c *Core) checkCapacity(f *flight) bool {
 	g := f.pool.in(f.Region)
 	switch {
-	case g.prefills == 0 && f.pool.SelfRead == 0:
-		c.endRetry(f, outcome.NoPrefill, comeBack)
-	case g.mostKV == 0:
-		c.endRetry(f, outcome.NoDecode, comeBack)
-	case f.need() > g.mostKV:
-		c.end(f, outcome.PromptTooLong, fmt.Sprintf("it needs %d tokens of memory and the largest engine has %d", f.need(), g.mostKV))
+	case g.stayingPrefills == 0 && f.pool.SelfRead == 0:
+		c.endWithRetryAfter(f, outcome.NoPrefill, comeBack)
+	case g.maxKV == 0:
+		c.endWithRetryAfter(f, outcome.NoDecode, comeBack)
+	case f.kvNeed() > g.maxKV:
+		c.end(f, outcome.PromptTooLong, fmt.Sprintf("it needs %d tokens of memory and the largest engine has %d", f.kvNeed(), g.maxKV))
 	default:
 		return true
 	}
 	return false
 }
 
-// setWork works out the least work of the request, and when its prompt must start
-// to be read at the latest, with nothing else running.
-func (c *Core) setWork(f *flight) {
-	read := time.Duration(1<<63 - 1)
-	f.readTokens = f.PromptTokens
-	for _, e := range c.lookAt(f.pool, f) {
-		f.readTokens = min(f.readTokens, f.PromptTokens-e.cachedTokens(f))
-		read = min(read, e.readTime(f.PromptTokens-e.cachedTokens(f)))
+// estimateWork computes the least work of the request, and the latest start of its prefill
+// if nothing else is running.
+func (c *Core) estimateWork(f *flight) {
+	leastPrefill := time.Duration(1<<63 - 1)
+	f.uncachedTokens = f.PromptTokens
+	for _, e := range c.samplePrefills(f.pool, f) {
+		f.uncachedTokens = min(f.uncachedTokens, f.PromptTokens-e.cachedTokens(f))
+		leastPrefill = min(leastPrefill, e.prefillTime(f.PromptTokens-e.cachedTokens(f)))
 	}
-	if f.pool.SelfRead > 0 && len(c.prefills) == 0 {
+	if f.pool.SelfRead > 0 && len(c.sampledPrefills) == 0 {
 		for _, e := range f.pool.in(f.Region).decode {
-			read = min(read, time.Duration(float64(e.readTime(f.PromptTokens))/f.pool.SelfRead))
+			leastPrefill = min(leastPrefill, time.Duration(float64(e.prefillTime(f.PromptTokens))/f.pool.SelfRead))
 		}
 	}
-	transfer := f.pool.idleTransfer(f.PromptTokens)
-	f.work[Prefill] = max(read, transfer)
+	transfer := f.pool.minTransferTime(f.PromptTokens)
+	f.work[Prefill] = max(leastPrefill, transfer)
 	f.work[Decode] = f.pool.decodeWork(f)
-	f.latestStart = f.arrived.Add(f.FirstToken - read - f.pool.speed.ReadDelay - transfer - f.pool.beginTime(f.pool.bestStep))
+	f.latestStart = f.arrived.Add(f.FirstToken - leastPrefill - f.pool.speed.ReadDelay - transfer - f.pool.beginTime(f.pool.minStep))
 }
 
 func (c *Core) shortestQueue(f *flight) time.Duration {
 	least := time.Duration(1<<63 - 1)
-	for _, e := range c.lookAt(f.pool, f) {
-		reading, ahead := f.pool.urgency.wait(f, e.queueTime(c.now))
-		least = min(least, reading+ahead)
+	for _, e := range c.samplePrefills(f.pool, f) {
+		current, ahead := f.pool.urgency.wait(f, e.queueTime(c.now))
+		least = min(least, current+ahead)
 	}
-	if wait, ok := f.pool.selfReadSoonest(f, c.now); ok {
+	if wait, ok := f.pool.selfPrefillWait(f, c.now); ok {
 		least = min(least, wait)
 	}
 	return least
 }
 
-// retryAfter is how long the work ahead will take, at least a second, so that a
-// refused caller comes back when it has a chance.
+// retryAfter is how long the work ahead will take, at least a second, so that a refused
+// caller retries when it has a chance.
 func (c *Core) retryAfter(f *flight) time.Duration {
-	return max(time.Second, f.pool.ahead(f)+c.shortestQueue(f))
+	return max(time.Second, f.pool.timeAhead(f)+c.shortestQueue(f))
 }
 
 func (c *Core) admit(f *flight) bool {
@@ -107,21 +106,21 @@
 		c.emit(Ruled{f.ID, v})
 	}
 	if v.Refuse {
-		c.endRetry(f, outcome.PolicyRefused, comeBack)
+		c.endWithRetryAfter(f, outcome.PolicyRefused, comeBack)
 		return false
 	}
-	f.patient = f.patient || v.Wait
-	f.yields = f.yields || v.Wait
+	f.mayBeLate = f.mayBeLate || v.Wait
+	f.yieldsToOnTime = f.yieldsToOnTime || v.Wait
 	return true
 }
 
 func (c *Core) view(f *flight) View {
 	v := View{Waiting: len(f.pool.queue.items), PrefillQueue: c.shortestQueue(f)}
 	policy := f.Policy
-	f.Policy = nil // The prediction is the built-in one.
+	f.Policy = nil // Predict with the built-in rules only.
 	q, _, ok := c.choose(f.pool, f, c.now)
 	f.Policy = policy
-	for _, e := range c.decodes {
+	for _, e := range c.sampledDecodes {
 		v.DecodeFreeKV = max(v.DecodeFreeKV, e.freeKV())
 	}
 	if ok {
@@ -130,79 +129,79 @@
 	return v
 }
 
-// wait puts the request in the queue and at once tries to start what stands
-// first, so that a new request never passes a more urgent one. The queue's length
-// bounds new requests only: it would cut a stream off that has begun.
-func (c *Core) wait(f *flight) {
+// enqueue adds the request to the queue and then tries to start the first ones, so that a
+// new request never passes a more urgent one. The queue length limits only new requests:
+// it would otherwise cut off a stream that has begun.
+func (c *Core) enqueue(f *flight) {
 	p := f.pool
-	if len(p.queue.items) >= c.maxWait && f.brokeAt.IsZero() {
-		c.endRetry(f, outcome.QueueFull, c.retryAfter(f))
+	if len(p.queue.items) >= c.maxWaiting && f.brokeAt.IsZero() {
+		c.endWithRetryAfter(f, outcome.QueueFull, c.retryAfter(f))
 		return
 	}
 	f.stage = waiting
 	p.queue.add(f)
 	c.drainQueue(p)
-	c.relieve(p)
+	c.shedLate(p)
 	if f.stage != waiting || c.flights[f.ID] == nil {
 		return
 	}
 	c.emit(Waiting{f.ID, f.waitReason(), View{Waiting: len(p.queue.items)}})
 }
 
-// waitReason says which role the request waits for.
+// waitReason is the role that the request waits for.
 func (f *flight) waitReason() outcome.Reason {
-	if f.lastCh != nil && f.lastCh.Passed.NoRoom+f.lastCh.Passed.TooSlow > 0 && f.lastCh.Compared == 0 {
+	if f.lastChoice != nil && f.lastChoice.Passed.NoRoom+f.lastChoice.Passed.TooSlow > 0 && f.lastChoice.Compared == 0 {
 		return outcome.NoDecode
 	}
 	return outcome.NoPrefill
 }
 
-// drainQueue starts waiting requests, most urgent first, and refuses those that
-// can no longer meet their target. A few are tried past one that does not fit,
-// so that a large request does not hold up small ones.
+// drainQueue starts waiting requests, most urgent first, and refuses those that can no
+// longer meet their target. After one that does not fit, a few more are tried, so that a
+// large request does not block small ones.
 func (c *Core) drainQueue(p *pool) {
 	if p == nil {
 		return
 	}
 	tried := 0
-	for i := 0; i < len(p.queue.items) && tried < queueTries; {
+	for i := 0; i < len(p.queue.items) && tried < maxPlacementTries; {
 		f := p.queue.items[i]
-		f.lastCh, f.late = nil, false
+		f.lastChoice, f.missesTarget = nil, false
 		if c.expired(f) {
-			c.endRetry(f, outcome.WaitExpired, c.retryAfter(f))
+			c.endWithRetryAfter(f, outcome.WaitExpired, c.retryAfter(f))
 			continue
 		}
-		if wait := c.closedFor(f); wait > 0 && c.now.Add(wait).After(f.lastStart()) {
-			c.endRetry(f, outcome.EndpointsThrottled, wait)
+		if wait := c.allThrottledFor(f); wait > 0 && c.now.Add(wait).After(f.startDeadline()) {
+			c.endWithRetryAfter(f, outcome.EndpointsThrottled, wait)
 			continue
 		}
 		tried++
 		switch {
 		case c.tryPlace(f):
 			p.queue.items = append(p.queue.items[:i], p.queue.items[i+1:]...)
-		case f.late:
-			c.endLate(f, "the best pair of engines would be too slow")
+		case f.missesTarget:
+			c.endTooLate(f, "the best pair of engines would be too slow")
 		default:
 			i++
 		}
 	}
-	p.findScarce(tried)
-	p.pace.look(c.now, len(p.queue.items) > 0)
+	p.updateScarceRole(tried)
+	p.throughput.update(c.now, len(p.queue.items) > 0)
 }
 
-// findScarce notes which role the first waiting requests lack.
-func (p *pool) findScarce(tried int) {
+// updateScarceRole determines which role most of the first waiting requests lack.
+func (p *pool) updateScarceRole(tried int) {
 	n := 0
-	seen := min(tried, len(p.queue.items))
-	for _, f := range p.queue.items[:seen] {
+	considered := min(tried, len(p.queue.items))
+	for _, f := range p.queue.items[:considered] {
 		if f.waitReason() == outcome.NoDecode {
 			n++
 		}
 	}
-	if seen > 0 {
-		p.scarce = Prefill
-		if 2*n > seen {
-			p.scarce = Decode
+	if considered > 0 {
+		p.scarceRole = Prefill
+		if 2*n > considered {
+			p.scarceRole = Decode
 		}
 	}
 }
@@ -211,36 +210,36 @@
 	if f.MaxWait > 0 {
 		return f.MaxWait
 	}
-	return patientWait
+	return defaultMaxWait
 }
 
-// decideWaiting refuses requests that are not expected to start in time: the sooner a caller
-// is told, the sooner it can do something else.
-func (c *Core) decideWaiting(p *pool) {
+// refuseUnlikely refuses requests that are not expected to start in time: the sooner callers
+// know, the sooner they can react.
+func (c *Core) refuseUnlikely(p *pool) {
 	for _, f := range slices.Clone(p.queue.items) {
-		if !f.RefuseEarly || f.patient {
+		if !f.RefuseEarly || f.mayBeLate {
 			continue
 		}
-		if c.now.Add(p.ahead(f)).After(f.latestStart) {
-			c.endLate(f, "more urgent requests that wait take longer than its target allows")
+		if c.now.Add(p.timeAhead(f)).After(f.latestStart) {
+			c.endTooLate(f, "more urgent requests that wait take longer than its target allows")
 			continue
 		}
-		if c.others.chance(c.now, len(p.queue.items), f.latestStart.Sub(c.now)) < leastChance {
-			c.endLate(f, "too many wait on all boxes for it to start in time")
+		if c.remote.startChance(c.now, len(p.queue.items), f.latestStart.Sub(c.now)) < minStartChance {
+			c.endTooLate(f, "too many wait on all boxes for it to start in time")
 		}
 	}
 }
 
-// lastStart is when a request that waits is given up. A caller's patience with a stream that has begun runs from
-// where it broke.
-func (f *flight) lastStart() time.Time {
+// startDeadline is when a waiting request is given up. For a stream that has begun, the wait
+// counts from the loss of its connection.
+func (f *flight) startDeadline() time.Time {
 	switch {
 	case !f.brokeAt.IsZero():
 		return f.brokeAt.Add(f.maxWait())
-	case f.patient:
+	case f.mayBeLate:
 		return f.arrived.Add(f.maxWait())
 	}
 	return f.latestStart
 }
 
-func (c *Core) expired(f *flight) bool { return c.now.After(f.lastStart()) }
+func (c *Core) expired(f *flight) bool { return c.now.After(f.startDeadline()) }
--- a/internal/decide/core.go
+++ b/internal/decide/core.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	// prefillWindow is how much work at least as urgent a prefill engine may have in
-	// front of a new prompt. Beyond it a request waits on the box, where a better engine or a
-	// more urgent request can still come first.
-	prefillWindow = 80 * time.Millisecond
-	// linkWindow is the same for the transfer: how long it may have to wait for
-	// its links. Large transfers kept on the box leave room for small ones.
-	linkWindow = 100 * time.Millisecond
-	// rebindGain is how much sooner an answer must begin for its decode engine to
-	// be changed once the prompt is read.
-	rebindGain = 5 * time.Millisecond
-	// A stage counts as stalled when it takes stallFactor times its prediction
-	// and half the first-token target longer, within these margins. It then moves
-	// if there is somewhere better to go, and goes on otherwise: a slow call is
-	// not a lost one, and giving up many at once would only load the others.
+	// maxPrefillBacklog is how much work of at least the same urgency a prefill engine may
+	// have queued ahead of a new prompt. Beyond it the request waits on the box, where a better
+	// engine or a more urgent request can still come first.
+	maxPrefillBacklog = 80 * time.Millisecond
+	// maxLinkBacklog is the same for the transfer: how long it may wait for its links. Large
+	// transfers that wait on the box leave room for small ones.
+	maxLinkBacklog = 100 * time.Millisecond
+	// minRebindGain is how much sooner an answer must begin for the decode engine to be
+	// changed once the prompt is prefilled.
+	minRebindGain = 5 * time.Millisecond
+	// A stage counts as stalled when it takes longer than stallFactor times its predicted
+	// duration plus half the first-token target, the latter within these margins. The
+	// request is then moved if another engine can take it, and otherwise left alone: a slow
+	// call is not a lost one, and giving up many at once would only load the other engines.
 	stallFactor    = 3
-	shortestMargin = 300 * time.Millisecond
-	longestMargin  = 2 * time.Second
-	// hardStall, added to the target, ends a stage whatever else is true.
-	hardStall = 5 * time.Second
-	// expirySafety is how long before the expiry a result is no longer used.
-	expirySafety = 50 * time.Millisecond
-	// patientWait bounds the wait of a request that may run late.
-	patientWait = 30 * time.Second
-	// patientDelay puts requests that may be late behind those that may not: they
-	// would otherwise be the most urgent as soon as they are late, and make all
-	// others late too.
-	patientDelay = patientWait
-	// maxTries bounds the prefills of one request, whatever the budget says.
+	minStallMargin = 300 * time.Millisecond
+	maxStallMargin = 2 * time.Second
+	// hardStallTimeout plus the first-token target ends a stage in any case.
+	hardStallTimeout = 5 * time.Second
+	// expiryMargin is how long before its expiry a KV cache is no longer used.
+	expiryMargin = 50 * time.Millisecond
+	// defaultMaxWait bounds the wait of a request that may be late.
+	defaultMaxWait = 30 * time.Second
+	// lateOrderDelay puts requests that may be late behind those that may not. Otherwise
+	// they would become the most urgent ones as soon as they are late, and delay all
+	// others past their targets too.
+	lateOrderDelay = defaultMaxWait
+	// maxTries bounds the prefills of one request, even if the retry budget allows more.
 	maxTries = 3
-	// queueTries bounds how many waiting requests one event tries to place.
-	queueTries = 8
+	// maxPlacementTries bounds how many waiting requests one event tries to place.
+	maxPlacementTries = 8
 )
 
 type stage uint8
@@ -53,196 +53,198 @@
 	streaming
 )
 
-// flight is one request in the core's care.
+// flight is one request from its arrival to its end.
 type flight struct {
 	Request
 	pool    *pool
 	stage   stage
 	arrived time.Time
-	// latestStart is when the prompt must start to be read to meet the target.
+	// latestStart is when the prefill must start for the first-token target to be met.
 	latestStart time.Time
-	// work is the least time the request takes from an engine of each role. Of a
-	// prefill engine: for reading the prompt or sending the KV cache, whichever is
-	// longer. Of a decode engine: its share of a full batch while it is written.
+	// work is the least time that the request takes of an engine of each role. For a
+	// prefill engine it is the longer of the prefill and the transfer of the KV cache;
+	// for a decode engine, the request's share of a full batch while it is decoded.
 	work [2]time.Duration
-	// order is latestStart moved by the route's priority; the queue and the
-	// engines run the earliest first.
+	// order is latestStart adjusted by the route's priority; the queue and the engines
+	// run the earliest first.
 	order time.Time
-	// patient requests wait past their target.
-	patient bool
-	// brokeAt is when a stream last broke that had begun; zero if none did.
+	// mayBeLate requests wait past their target.
+	mayBeLate bool
+	// brokeAt is when the connection of a running stream was last lost; zero if it never was.
 	brokeAt time.Time
-	// yields puts a patient request behind all that can still be on time.
-	yields  bool
-	attempt Attempt
-	// ran is set once any part of the request may have run. It never goes back.
+	// yieldsToOnTime requests go behind all requests that can still be on time.
+	yieldsToOnTime bool
+	attempt        Attempt
+	// ran is set once any part of the request may have run, and is never reset.
 	ran bool
-	// ranOn are the decode engines that may have run any of it.
-	ranOn []*engine
-	tries int
-	// readSent and writeSent say that a call was sent to have the prompt read, and the answer made.
-	readSent, writeSent bool
-	avoid               *engine // The engine the last try failed on.
-	lastCh              *Choice // What the last attempt to place it saw.
-	late                bool    // That attempt saw no pair that could still meet the target.
-
-	prefill        *engine
-	prefillAttempt Attempt // 0 when no prefill engine holds anything for it.
-	reading        bool    // Whether the prefill's ledger entry stands.
-	selfReading    bool    // The same on a decode engine that reads the prompt itself.
-	readTokens     int     // Prompt tokens the prefill engine had to read.
-	expires        time.Time
-	kvTaken        bool // Whether a decode engine may have taken the prefill's result.
-
-	predictedRead time.Time // When the prompt was to be read, by the prediction.
-	// explained is when the prompt was to be read if no other box had sent anything.
-	explained time.Time
-	// planned is the engines whose links the transfer takes or is expected on.
-	planned [2]*engine
+	// enginesRun are the decode engines that may have run any part of the request.
+	enginesRun []*engine
+	tries      int
+	// prefillSent and decodeSent report whether a prefill call and a decode call were sent.
+	prefillSent, decodeSent bool
+	avoid                   *engine // The engine on which the last try failed.
+	lastChoice              *Choice // The result of the last attempt to place the request.
+	missesTarget            bool    // Whether that attempt found no pair that meets the target.
+
+	prefill             *engine
+	prefillAttempt      Attempt // 0 if no prefill engine holds anything for the request.
+	prefillReserved     bool    // Whether the ledger of the prefill engine contains the prompt.
+	selfPrefillReserved bool    // The same for a decode engine that prefills the prompt itself.
+	uncachedTokens      int     // Prompt tokens that are not cached on the prefill engine.
+	expires             time.Time
+	kvMayBeTaken        bool // Whether a decode engine may have taken the KV cache from the prefill engine.
+
+	predictedPrefillEnd time.Time
+	// ownWorkEnd is the predicted end of the prefill if no other box has sent work to the engine.
+	ownWorkEnd time.Time
+	// plannedLinks are the engines whose links the running or expected transfer uses.
+	plannedLinks [2]*engine
 
 	decode        *engine
-	decodeAttempt Attempt // 0 when no decode engine was sent anything.
-	held          int     // Tokens held in the decode ledger.
+	decodeAttempt Attempt // 0 if no decode engine was sent anything.
+	reservedKV    int     // Tokens reserved in the ledger of the decode engine.
 
-	// readAhead is how many tokens were known to be in front of the prompt, and timing what the
-	// request took of engines so far.
-	readAhead int
-	timing    Timing
+	// tokensAhead is how many tokens were known to be queued ahead of the prompt, and timing
+	// collects the time that the request took on engines.
+	tokensAhead int
+	timing      Timing
 
-	began time.Time // When the answer began.
-	// firstTokens came at once then, and wasMoved says that the stream went on elsewhere.
+	streamStart time.Time // When the answer began.
+	// firstTokens arrived with the first event; wasMigrated is set once the stream was migrated.
 	firstTokens int
-	wasMoved    bool
-	// target is the engine that the stream is being moved to, with targetHeld tokens held in
-	// its ledger, under moveAttempt; nil if it is not. It is not moved before stayUntil.
-	target      *engine
-	targetHeld  int
-	moveAttempt Attempt
-	moveAt      time.Time // When the retry for the move was taken.
-	stayUntil   time.Time
+	wasMigrated bool
+	// target is the engine that the stream is being migrated to by migrateAttempt, with
+	// targetReservedKV tokens reserved in its ledger; nil if no migration is under way. No
+	// migration starts before noMigrateBefore.
+	target           *engine
+	targetReservedKV int
+	migrateAttempt   Attempt
+	retryTakenAt     time.Time // When the retry for the migration was taken from the budget.
+	noMigrateBefore  time.Time
 
 	stageStart    time.Time
-	stageDeadline time.Time // When the stage counts as stalled; zero if it cannot.
+	stageDeadline time.Time // When the stage counts as stalled; zero if it cannot stall.
 }
 
-// need is the decode memory the request takes, in tokens.
-func (f *flight) need() int { return f.PromptTokens + f.MaxTokens }
+// kvNeed is the decode memory that the request can take, in tokens.
+func (f *flight) kvNeed() int { return f.PromptTokens + f.MaxTokens }
 
-// needNow is the decode memory that must be free for the request to begin, in tokens.
-func (f *flight) needNow() int {
+// kvNeedAtStart is the decode memory that must be free for decoding to begin, in tokens.
+func (f *flight) kvNeedAtStart() int {
 	if f.Ahead > 0 {
 		return f.PromptTokens + min(f.Ahead, f.MaxTokens)
 	}
-	return f.need()
+	return f.kvNeed()
 }
 
-// expected is the length of the answer that is expected, in tokens.
-func (f *flight) expected() int {
+// expectedOutput is the expected length of the answer, in tokens.
+func (f *flight) expectedOutput() int {
 	if f.ExpectTokens > 0 {
 		return f.ExpectTokens
 	}
 	return f.MaxTokens
 }
 
-// fullStream is the answer length from which a stream counts as a whole one in
-// predictions of the step. A verdict of a few tokens is gone after a few steps.
-const fullStream = 64
+// fullStreamTokens is the answer length from which a request counts as a whole stream in
+// step-time predictions. Shorter answers end after a few steps.
+const fullStreamTokens = 64
 
-// weight is how much of a stream the request is, in predictions of the step.
-func (f *flight) weight() float64 { return min(1, float64(f.MaxTokens)/fullStream) }
+// streamWeight is the fraction of a stream that the request counts as in step-time predictions.
+func (f *flight) streamWeight() float64 { return min(1, float64(f.MaxTokens)/fullStreamTokens) }
 
-// Core is the state of the decisions of one box. It is not safe for concurrent use.
+// Core is the scheduling state of one box. It is not safe for concurrent use.
 type Core struct {
-	rng     *rand.Rand
-	maxWait int
-	engines map[string]*engine
-	pools   map[string]*pool
-	names   []string // Pool names in order, so that runs repeat exactly.
-	flights map[ID]*flight
-	// remembered is what was learned of pools before this core began.
-	remembered map[string]Learned
-	budget     retry.Budget
-	// ticked is when the latest tick was; zero before the first.
-	ticked time.Time
-	others others
-	// notices are what engines ask for in their answers; nil if that is not known.
+	rng        *rand.Rand
+	maxWaiting int
+	engines    map[string]*engine
+	pools      map[string]*pool
+	names      []string // Sorted pool names, so that runs are reproducible.
+	flights    map[ID]*flight
+	// priorEstimates are the estimates of pools that were loaded at the start.
+	priorEstimates map[string]Learned
+	budget         retry.Budget
+	// lastTick is the time of the last tick; zero before the first.
+	lastTick time.Time
+	remote   remoteLoad
+	// notices are the limits and pauses that engines announce in their answers; nil if unknown.
 	notices Notices
 	now     time.Time
-	out     []Action
+	actions []Action
 
-	// Scratch space of choose, kept to spare allocations.
-	prefills, decodes []*engine
-	readers           []reader
-	writers           []writer
-	best              []pair
+	// Scratch space of choose, reused to avoid allocations.
+	sampledPrefills, sampledDecodes []*engine
+	prefillOptions                  []prefillOption
+	decodeOptions                   []decodeOption
+	bestPairs                       []pair
 }
 
-// New returns an empty core that lets at most maxWait requests wait.
+// New returns an empty core that lets at most maxWaiting requests wait.
 func New(rng *rand.Rand, maxWait int) *Core {
 	c := &Core{
-		rng:        rng,
-		maxWait:    maxWait,
-		engines:    map[string]*engine{},
-		pools:      map[string]*pool{},
-		flights:    map[ID]*flight{},
-		remembered: map[string]Learned{},
+		rng:            rng,
+		maxWaiting:     maxWait,
+		engines:        map[string]*engine{},
+		pools:          map[string]*pool{},
+		flights:        map[ID]*flight{},
+		priorEstimates: map[string]Learned{},
 	}
-	c.budget.Fixed(retryShare, retryFree, retryWindow)
+	c.budget.Fixed(retryShare, freeRetries, retryWindow)
 	return c
 }
 
-// Notices are what engines ask of this box in their answers.
+// Notices gives access to the limits and pauses that engines announce to this box in their answers.
 type Notices interface {
-	// Wait is how long an engine takes nothing new of this box; 0 if it takes some now.
+	// Wait is how long an engine accepts no new requests of this box; 0 if it accepts some now.
 	Wait(engine string, now time.Time) time.Duration
-	// Sent notes that something new is sent to it.
+	// Sent records that a new request is sent to an engine.
 	Sent(engine string, now time.Time)
-	// Rests says that it has asked this box for rest, so that nothing is sent there that was placed before.
+	// Rests reports whether an engine asked this box for a pause, during which not even
+	// requests that were placed on it before may be sent.
 	Rests(engine string, now time.Time) bool
 }
 
-// SetNotices has the core keep to what engines ask for. It is for before the first event; a nil core
-// decides nothing.
+// SetNotices makes the core obey engine notices. It must be called before the first event;
+// on a nil core it does nothing.
 func (c *Core) SetNotices(n Notices) {
 	if c != nil {
 		c.notices = n
 	}
 }
 
-// waitFor is how long an engine takes nothing new of this box.
-func (c *Core) waitFor(e *engine) time.Duration {
+// throttledFor is how long an engine accepts no new requests of this box.
+func (c *Core) throttledFor(e *engine) time.Duration {
 	if c.notices == nil {
 		return 0
 	}
 	return c.notices.Wait(e.Name, c.now)
 }
 
-func (c *Core) sentTo(e *engine) {
-	e.usedAt = c.now
+func (c *Core) noteSent(e *engine) {
+	e.lastUsed = c.now
 	if c.notices != nil {
 		c.notices.Sent(e.Name, c.now)
 	}
 }
 
-func (c *Core) rests(e *engine) bool {
+func (c *Core) isPaused(e *engine) bool {
 	return c.notices != nil && c.notices.Rests(e.Name, c.now)
 }
 
-// closedFor is how long no engine that stays takes anything new for a request; 0 if one does.
-func (c *Core) closedFor(f *flight) time.Duration {
+// allThrottledFor is how long no engine that stays accepts a new request; 0 if one does now.
+func (c *Core) allThrottledFor(f *flight) time.Duration {
 	g := f.pool.in(f.Region)
-	if wait := c.closed(g.decode); wait > 0 || f.pool.SelfRead > 0 {
+	if wait := c.shortestThrottle(g.decode); wait > 0 || f.pool.SelfRead > 0 {
 		return wait
 	}
-	return c.closed(g.prefill)
+	return c.shortestThrottle(g.prefill)
 }
 
-func (c *Core) closed(list []*engine) (least time.Duration) {
+func (c *Core) shortestThrottle(list []*engine) (least time.Duration) {
 	for _, e := range list {
 		if e.leaving() {
 			continue
 		}
-		wait := c.waitFor(e)
+		wait := c.throttledFor(e)
 		if wait == 0 {
 			return 0
 		}
@@ -253,26 +255,26 @@
 	return least
 }
 
-// BoundRetries has the box keep to its part of the retries that a platform allows so many boxes,
-// of which this one started at a time.
+// BoundRetries limits the box to its share of the retries that a platform allows for the
+// given number of boxes. The box started at the given time.
 func (c *Core) BoundRetries(l retry.Limits, boxes int, started time.Time) {
 	c.budget.Bound(l, boxes, started)
 }
 
-// Connected says whether what other boxes do is heard of.
+// Connected sets whether messages of other boxes are received.
 func (c *Core) Connected(yes bool) {
 	for _, p := range c.pools {
-		p.endsHeard = yes
+		p.endsKnown = yes
 	}
 }
 
-// Writes says whether a decode call of a request is the one that its caller is answered from.
+// Writes reports whether a decode call of a request is the one that its caller is answered from.
 func (c *Core) Writes(id ID, a Attempt) bool {
 	f := c.flights[id]
 	return f != nil && f.stage == streaming && f.decodeAttempt == a
 }
 
-// Waiting is how many requests wait.
+// Waiting is the number of waiting requests.
 func (c *Core) Waiting() (n int) {
 	for _, p := range c.pools {
 		n += len(p.queue.items)
@@ -280,66 +282,66 @@
 	return n
 }
 
-// SetQueue changes how many requests may wait; those that wait already stay.
-func (c *Core) SetQueue(n int) { c.maxWait = n }
+// SetQueue sets how many requests may wait; requests that already wait are kept.
+func (c *Core) SetQueue(n int) { c.maxWaiting = n }
 
-// Step takes one event and returns what to do. The result is valid until the next call.
+// Step handles one event and returns the resulting actions. The slice is valid until the next call.
 func (c *Core) Step(now time.Time, ev Event) []Action {
 	c.now = now
-	c.out = c.out[:0]
+	c.actions = c.actions[:0]
 	switch ev := ev.(type) {
 	case Fleet:
-		c.fleet(ev)
+		c.updateFleet(ev)
 	case Arrive:
-		c.arrive(ev.Request)
+		c.handleArrive(ev.Request)
 	case Cancel:
-		c.cancel(ev.ID)
+		c.handleCancel(ev.ID)
 	case PrefillDone:
-		c.prefillDone(ev)
+		c.handlePrefillDone(ev)
 	case FirstToken:
-		c.firstToken(ev)
+		c.handleFirstToken(ev)
 	case Done:
-		c.done(ev)
+		c.handleDone(ev)
 	case Failed:
-		c.failedCall(ev)
+		c.handleFailed(ev)
 	case NoRoom:
-		c.noRoom(ev)
+		c.handleNoRoom(ev)
 	case Report:
-		c.report(ev)
+		c.handleReport(ev)
 	case Sent:
 		if e := c.engines[ev.Engine]; e != nil {
 			e.heardSent(ev)
 			if ev.KV > 0 {
-				c.others.started(ev.At)
-				c.pools[e.Pool].sawElsewhere(ev)
+				c.remote.addStart(ev.At)
+				c.pools[e.Pool].observeRemote(ev)
 			}
 		}
 	case Migrated:
-		c.migrated(ev)
+		c.handleMigrated(ev)
 	case MigrateFailed:
-		c.migrateFailed(ev)
+		c.handleMigrateFailed(ev)
 	case Refused:
 		if e := c.engines[ev.Engine]; e != nil {
-			e.health.refused(c.now)
+			e.health.noteRefusal(c.now)
 		}
 	case Ended:
 		if e := c.engines[ev.Engine]; e != nil {
 			p := c.pools[e.Pool]
-			e.heardEnded(p, ev)
+			e.addEnded(p, ev)
 			c.drainQueue(p)
 		}
 	case OthersWait:
-		c.others.waiting = ev.N
+		c.remote.waiting = ev.N
 	case Remember:
-		c.remember(ev.Learned)
+		c.handleRemember(ev.Learned)
 	case OtherTook:
 		if p := c.pools[ev.Pool]; p != nil {
 			c.learn(p, ev.Timing)
 		}
 	case Silent:
-		if e := c.engines[ev.Engine]; e != nil && !e.unanswered {
-			e.unanswered = true
-			c.emit(Believed{Engine: e.Name, State: SilentNow})
+		if e := c.engines[ev.Engine]; e != nil && !e.probeFailed {
+			e.probeFailed = true
+			c.emit(Believed{Engine: e.Name, State: Unresponsive})
 		}
 	case Evicted:
 		if e := c.engines[ev.Engine]; e != nil {
@@ -349,22 +351,22 @@
 			}
 		}
 	case Tick:
-		c.tick()
+		c.handleTick()
 	default:
 		panic(fmt.Sprintf("decide: unknown event %T", ev))
 	}
-	return c.out
+	return c.actions
 }
 
-func (c *Core) emit(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-// fleet brings the engines up to date and keeps what is known of those that stay.
-// An engine that vanishes keeps its ledger until its last request is gone.
-func (c *Core) fleet(ev Fleet) {
+// updateFleet replaces the engines and keeps the state of those that remain. An engine
+// that was removed keeps its ledger until its last request has ended.
+func (c *Core) updateFleet(ev Fleet) {
 	for _, p := range ev.Pools {
 		if c.pools[p.Name] == nil {
-			c.pools[p.Name] = &pool{since: c.now}
-			c.pools[p.Name].remember(c.remembered[p.Name])
+			c.pools[p.Name] = &pool{createdAt: c.now}
+			c.pools[p.Name].setPrior(c.priorEstimates[p.Name])
 			c.names = append(c.names, p.Name)
 			slices.Sort(c.names)
 		}
@@ -387,7 +389,7 @@
 			c.engines[cfg.Name] = e
 		}
 		if e.Role != cfg.Role {
-			// It has done the order that its report was about, and takes work again.
+			// The engine completed the role change that its report was about, and takes work again.
 			e.report.Leaving = false
 		}
 		e.Engine = cfg
@@ -414,28 +416,28 @@
 	}
 }
 
-// succeeded notes that a call to an engine came to something.
-func (c *Core) succeeded(e *engine) {
-	if e.health.failures >= failuresToSetAside {
+// noteSuccess records a successful call to an engine.
+func (c *Core) noteSuccess(e *engine) {
+	if e.health.failuresInRow >= failuresToSetAside {
 		c.emit(Believed{Engine: e.Name, State: Usable})
 	}
-	e.health.succeeded()
+	e.health.noteSuccess()
 }
 
-// blame notes that a call to an engine came to nothing.
-func (c *Core) blame(e *engine) {
-	e.health.failed(c.now)
-	if e.health.failures >= failuresToSetAside {
-		c.emit(Believed{Engine: e.Name, State: SetAside, Until: e.health.until})
+// noteFailure records a failed call to an engine.
+func (c *Core) noteFailure(e *engine) {
+	e.health.noteFailure(c.now)
+	if e.health.failuresInRow >= failuresToSetAside {
+		c.emit(Believed{Engine: e.Name, State: SetAside, Until: e.health.setAsideUntil})
 	}
 }
 
-func (c *Core) report(r Report) {
+func (c *Core) handleReport(r Report) {
 	e := c.engines[r.Engine]
 	if e == nil {
 		return
 	}
-	if e.unanswered {
+	if e.probeFailed {
 		c.emit(Believed{Engine: e.Name, State: Usable})
 	}
 	p := c.pools[e.Pool]
@@ -443,31 +445,31 @@
 	c.drainQueue(p)
 }
 
-// tickEvery is how often the driver is expected to send Tick.
-const tickEvery = 20 * time.Millisecond
+// tickInterval is how often the driver is expected to send Tick.
+const tickInterval = 20 * time.Millisecond
 
 // TickEvery is how often the driver should send Tick.
-func TickEvery() time.Duration { return tickEvery }
+func TickEvery() time.Duration { return tickInterval }
 
-func (c *Core) tick() {
-	c.allowForPause()
-	var late []*flight
+func (c *Core) handleTick() {
+	c.extendDeadlinesAfterPause()
+	var overdue []*flight
 	for _, f := range c.flights {
 		if f.stage == prefilling {
-			f.prefill.waited(c.now, c.now.Sub(f.explained), false)
+			f.prefill.observeWait(c.now, c.now.Sub(f.ownWorkEnd), false)
 		}
 		if f.stage != waiting && !f.stageDeadline.IsZero() && c.now.After(f.stageDeadline) {
-			late = append(late, f)
+			overdue = append(overdue, f)
 		}
 	}
-	slices.SortFunc(late, func(a, b *flight) int { return cmp.Compare(a.ID, b.ID) })
-	for _, f := range late {
-		c.stalled(f)
+	slices.SortFunc(overdue, func(a, b *flight) int { return cmp.Compare(a.ID, b.ID) })
+	for _, f := range overdue {
+		c.handleStall(f)
 	}
 	for _, name := range c.names {
 		c.drainQueue(c.pools[name])
-		c.decideWaiting(c.pools[name])
-		c.relieve(c.pools[name])
-		c.migrate(c.pools[name])
+		c.refuseUnlikely(c.pools[name])
+		c.shedLate(c.pools[name])
+		c.migrateStreams(c.pools[name])
 	}
 }
--- a/internal/decide/failure.go
+++ b/internal/decide/failure.go
@@ -7,44 +7,44 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file deals with attempts that fail or stall, with cancels, and with ends.
+// This file handles failed and stalled attempts, cancellations and the ends of requests.
 
-func (c *Core) failedCall(ev Failed) {
+func (c *Core) handleFailed(ev Failed) {
 	f := c.flights[ev.ID]
 	if f == nil || ev.Attempt != f.attempt {
 		return
 	}
 	f.ran = f.ran || ev.Ran
 	if ev.Ran && f.stage != prefilling {
-		f.noteRun()
+		f.noteMayHaveRun()
 	}
-	e := f.working()
+	e := f.currentEngine()
 	if e == nil {
 		return
 	}
-	c.blame(e)
+	c.noteFailure(e)
 	if f.stage == prefilling && ev.Reason == outcome.EndpointRefused {
-		e.health.refused(c.now)
+		e.health.noteRefusal(c.now)
 	}
-	c.callFailed(f, ev.Reason, ev.Ran, ev.KVGone)
+	c.recoverFromFailure(f, ev.Reason, ev.Ran, ev.KVGone)
 	c.drainQueue(f.pool)
 }
 
-// callFailed decides what becomes of a request whose current call is lost.
-func (c *Core) callFailed(f *flight, reason outcome.Reason, ran, kvGone bool) {
+// recoverFromFailure decides what becomes of a request whose current call failed.
+func (c *Core) recoverFromFailure(f *flight, reason outcome.Reason, ran, kvGone bool) {
 	switch f.stage {
 	case prefilling:
-		c.giveUpTry(f, reason, ran)
+		c.abandonTry(f, reason, ran)
 	case transferring:
-		c.decodeLost(f, reason, ran, kvGone)
+		c.retryDecode(f, reason, ran, kvGone)
 	case streaming:
 		if f.Resumable {
-			// The caller waits in the middle of its answer, and no target is left to
+			// The caller waits in the middle of its answer, and there is no target left to
 			// miss: any pair is better than none.
-			f.patient = true
+			f.mayBeLate = true
 			f.brokeAt = c.now
 			f.order = f.latestStart
-			c.giveUpTry(f, reason, ran)
+			c.abandonTry(f, reason, ran)
 			return
 		}
 		c.abortCalls(f)
@@ -52,132 +52,132 @@
 	}
 }
 
-// noRoomPause is how long a decode engine that refused to set memory aside is not
-// asked for as much again. Streams end several times a second on a busy engine.
-const noRoomPause = 100 * time.Millisecond
+// refusedKVPause is how long a decode engine that refused to reserve memory is not asked
+// for as much again. On a busy engine several streams end per second.
+const refusedKVPause = 100 * time.Millisecond
 
-// noRoom places a request anew whose decode engine turned out full: its figures were
-// old, or other boxes were first. Nothing was sent, so this is no try and needs no
-// retry budget.
-func (c *Core) noRoom(ev NoRoom) {
+// handleNoRoom places a request again whose decode engine turned out to be full, because
+// its figures were old or other boxes were faster. Nothing was sent, so this does not
+// count as a try and takes no retry from the budget.
+func (c *Core) handleNoRoom(ev NoRoom) {
 	f := c.flights[ev.ID]
-	whole := f != nil && f.stage == transferring && f.prefill == nil
-	if f == nil || f.stage != prefilling && !whole || ev.Attempt != f.attempt {
+	selfPrefilling := f != nil && f.stage == transferring && f.prefill == nil
+	if f == nil || f.stage != prefilling && !selfPrefilling || ev.Attempt != f.attempt {
 		return
 	}
-	f.decode.noRoomFor, f.decode.noRoomUntil = f.need(), c.now.Add(noRoomPause)
+	f.decode.refusedKV, f.decode.refusedKVUntil = f.kvNeed(), c.now.Add(refusedKVPause)
 	f.tries--
 	f.prefillAttempt, f.decodeAttempt = 0, 0
 	c.abortCalls(f)
-	c.wait(f)
+	c.enqueue(f)
 }
 
-// decodeLost moves the KV cache to a second decode engine while the prefill
-// engine still holds it, and otherwise gives up the try.
-func (c *Core) decodeLost(f *flight, reason outcome.Reason, ran, kvGone bool) {
+// retryDecode transfers the KV cache to a second decode engine while the prefill engine
+// still has it, and otherwise abandons the try.
+func (c *Core) retryDecode(f *flight, reason outcome.Reason, ran, kvGone bool) {
 	c.abortDecode(f)
-	// A call that may have run may have taken the KV cache, which serves once. An engine that refuses the
-	// next one tells that it did; without this each further engine is a retry for nothing.
-	kvGone = kvGone || f.kvTaken && reason == outcome.EndpointRefused
-	f.kvTaken = f.kvTaken || ran
-	usable := !kvGone && c.now.Add(expirySafety).Before(f.expires)
-	if usable && (f.Repeatable || !ran) && c.budget.Has(c.now, 1) && c.anotherDecode(f) {
+	// A call that may have run may have taken the KV cache, which can be taken only once. If another
+	// engine then refuses the request, the cache is gone; trying further engines would waste retries.
+	kvGone = kvGone || f.kvMayBeTaken && reason == outcome.EndpointRefused
+	f.kvMayBeTaken = f.kvMayBeTaken || ran
+	usable := !kvGone && c.now.Add(expiryMargin).Before(f.expires)
+	if usable && (f.Repeatable || !ran) && c.budget.Has(c.now, 1) && c.reserveOtherDecode(f) {
 		c.budget.Take(c.now, 1)
 		c.emit(Retry{f.ID, f.avoid.Name, reason})
 		c.startDecode(f, reason)
 		return
 	}
-	c.giveUpTry(f, reason, ran)
+	c.abandonTry(f, reason, ran)
 }
 
-// noteRun notes that the present decode engine may have run the request.
-func (f *flight) noteRun() {
-	if f.decode != nil && !slices.Contains(f.ranOn, f.decode) {
-		f.ranOn = append(f.ranOn, f.decode)
+// noteMayHaveRun records that the present decode engine may have run the request.
+func (f *flight) noteMayHaveRun() {
+	if f.decode != nil && !slices.Contains(f.enginesRun, f.decode) {
+		f.enginesRun = append(f.enginesRun, f.decode)
 	}
 }
 
-// mayRunOn says whether a decode engine may run the request: once as many as may have run
-// it did, only these may go on.
-func (f *flight) mayRunOn(e *engine) bool {
-	return f.MaxEngines <= 0 || len(f.ranOn) < f.MaxEngines || slices.Contains(f.ranOn, e)
+// canRunOn reports whether a decode engine may run the request. Once MaxEngines engines
+// may have run it, only these may continue.
+func (f *flight) canRunOn(e *engine) bool {
+	return f.MaxEngines <= 0 || len(f.enginesRun) < f.MaxEngines || slices.Contains(f.enginesRun, e)
 }
 
-// mayGoElsewhere says whether an engine besides those before and the present one may still
-// run the request.
-func (f *flight) mayGoElsewhere() bool {
-	n := len(f.ranOn)
-	if f.stage != prefilling && f.decode != nil && !slices.Contains(f.ranOn, f.decode) {
+// canUseAnotherEngine reports whether an engine other than the previous ones and the present
+// one may still run the request.
+func (f *flight) canUseAnotherEngine() bool {
+	n := len(f.enginesRun)
+	if f.stage != prefilling && f.decode != nil && !slices.Contains(f.enginesRun, f.decode) {
 		n++
 	}
 	return f.MaxEngines <= 0 || n < f.MaxEngines
 }
 
-// giveUpTry frees everything the try holds, and starts another where the
-// request may be repeated, the budget allows it and the target can still be met.
-func (c *Core) giveUpTry(f *flight, reason outcome.Reason, ran bool) {
+// abandonTry frees everything that the try holds, and starts another one if the request
+// may be repeated, the budget allows it and the target can still be met.
+func (c *Core) abandonTry(f *flight, reason outcome.Reason, ran bool) {
 	f.ran = f.ran || ran
 	if f.stage != prefilling || ran {
-		c.emit(Waste{f.ID, f.readTokens, reason})
+		c.emit(Waste{f.ID, f.uncachedTokens, reason})
 	}
-	f.avoid = f.failing()
-	again := f.callsAgain()
+	f.avoid = f.engineToBlame()
+	retries := f.retriesForNextTry()
 	c.abortCalls(f)
 	if f.ran && !f.Repeatable || f.tries >= maxTries {
 		c.end(f, reason, "")
 		return
 	}
-	if !f.patient && c.now.After(f.latestStart) {
+	if !f.mayBeLate && c.now.After(f.latestStart) {
 		c.end(f, reason, "")
 		return
 	}
-	if !c.budget.Take(c.now, again) {
+	if !c.budget.Take(c.now, retries) {
 		c.end(f, outcome.RetryBudget, reason.Sentence())
 		return
 	}
 	c.emit(Retry{f.ID, f.avoid.Name, reason})
-	c.wait(f)
+	c.enqueue(f)
 }
 
-// MayResume says whether a stream that breaks off now would be tried again.
+// MayResume reports whether a stream whose connection is lost now would be tried again.
 func (c *Core) MayResume(now time.Time, id ID) bool {
 	f := c.flights[id]
-	return f != nil && f.stage == streaming && f.Resumable && f.tries < maxTries && f.mayGoElsewhere() && c.budget.Has(now, f.callsAgain())
+	return f != nil && f.stage == streaming && f.Resumable && f.tries < maxTries && f.canUseAnotherEngine() && c.budget.Has(now, f.retriesForNextTry())
 }
 
-// TakeRetries takes n retries, all or none, and returns whether there were as many.
+// TakeRetries takes n retries, all or none, and reports whether there were enough.
 func (c *Core) TakeRetries(now time.Time, n int) bool { return c.budget.Take(now, n) }
 
-// callsAgain is how many calls beyond the first the next try will send, now that the present one
-// has failed: a platform counts a prompt that is read again like an answer that is made again.
-// With one retry for both all boxes sent twice what they took.
-func (f *flight) callsAgain() int {
-	f.readSent = f.readSent || f.prefill != nil
-	f.writeSent = f.writeSent || f.stage != prefilling
-	if f.readSent && f.writeSent {
+// retriesForNextTry is how many calls beyond the first of their kind the next try sends, now
+// that the present one failed. A platform counts a repeated prefill as well as a repeated
+// decode: when one retry paid for both, the boxes together sent twice what they had taken.
+func (f *flight) retriesForNextTry() int {
+	f.prefillSent = f.prefillSent || f.prefill != nil
+	f.decodeSent = f.decodeSent || f.stage != prefilling
+	if f.prefillSent && f.decodeSent {
 		return 2
 	}
 	return 1
 }
 
-// working is the engine that the present stage waits for; nil while nothing is sent.
-func (f *flight) working() *engine {
+// currentEngine is the engine that the present stage waits for; nil while nothing is sent.
+func (f *flight) currentEngine() *engine {
 	if f.stage == prefilling {
 		return f.prefill
 	}
 	return f.decode
 }
 
-// failing is the engine to blame for the present stage. A decode engine that was
-// given up already, in search of another, is the one avoided.
-func (f *flight) failing() *engine {
-	if e := f.working(); e != nil {
+// engineToBlame is the engine responsible for a failure of the present stage. If the
+// decode engine was already released in search of another, it is the avoided one.
+func (f *flight) engineToBlame() *engine {
+	if e := f.currentEngine(); e != nil {
 		return e
 	}
 	return f.avoid
 }
 
-// abortCalls tells engines to free what they hold for the request, and empties its ledger.
+// abortCalls aborts the open calls of the request and releases its ledger entries.
 func (c *Core) abortCalls(f *flight) {
 	c.abortDecode(f)
 	c.releasePrefill(f)
@@ -195,40 +195,40 @@
 	}
 }
 
-func (c *Core) cancel(id ID) {
+func (c *Core) handleCancel(id ID) {
 	f := c.flights[id]
 	if f == nil {
 		return
 	}
 	if f.stage == prefilling || f.stage == transferring {
-		c.emit(Waste{f.ID, f.readTokens, outcome.CallerGone})
+		c.emit(Waste{f.ID, f.uncachedTokens, outcome.CallerGone})
 	}
 	c.abortCalls(f)
 	c.forget(f)
 	c.drainQueue(f.pool)
 }
 
-// end ends a request without an answer. One that has not run and whose reason passes is
-// told when to come back.
+// end ends a request without an answer. If it has not run and the reason is temporary, the
+// caller is told when to retry.
 func (c *Core) end(f *flight, reason outcome.Reason, detail string) {
-	o := outcome.Outcome{Kind: f.unanswered(), Reason: reason, Detail: detail}
+	o := outcome.Outcome{Kind: f.kindWithoutAnswer(), Reason: reason, Detail: detail}
 	if o.Kind == outcome.NotRun && reason.Passes() {
 		o.RetryAfter = comeBack
 	}
 	c.finish(f, o)
 }
 
-func (c *Core) endRetry(f *flight, reason outcome.Reason, after time.Duration) {
-	c.finish(f, outcome.Outcome{Kind: f.unanswered(), Reason: reason, RetryAfter: after})
+func (c *Core) endWithRetryAfter(f *flight, reason outcome.Reason, after time.Duration) {
+	c.finish(f, outcome.Outcome{Kind: f.kindWithoutAnswer(), Reason: reason, RetryAfter: after})
 }
 
-// endLate refuses a request that cannot be on time, and says how that was told.
-func (c *Core) endLate(f *flight, detail string) {
-	c.finish(f, outcome.Outcome{Kind: f.unanswered(), Reason: outcome.TooLate, Detail: detail, RetryAfter: c.retryAfter(f)})
+// endTooLate refuses a request that cannot be on time; detail says why.
+func (c *Core) endTooLate(f *flight, detail string) {
+	c.finish(f, outcome.Outcome{Kind: f.kindWithoutAnswer(), Reason: outcome.TooLate, Detail: detail, RetryAfter: c.retryAfter(f)})
 }
 
-// unanswered is the kind of end that is true of a request without an answer.
-func (f *flight) unanswered() outcome.Kind {
+// kindWithoutAnswer is the outcome kind of a request that ends without an answer.
+func (f *flight) kindWithoutAnswer() outcome.Kind {
 	if f.ran {
 		return outcome.MayHaveRun
 	}
@@ -240,7 +240,7 @@
 	c.forget(f)
 }
 
-// forget removes the request; nothing of it stays in any ledger.
+// forget removes the request and all its ledger entries.
 func (c *Core) forget(f *flight) {
 	if f.pool != nil {
 		f.pool.queue.remove(f)
@@ -250,9 +250,9 @@
 	delete(c.flights, f.ID)
 }
 
-// stalled moves a request whose stage takes too long, or lets it go on.
-func (c *Core) stalled(f *flight) {
-	if c.now.Before(f.stageStart.Add(hardStall+f.FirstToken)) && !c.canMove(f) {
+// handleStall retries a request whose stage takes too long, or gives the stage more time.
+func (c *Core) handleStall(f *flight) {
+	if c.now.Before(f.stageStart.Add(hardStallTimeout+f.FirstToken)) && !c.hasAlternative(f) {
 		f.stageDeadline = c.now.Add(f.stallMargin())
 		return
 	}
@@ -260,49 +260,50 @@
 	if f.stage == prefilling {
 		reason = outcome.PrefillStalled
 	}
-	c.blame(f.working())
+	c.noteFailure(f.currentEngine())
 	ran := f.stage != prefilling || !f.ReadNotRun
 	if f.stage != prefilling {
-		f.noteRun()
+		f.noteMayHaveRun()
 	}
 	f.ran = f.ran || ran
-	c.callFailed(f, reason, ran, false)
+	c.recoverFromFailure(f, reason, ran, false)
 }
 
-// canMove says whether a stalled request has somewhere better to go.
-func (c *Core) canMove(f *flight) bool {
-	calls := 1 // A prompt's result is called for at another engine.
+// hasAlternative reports whether a stalled request can be moved to another engine.
+func (c *Core) hasAlternative(f *flight) bool {
+	calls := 1 // Once prefilled, only the decode call is repeated.
 	if f.stage == prefilling {
-		calls = f.callsAgain()
+		calls = f.retriesForNextTry()
 	}
-	if !f.Repeatable || !f.mayGoElsewhere() || !c.budget.Has(c.now, calls) {
+	if !f.Repeatable || !f.canUseAnotherEngine() || !c.budget.Has(c.now, calls) {
 		return false
 	}
 	var passed PassedOver
 	if f.stage == transferring {
-		c.findWriters(f.pool, f, c.now, &passed)
-		other := func(w writer) bool { return w.e != f.decode }
-		return c.now.Add(expirySafety).Before(f.expires) && slices.ContainsFunc(c.writers, other)
+		c.findDecodeOptions(f.pool, f, c.now, &passed)
+		other := func(option decodeOption) bool { return option.e != f.decode }
+		return c.now.Add(expiryMargin).Before(f.expires) && slices.ContainsFunc(c.decodeOptions, other)
 	}
-	if f.tries >= maxTries || !f.patient && c.now.After(f.latestStart) || f.prefill.hasQueued(f) {
+	if f.tries >= maxTries || !f.mayBeLate && c.now.After(f.latestStart) || f.prefill.mayBeQueued(f) {
 		return false
 	}
-	c.findReaders(f.pool, f, c.now, &passed)
-	return slices.ContainsFunc(c.readers, func(r reader) bool { return r.e != f.prefill && r.ahead <= prefillWindow })
+	c.findPrefillOptions(f.pool, f, c.now, &passed)
+	return slices.ContainsFunc(c.prefillOptions, func(option prefillOption) bool { return option.e != f.prefill && option.ahead <= maxPrefillBacklog })
 }
 
-// longestTick is how far apart ticks may be on a box that runs as it should, five times what is
-// asked for. A larger gap means that the box itself stood still.
-const longestTick = 5 * tickEvery
+// maxTickGap is the largest gap between ticks on a box that runs normally, five times the
+// tick interval. A larger gap means that the box itself was paused.
+const maxTickGap = 5 * tickInterval
 
-// allowForPause gives the stages under way the time again for which this box stood still: frozen, or
-// without a processor. What engines answered meanwhile lies unread, so their silence says nothing
-// of them. Each call that is given up then costs a retry and a prompt that is read for nothing.
-func (c *Core) allowForPause() {
-	gap := c.now.Sub(c.ticked)
-	first := c.ticked.IsZero()
-	c.ticked = c.now
-	if first || gap <= longestTick {
+// extendDeadlinesAfterPause adds the time for which this box was paused (frozen or without a
+// CPU) to the deadlines of running stages. Answers that arrived meanwhile are still unread, so
+// missing answers say nothing about the engines. Giving up these calls would cost a retry and
+// a repeated prefill each.
+func (c *Core) extendDeadlinesAfterPause() {
+	gap := c.now.Sub(c.lastTick)
+	first := c.lastTick.IsZero()
+	c.lastTick = c.now
+	if first || gap <= maxTickGap {
 		return
 	}
 	for _, f := range c.flights {
--- a/internal/decide/grant_test.go
+++ b/internal/decide/grant_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// grantScene is the home of one engine of 63,000 tokens that has just reported to be empty.
-func grantScene(now time.Time) *Core {
+// newGrantCore returns the owner of one engine of 63,000 tokens that has just reported to be empty.
+func newGrantCore(now time.Time) *Core {
 	c := New(rand.New(rand.NewPCG(1, 1)), 10)
 	c.Step(now, Fleet{
 		Pools:   []Pool{{Name: "p", Foresee: true}},
@@ -18,61 +18,60 @@
 	return c
 }
 
-// streamOf is a stream that an engine is asked to take.
-func streamOf(prompt int) Request {
+// streamRequest is a stream with a prompt of the given length that an engine is asked to take.
+func streamRequest(prompt int) Request {
 	return Request{PromptTokens: prompt, MaxTokens: 4000, ExpectTokens: 4400, Ahead: 512}
 }
 
-// granted counts how many of so many boxes that ask in one moment are granted room.
-func granted(c *Core, now time.Time, boxes int) (n int) {
+// countGrants counts how many of the given number of boxes that ask at the same time are granted room.
+func countGrants(c *Core, now time.Time, boxes int) (n int) {
 	for range boxes {
-		if c.Grant(now, "w", streamOf(5000)) {
+		if c.Grant(now, "w", streamRequest(5000)) {
 			n++
 		}
 	}
 	return n
 }
 
-// Fifty boxes ask in one moment for room on an engine that a report shows to be empty. As many
-// are granted it as are expected to fit while they grow to 9,400 of 63,000 tokens; all fifty
-// would be if what was granted were not booked at once.
+// Fifty boxes ask at the same time for room on an engine that reported to be empty. Only as many
+// streams are granted as are expected to fit while they grow to 9,400 of 63,000 tokens. If grants
+// were not booked at once, all fifty would be.
 func TestGrantOnce(t *testing.T) {
 	now := time.Now()
-	if n := granted(grantScene(now), now, 50); n < 6 || n > 8 {
+	if n := countGrants(newGrantCore(now), now, 50); n < 6 || n > 8 {
 		t.Errorf("expected six to eight streams to be granted room, got %d", n)
 	}
 }
 
-// What was granted counts until a report of the engine tells what became of it: one that never
-// came takes room for no longer.
+// A grant counts until a report of the engine includes the stream or shows that it never came.
 func TestGrantEndsWithReport(t *testing.T) {
 	now := time.Now()
-	c := grantScene(now)
-	first := granted(c, now, 50)
-	if n := granted(c, now.Add(100*time.Millisecond), 50); n != 0 {
-		t.Errorf("expected nothing to be left, got room for %d", n)
+	c := newGrantCore(now)
+	first := countGrants(c, now, 50)
+	if n := countGrants(c, now.Add(100*time.Millisecond), 50); n != 0 {
+		t.Errorf("expected no room to be left, got room for %d", n)
 	}
 	later := now.Add(time.Second)
 	c.Step(later, Report{Engine: "w", At: later.Add(-time.Millisecond), FreeKV: 63000, Runs: []Run{}})
-	if n := granted(c, later, 50); n != first {
+	if n := countGrants(c, later, 50); n != first {
 		t.Errorf("expected room for %d after a report of an empty engine, got %d", first, n)
 	}
 }
 
-// A box that does not know the engine stands in nobody's way.
-func TestGrantUnknown(t *testing.T) {
+// A box that does not know the engine grants the request.
+func TestGrantForUnknownEngine(t *testing.T) {
 	now := time.Now()
-	if !grantScene(now).Grant(now, "elsewhere", streamOf(5000)) {
-		t.Error("expected an engine that is not known to be granted")
+	if !newGrantCore(now).Grant(now, "elsewhere", streamRequest(5000)) {
+		t.Error("expected a grant for an unknown engine")
 	}
 }
 
-// An engine that has just refused to set memory aside is not granted to another.
-func TestGrantRefused(t *testing.T) {
+// While an engine refuses to reserve memory, no other request is granted room on it.
+func TestNoGrantAfterRefusal(t *testing.T) {
 	now := time.Now()
-	c := grantScene(now)
-	c.engines["w"].noRoomFor, c.engines["w"].noRoomUntil = 6000, now.Add(noRoomPause)
-	if c.Grant(now, "w", streamOf(5000)) {
-		t.Error("expected no grant while the engine refuses")
+	c := newGrantCore(now)
+	c.engines["w"].refusedKV, c.engines["w"].refusedKVUntil = 6000, now.Add(refusedKVPause)
+	if c.Grant(now, "w", streamRequest(5000)) {
+		t.Error("expected no grant while the engine refuses reservations")
 	}
 }
--- a/internal/decide/hall_test.go
+++ b/internal/decide/hall_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// hallPool returns a core before an engine of each role in two halls.
-func hallPool() *Core {
-	c := poolOf(0, 0, 0)
+// newTwoHallCore returns a core with one engine of each role in each of two halls.
+func newTwoHallCore() *Core {
+	c := newPoolCore(0, 0, 0)
 	f := Fleet{}
 	for _, hall := range []string{"a", "b"} {
 		for _, role := range []EngineRole{Prefill, Decode} {
@@ -22,25 +22,25 @@
 	return c
 }
 
-func expectHall(t *testing.T, c *Core, id ID, hall, wantReader, wantWriter string) {
+func expectHall(t *testing.T, c *Core, id ID, hall, wantPrefill, wantDecode string) {
 	t.Helper()
 	out := c.Step(c.now, Arrive{Request{ID: id, Pool: "p", Region: "r", Hall: hall, PromptTokens: 1000, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond}})
 	a, ok := out[len(out)-1].(StartPrefill)
-	if !ok || a.Prefill != wantReader || a.Decode != wantWriter {
-		t.Errorf("expected %s and %s for a box in hall %s, got %+v", wantReader, wantWriter, hall, out)
+	if !ok || a.Prefill != wantPrefill || a.Decode != wantDecode {
+		t.Errorf("expected %s and %s for a box in hall %s, got %+v", wantPrefill, wantDecode, hall, out)
 	}
 }
 
-// Engines that are alike are chosen in the box's own hall.
-func TestOwnHall(t *testing.T) {
+// Among similar engines, those in the box's own hall are selected.
+func TestPrefersOwnHall(t *testing.T) {
 	for _, hall := range []string{"a", "b"} {
-		expectHall(t, hallPool(), 1, hall, "prefill-"+hall, "decode-"+hall)
+		expectHall(t, newTwoHallCore(), 1, hall, "prefill-"+hall, "decode-"+hall)
 	}
 }
 
-// A queue outweighs the hall: nobody waits for an engine that is near.
-func TestOtherHallWithoutQueue(t *testing.T) {
-	c := hallPool()
+// An idle engine in another hall is preferred to one in the own hall with a queue.
+func TestQueueOutweighsHall(t *testing.T) {
+	c := newTwoHallCore()
 	c.Step(c.now, Sent{Engine: "prefill-a", At: c.now, Tokens: 5000})
 	expectHall(t, c, 1, "a", "prefill-b", "decode-a")
 }
--- a/internal/decide/learned.go
+++ b/internal/decide/learned.go
@@ -2,83 +2,84 @@
 
 import "time"
 
-// Learned is what a core knows of a pool, for another core to begin with.
+// Learned holds a core's estimates for a pool, with which another core can start.
 type Learned struct {
 	Pool string
 	Speed
-	// Prompt, Read and Output are the mean lengths of prompts, of their parts that are not
-	// cached, and of answers, in tokens, and Gap is the target between tokens.
+	// Prompt, Read and Output are the mean lengths of prompts, of their uncached parts and of
+	// answers, in tokens. Gap is the target between tokens.
 	Prompt, Read, Output float64
 	Gap                  time.Duration
-	// Requests is how many tell so.
+	// Requests is how many requests the estimates are based on.
 	Requests int
 }
 
-// Remember brings what was known of a pool before this core began.
+// Remember sets the estimates of a pool from before this core started.
 type Remember struct{ Learned }
 
 func (Remember) event() {}
 
-// Learnt says that what is known of a pool changed clearly.
+// Learnt reports that the estimates of a pool changed by more than minPublishedChange.
 type Learnt struct{ Learned }
 
 func (Learnt) action() {}
 
-// clearly is the part by which a figure must differ from what was last said of it.
-const clearly = 0.2
+// minPublishedChange is the fraction by which a figure must differ from the last published one.
+const minPublishedChange = 0.2
 
-// learn takes what a request took of a pool's engines.
+// learn updates a pool's estimates by the timing of a request.
 func (c *Core) learn(p *pool, t Timing) {
-	if !p.Learns || !p.speed.took(t) {
+	if !p.Learns || !p.speed.add(t) {
 		return
 	}
-	p.apply()
-	p.measure()
-	if l := p.learned(); p.known() && l.Differs(p.said, clearly) {
-		p.said = l
+	p.applySpeed()
+	p.updateFigures()
+	if l := p.estimates(); p.speedKnown() && l.Differs(p.published, minPublishedChange) {
+		p.published = l
 		c.emit(Learnt{l})
 	}
 }
 
-func (p *pool) learned() Learned {
-	return Learned{p.Name, p.speed.Speed, p.meanPrompt, p.meanRead, p.meanOutput, p.gap, p.evidence()}
+func (p *pool) estimates() Learned {
+	return Learned{p.Name, p.speed.Speed, p.meanPrompt, p.meanRead, p.meanOutput, p.tokenTarget, p.sampleCount()}
 }
 
-// mostRemembered bounds the requests that what was known before counts as: so many that the
-// usual ratio of the roles hardly counts beside it, and traffic that changed soon does.
-const mostRemembered = 4 * usualSeen
+// maxPriorRequests bounds the weight of prior estimates, in requests. It is large enough for
+// them to outweigh the default ratio of the roles, and small enough for changed traffic to
+// show soon.
+const maxPriorRequests = 4 * defaultRatioWeight
 
-// Learned lists what is known of the pools that learn and have had requests.
+// Learned returns the estimates of the pools that learn and have had requests.
 func (c *Core) Learned() []Learned {
 	var out []Learned
 	for _, name := range c.names {
-		if p := c.pools[name]; p.Learns && p.evidence() >= speedLeast {
-			out = append(out, p.learned())
+		if p := c.pools[name]; p.Learns && p.sampleCount() >= minTimings {
+			out = append(out, p.estimates())
 		}
 	}
 	return out
 }
 
-// remember takes it for a pool, also for one that is not configured yet.
-func (c *Core) remember(l Learned) {
-	c.remembered[l.Pool] = l
+// handleRemember stores the estimates of a pool, also of one that is not configured yet.
+func (c *Core) handleRemember(l Learned) {
+	c.priorEstimates[l.Pool] = l
 	if p := c.pools[l.Pool]; p != nil {
-		p.remember(l)
-		p.apply()
-		p.measure()
+		p.setPrior(l)
+		p.applySpeed()
+		p.updateFigures()
 	}
 }
 
-func (p *pool) remember(l Learned) {
-	n := min(l.Requests, mostRemembered)
-	p.speed.remember(l.Speed, n)
-	if p.seen == 0 {
-		p.seen, p.gap = n, l.Gap
+func (p *pool) setPrior(l Learned) {
+	n := min(l.Requests, maxPriorRequests)
+	p.speed.setPrior(l.Speed, n)
+	if p.requestCount == 0 {
+		p.requestCount, p.tokenTarget = n, l.Gap
 		p.meanPrompt, p.meanRead, p.meanOutput = l.Prompt, l.Read, l.Output
 	}
 }
 
-// Differs says that two cores' knowledge of a pool differs by more than a part, in any figure.
+// Differs reports whether any figure of the two estimates differs by more than the given fraction.
 func (l Learned) Differs(o Learned, part float64) bool {
 	other := o.figures()
 	for i, a := range l.figures() {
@@ -89,7 +90,7 @@
 	return false
 }
 
-// figures are those that decisions rest on.
+// figures are the estimates that decisions are based on.
 func (l Learned) figures() [5]float64 {
 	return [5]float64{l.PrefillRate, l.Step.Seconds(), l.Begin.Seconds(), l.Prompt, l.Output}
 }
--- a/internal/decide/ledger.go
+++ b/internal/decide/ledger.go
@@ -5,79 +5,79 @@
 	"time"
 )
 
-// engine is what the core knows and believes of one engine.
+// engine is the configuration, the ledger and the observed state of one engine.
 type engine struct {
 	Engine
 
-	// heldKV and streams are what this core's own requests hold on a decode engine.
-	heldKV  int
-	streams float64
-	// jobs counts this core's own prefills in flight.
-	jobs int
+	// reservedKV and streams are what this core's own requests occupy on a decode engine.
+	reservedKV int
+	streams    float64
+	// prefills counts this core's own prefills in flight.
+	prefills int
 
-	// busyUntil is when a prefill engine is believed to finish all work known of.
+	// busyUntil is when a prefill engine is expected to finish all known work.
 	busyUntil time.Time
 	link      link
-	// foreign is the wait, as of foreignAt, that only work of other boxes can explain.
-	foreign   time.Duration
-	foreignAt time.Time
-
-	report     Report
-	reported   bool
-	unanswered bool       // The last probe got no answer.
-	frozen     bool       // The last report was old when it came.
-	sent       []sentWork // Sent after report.At, oldest first.
-	ended      []Ended    // Streams that ended after report.At, oldest first.
-	outlook    outlook    // Zero where something has come since it was worked out.
-	cache      blockCache
-	health     health
-
-	// noRoomFor is the memory, in tokens, that the engine refused to set aside; until
-	// noRoomUntil it is not asked for that much again.
-	noRoomFor   int
-	noRoomUntil time.Time
-
-	// usedAt is when it was last chosen for a request.
-	usedAt time.Time
-}
-
-// sentWork is work this core gave an engine that its last report cannot include.
-type sentWork struct {
+	// remoteWait is the wait, as of remoteWaitAt, that only work of other boxes can explain.
+	remoteWait   time.Duration
+	remoteWaitAt time.Time
+
+	report        Report
+	reported      bool
+	probeFailed   bool           // The last probe was not answered.
+	reportDelayed bool           // The last report was already old when it arrived.
+	placements    []placement    // Work placed after report.At, oldest first.
+	ended         []Ended        // Streams that ended after report.At, oldest first.
+	forecast      memoryForecast // Reset to zero when anything it depends on changes.
+	cache         blockCache
+	health        health
+
+	// refusedKV is the memory, in tokens, that the engine refused to reserve; until
+	// refusedKVUntil it is not asked for that much again.
+	refusedKV      int
+	refusedKVUntil time.Time
+
+	// lastUsed is when the engine was last selected for a request.
+	lastUsed time.Time
+}
+
+// placement is work that was sent to an engine after its last report was taken.
+type placement struct {
 	id      ID
 	at      time.Time
-	tokens  int // To be read by a prefill engine.
+	tokens  int // To be prefilled by a prefill engine.
 	streams float64
-	booking
+	reservation
 }
 
-// booking is memory of a decode engine that is booked for a stream, in tokens.
-type booking struct {
-	kv     int // All that it may take.
-	prompt int // The part of kv that is taken from the start,
-	ahead  int // and what must be free beside it then.
-	answer int // How long the answer is expected to be.
+// reservation is decode memory reserved for a stream, in tokens.
+type reservation struct {
+	kv            int // The most that the stream may take.
+	prompt        int // The part of kv that is taken from the start.
+	outputReserve int // Further memory that must be free at the start.
+	answer        int // Expected length of the answer.
 }
 
 const (
-	// maxSent bounds sentWork where an engine reports nothing at all.
-	maxSent = 512
-	// frozenAfter is how old a report may be when it comes.
-	frozenAfter = 3 * time.Second
+	// maxPlacements bounds the list for an engine that reports nothing at all.
+	maxPlacements = 512
+	// maxReportDelay is how old a report may be when it arrives.
+	maxReportDelay = 3 * time.Second
 )
 
-// silent says that the engine's figures cannot be relied on. How long ago the
-// last report came does not matter: reports come with answers, and an engine
-// that is sent nothing need not report.
-func (e *engine) silent() bool { return e.unanswered || e.frozen }
+// statsUnreliable reports that the engine's figures cannot be relied on. The time since
+// the last report does not matter: reports come with answers, and an engine that is sent
+// nothing need not report.
+func (e *engine) statsUnreliable() bool { return e.probeFailed || e.reportDelayed }
 
-// hasQueued says that the engine, asked since the request was sent to it, has at
-// least as much left to read: then the request is not stuck but waits its turn,
-// behind what other boxes sent.
-func (e *engine) hasQueued(f *flight) bool {
-	return e.reported && e.report.At.After(f.stageStart) && e.report.QueuedTokens >= f.readTokens
+// mayBeQueued reports that, by a report taken since the request was sent, the engine has at
+// least as much left to prefill as the request needs. Then the request is not stuck but
+// queued behind prompts of other boxes.
+func (e *engine) mayBeQueued(f *flight) bool {
+	return e.reported && e.report.At.After(f.stageStart) && e.report.QueuedTokens >= f.uncachedTokens
 }
 
-// reportAge is how old the engine's own figures are; 0 if it gave none.
+// reportAge is the age of the engine's last report; 0 if there is none.
 func (e *engine) reportAge(now time.Time) time.Duration {
 	if !e.reported {
 		return 0
@@ -85,59 +85,59 @@
 	return now.Sub(e.report.At)
 }
 
-// leaving says that the engine gets nothing new.
+// leaving reports that the engine gets no new work.
 func (e *engine) leaving() bool { return e.Leaving || e.Closed || e.reported && e.report.Leaving }
 
-// cold says that the engine has just started and gets nothing more of this box at the moment.
-func (e *engine) cold(now time.Time) bool { return e.Cold.Holds(now, e.usedAt) }
+// cold reports that the engine has just started and gets no more work of this box at the moment.
+func (e *engine) cold(now time.Time) bool { return e.Cold.Holds(now, e.lastUsed) }
 
-// queueTime is how long a prompt sent now would wait, for this box's own work and for
-// what it has seen of others'.
+// queueTime is how long a prompt sent now would wait for this box's own work and for the
+// observed work of other boxes.
 func (e *engine) queueTime(now time.Time) time.Duration {
-	return e.ownQueue(now) + e.foreignQueue(now)
+	return e.ownQueueTime(now) + e.remoteQueueTime(now)
 }
 
-func (e *engine) ownQueue(now time.Time) time.Duration { return max(0, e.busyUntil.Sub(now)) }
+func (e *engine) ownQueueTime(now time.Time) time.Duration { return max(0, e.busyUntil.Sub(now)) }
 
-// foreignQueue is what is left of the wait that others caused. It is taken to have been
-// read since: if others sent more, the next prompt shows it.
-func (e *engine) foreignQueue(now time.Time) time.Duration {
-	return max(0, e.foreign-now.Sub(e.foreignAt))
+// remoteQueueTime is what remains of the wait that other boxes caused. It assumes that they
+// sent nothing since: if they did, the next prompt shows it.
+func (e *engine) remoteQueueTime(now time.Time) time.Duration {
+	return max(0, e.remoteWait-now.Sub(e.remoteWaitAt))
 }
 
-// waited takes how much longer a prompt took, or has taken so far, than this box's own
-// work explains. While it is not done yet that is a bound from below.
+// observeWait records how much longer a prompt took, or has taken so far, than this box's
+// own work explains. Until the prompt is done that is a lower bound.
 //
-// Example: a prompt that takes 100 ms to read was sent behind 50 ms of our own work, and
+// Example: a prompt that takes 100 ms to prefill was sent behind 50 ms of our own work and
 // comes back after 900 ms. Other boxes have 750 ms of work there, and the next prompt,
 // sent 200 ms later, is expected to wait 550 ms for it.
-func (e *engine) waited(now time.Time, excess time.Duration, done bool) {
-	if done || excess > e.foreignQueue(now) {
-		e.foreign, e.foreignAt = max(0, excess), now
+func (e *engine) observeWait(now time.Time, excess time.Duration, done bool) {
+	if done || excess > e.remoteQueueTime(now) {
+		e.remoteWait, e.remoteWaitAt = max(0, excess), now
 	}
 }
 
-func (e *engine) readTime(tokens int) time.Duration {
+func (e *engine) prefillTime(tokens int) time.Duration {
 	return seconds(float64(tokens) / e.PrefillRate)
 }
 
-// freeKV is the decode memory believed free. Two views are combined, and the
-// smaller wins: this core's own ledger, which is exact but blind to other
-// boxes, and the engine's report less what was sent since it was taken.
+// freeKV estimates the free decode memory. It takes the smaller of two figures: this
+// core's own ledger, which is exact but does not include other boxes, and the engine's
+// report less what was placed since it was taken.
 //
-// Example: capacity 1000; our requests hold 300; the report, taken before our
-// last 100 were sent, says 500 free. The ledger gives 700 and the report 400,
-// so another box must hold about 300, and 400 is the answer.
+// Example: capacity 1000; our requests reserve 300; the report, taken before our last
+// 100 were sent, says 500 free. The ledger gives 700 and the report 400, so another box
+// must occupy about 300, and 400 is the answer.
 func (e *engine) freeKV() int {
-	free := e.KVTokens - e.heldKV
+	free := e.KVTokens - e.reservedKV
 	if !e.reported {
 		return free
 	}
-	seen := e.report.FreeKV
-	for i := range e.sent {
-		seen -= e.sent[i].kv
+	reportedFree := e.report.FreeKV
+	for i := range e.placements {
+		reportedFree -= e.placements[i].kv
 	}
-	return min(free, seen)
+	return min(free, reportedFree)
 }
 
 // stepTime predicts the time between tokens with one more stream.
@@ -145,74 +145,72 @@
 	return e.Step + time.Duration((e.running()+1)*float64(e.StepPerStream))
 }
 
-// running counts streams the same way freeKV counts memory: the larger of this
-// core's own and the reported ones with those sent since.
+// running counts streams in the same way as freeKV counts memory: the larger of this
+// core's own and the reported ones plus those placed since.
 func (e *engine) running() float64 {
 	if !e.reported {
 		return e.streams
 	}
-	seen := float64(e.report.Streams)
-	for i := range e.sent {
-		seen += e.sent[i].streams
+	reportedStreams := float64(e.report.Streams)
+	for i := range e.placements {
+		reportedStreams += e.placements[i].streams
 	}
-	return max(e.streams, seen)
+	return max(e.streams, reportedStreams)
 }
 
-// cachedTokens is how much of the prompt the engine is believed to have cached.
-// At least one token is always read, since the engine must produce the next one.
+// cachedTokens is how much of the prompt the engine is expected to have cached. At least
+// one token is always prefilled, since the engine must generate the next one.
 func (e *engine) cachedTokens(f *flight) int {
 	return max(0, min(e.cache.matched(f.Blocks)*BlockTokens, f.PromptTokens-1))
 }
 
-// addPrefill books a prompt on the engine.
-func (e *engine) addPrefill(now time.Time, id ID, tokens int) {
-	e.jobs++
-	e.queueRead(now, tokens)
-	e.note(sentWork{id: id, at: now, tokens: tokens})
+func (e *engine) reservePrefill(now time.Time, id ID, tokens int) {
+	e.prefills++
+	e.extendQueue(now, tokens)
+	e.addPlacement(placement{id: id, at: now, tokens: tokens})
 }
 
-// queueRead puts a prompt that was sent at a time behind all that the engine has to read.
-func (e *engine) queueRead(at time.Time, tokens int) {
+// extendQueue appends a prompt that was sent at the given time to the engine's prefill queue.
+func (e *engine) extendQueue(at time.Time, tokens int) {
 	if e.busyUntil.Before(at) {
 		e.busyUntil = at
 	}
-	e.busyUntil = e.busyUntil.Add(e.readTime(tokens))
+	e.busyUntil = e.busyUntil.Add(e.prefillTime(tokens))
 }
 
-// addDecode holds memory for a request on the engine.
-func (e *engine) addDecode(now time.Time, id ID, b booking, weight float64) {
-	e.heldKV += b.kv
+func (e *engine) reserveDecode(now time.Time, id ID, b reservation, weight float64) {
+	e.reservedKV += b.kv
 	e.streams += weight
-	e.note(sentWork{id: id, at: now, booking: b, streams: weight})
+	e.addPlacement(placement{id: id, at: now, reservation: b, streams: weight})
 }
 
-// heardSent books what another box sent, as if this one had, until a report includes it.
+// heardSent books a placement of another box, until a report includes it.
 func (e *engine) heardSent(s Sent) {
 	if e.reported && !s.At.After(e.report.At) {
 		return
 	}
-	w := sentWork{at: s.At, tokens: s.Tokens, booking: booking{s.KV, s.Prompt, s.Ahead, s.KV - s.Prompt}}
+	w := placement{at: s.At, tokens: s.Tokens, reservation: reservation{s.KV, s.Prompt, s.Ahead, s.KV - s.Prompt}}
 	if s.KV > 0 {
 		w.streams = 1
 	}
 	if s.Tokens > 0 {
-		e.queueRead(s.At, s.Tokens)
+		e.extendQueue(s.At, s.Tokens)
 	}
-	e.note(w)
+	e.addPlacement(w)
 }
 
-// dropDecode gives the memory back. Work that no report has seen yet is taken
-// out of sent too; otherwise the estimate would stay low until the next report.
-func (e *engine) dropDecode(id ID, kv int, weight float64) {
-	e.heldKV -= kv
+// releaseDecode returns the memory. Work that no report includes yet is removed from the
+// placements too; otherwise the estimate would stay too low until the next report.
+func (e *engine) releaseDecode(id ID, kv int, weight float64) {
+	e.reservedKV -= kv
 	e.streams = max(0, e.streams-weight)
-	if e.heldKV == 0 {
+	if e.reservedKV == 0 {
 		e.streams = 0 // Sums of fractions do not come back to zero by themselves.
 	}
-	for i := range e.sent {
-		if e.sent[i].id == id && e.sent[i].kv > 0 {
-			e.sent = append(e.sent[:i], e.sent[i+1:]...)
-			e.outlook = outlook{}
+	for i := range e.placements {
+		if e.placements[i].id == id && e.placements[i].kv > 0 {
+			e.placements = append(e.placements[:i], e.placements[i+1:]...)
+			e.forecast = memoryForecast{}
 			return
 		}
 	}
@@ -222,21 +220,21 @@
 	}
 }
 
-// heardEnded takes a stream out of the report that still shows it: the one that would have
-// grown to that size by now.
-func (e *engine) heardEnded(p *pool, ev Ended) {
+// addEnded removes a stream from the report that still includes it: the one that would have
+// grown to about that size by now.
+func (e *engine) addEnded(p *pool, ev Ended) {
 	if !e.reported || e.report.Runs == nil || !ev.At.After(e.report.At) {
 		return
 	}
-	if len(e.ended) < maxSent {
+	if len(e.ended) < maxPlacements {
 		e.ended = append(e.ended, ev)
 	}
-	e.takeOut(p, ev)
+	e.removeFromReport(p, ev)
 }
 
-func (e *engine) takeOut(p *pool, ev Ended) {
+func (e *engine) removeFromReport(p *pool, ev Ended) {
 	grown := int(ev.At.Sub(e.report.At) / max(time.Microsecond, e.stepTime()))
-	best, least := -1, int(endedSlack*p.meanOutput)
+	best, least := -1, int(endedTolerance*p.meanOutput)
 	for i, r := range e.report.Runs {
 		if d := abs(r.Tokens + grown - ev.Tokens); d < least {
 			best, least = i, d
@@ -248,107 +246,107 @@
 	e.report.FreeKV += e.report.Runs[best].Tokens
 	e.report.Streams = max(0, e.report.Streams-1)
 	e.report.Runs = slices.Delete(slices.Clone(e.report.Runs), best, best+1)
-	e.outlook = outlook{}
+	e.forecast = memoryForecast{}
 }
 
-// endedSlack is how far off the size of a stream that ended may be from that of the stream
-// in a report that is taken for it, as a part of a mean answer.
-const endedSlack = 0.35
+// endedTolerance is how much the size of an ended stream may differ from that of the
+// reported stream that it is matched with, as a fraction of a mean answer.
+const endedTolerance = 0.35
 
 func abs(n int) int { return max(n, -n) }
 
-func (e *engine) note(w sentWork) {
-	if len(e.sent) == maxSent {
-		e.sent = append(e.sent[:0], e.sent[1:]...)
+func (e *engine) addPlacement(w placement) {
+	if len(e.placements) == maxPlacements {
+		e.placements = append(e.placements[:0], e.placements[1:]...)
 	}
-	i := len(e.sent)
-	for i > 0 && e.sent[i-1].at.After(w.at) {
-		i-- // What others sent is heard of later.
+	i := len(e.placements)
+	for i > 0 && e.placements[i-1].at.After(w.at) {
+		i-- // Placements of other boxes arrive late.
 	}
-	e.sent = slices.Insert(e.sent, i, w)
-	e.outlook = outlook{}
+	e.placements = slices.Insert(e.placements, i, w)
+	e.forecast = memoryForecast{}
 }
 
-// dropPrefill ends a prompt's booking. When none of ours is left and no report
-// contradicts it, the engine is free now, however wrong the prediction was.
-func (e *engine) dropPrefill(now time.Time) {
-	e.jobs--
-	if e.jobs == 0 && (!e.reported || e.silent()) {
+// releasePrefill removes a prompt. When none of ours is left and no report contradicts
+// it, the engine counts as free now, even if it was predicted to be busy.
+func (e *engine) releasePrefill(now time.Time) {
+	e.prefills--
+	if e.prefills == 0 && (!e.reported || e.statsUnreliable()) {
 		e.busyUntil = now
 	}
 }
 
-// addReport takes an engine's own figures and lays the work sent since on top.
-// An older report than the last is ignored, since reports may cross.
+// addReport replaces the engine's figures and adds the work placed since. A report older
+// than the last is ignored, since reports may arrive out of order.
 func (e *engine) addReport(now time.Time, p *pool, r Report) {
 	if e.reported && r.At.Before(e.report.At) {
 		return
 	}
 	e.report = r
-	e.outlook = outlook{}
+	e.forecast = memoryForecast{}
 	e.reported = true
-	e.unanswered = false
-	e.frozen = now.Sub(r.At) > frozenAfter
+	e.probeFailed = false
+	e.reportDelayed = now.Sub(r.At) > maxReportDelay
 	n := 0
-	for n < len(e.sent) && !e.sent[n].at.After(r.At) {
+	for n < len(e.placements) && !e.placements[n].at.After(r.At) {
 		n++
 	}
-	e.sent = append(e.sent[:0], e.sent[n:]...)
+	e.placements = append(e.placements[:0], e.placements[n:]...)
 	e.ended = slices.DeleteFunc(e.ended, func(ev Ended) bool { return !ev.At.After(r.At) })
 	for _, ev := range e.ended {
-		e.takeOut(p, ev)
+		e.removeFromReport(p, ev)
 	}
-	e.busyUntil = r.At.Add(e.readTime(r.QueuedTokens))
-	for _, w := range e.sent {
+	e.busyUntil = r.At.Add(e.prefillTime(r.QueuedTokens))
+	for _, w := range e.placements {
 		if w.tokens > 0 {
-			e.queueRead(w.at, w.tokens)
+			e.extendQueue(w.at, w.tokens)
 		}
 	}
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// blockCache remembers which prompt blocks an engine is believed to hold. It
-// keeps two generations: new blocks go to the young one, and when that is full
-// it becomes the old one, whose blocks are forgotten. This costs two map
-// look-ups and no list, and forgets about as an engine under pressure does.
+// blockCache predicts which prompt blocks an engine has cached. It keeps two
+// generations: new blocks go to the young one, and when that is full it becomes the old
+// one and the blocks of the previous old one are dropped. This takes two map look-ups and
+// no list, and evicts roughly as an engine short of memory does.
 //
-// How many blocks the engine really keeps is learned: when it had fewer cached
-// than believed the generations shrink, and while it has them they slowly grow.
+// The number of blocks that the engine really keeps is learned: the generations shrink
+// whenever fewer tokens were cached than predicted, and slowly grow otherwise.
 type blockCache struct {
-	young, old map[uint64]struct{}
-	limit      float64 // Blocks of one generation; 0 before the first is learned.
+	young, old  map[uint64]struct{}
+	learnedSize float64 // Blocks of one generation; 0 before the first observation.
 }
 
 const (
-	// mostBlocks bounds a generation; two cost about 150 KB an engine.
-	mostBlocks  = 2048
-	leastBlocks = 32
+	// maxBlocks bounds a generation; two cost about 150 KB per engine.
+	maxBlocks   = 2048
+	minBlocks   = 32
 	cacheShrink = 0.9
 	cacheGrow   = 1.01
 )
 
-// size is limit as a whole number; learning goes on from limit itself, since a
-// small one grows by less than one block at a time.
-func (c *blockCache) size() int { return int(c.bound()) }
+// size is sizeOrMax as a whole number. learn works on the fraction, since a small size
+// grows by less than one block at a time.
+func (c *blockCache) size() int { return int(c.sizeOrMax()) }
 
-func (c *blockCache) bound() float64 {
-	if c.limit == 0 {
-		return mostBlocks
+func (c *blockCache) sizeOrMax() float64 {
+	if c.learnedSize == 0 {
+		return maxBlocks
 	}
-	return c.limit
+	return c.learnedSize
 }
 
-// learn compares the prompt tokens believed cached with those that were.
-func (c *blockCache) learn(believed, cached, blocks int) {
+// learn compares the predicted number of cached prompt tokens with the actual one.
+func (c *blockCache) learn(predicted, cached, blocks int) {
 	if blocks == 0 {
 		return
 	}
 	switch {
-	case cached+BlockTokens <= believed:
-		c.limit = max(leastBlocks, c.bound()*cacheShrink)
-	case believed >= BlockTokens:
-		c.limit = min(mostBlocks, c.bound()*cacheGrow)
+	case cached+BlockTokens <= predicted:
+		c.learnedSize = max(minBlocks, c.sizeOrMax()*cacheShrink)
+	case predicted >= BlockTokens:
+		c.learnedSize = min(maxBlocks, c.sizeOrMax()*cacheGrow)
 	}
 }
 
@@ -379,8 +377,8 @@
 	}
 }
 
-// matched counts the leading blocks held. Blocks are chained, so holding block i
-// means that 0 to i-1 were held with it, and a binary search finds the end.
+// matched counts the leading cached blocks. Blocks are chained, so if block i is cached,
+// 0 to i-1 were cached with it, and a binary search finds the end.
 func (c *blockCache) matched(blocks []uint64) int {
 	lo, hi := 0, len(blocks)
 	for lo < hi {
@@ -394,57 +392,57 @@
 	return lo
 }
 
-// health sets an engine aside after failures in a row. When the pause is over a
-// single request may probe it; the pause then starts again, so that a probe that
-// never reports back does not keep the engine out for good.
+// health sets an engine aside after consecutive failures. After that period a single
+// request may probe it. The period then starts again, so that further requests stay away
+// until the probe succeeds, and another probe follows if it never returns.
 type health struct {
-	failures int
-	until    time.Time
-	pause    time.Duration
-	// refusals counts the prompts that the engine turned away in a row; until doubtedUntil
+	failuresInRow int
+	setAsideUntil time.Time
+	setAsideFor   time.Duration
+	// refusalsInRow counts the prompts that the engine refused in a row; until avoidUntil
 	// it is a last resort.
-	refusals     int
-	doubtedUntil time.Time
+	refusalsInRow int
+	avoidUntil    time.Time
 }
 
 const (
 	failuresToSetAside = 3
-	firstPause         = time.Second
-	longestPause       = 30 * time.Second
-	// An engine that turns a prompt away changes its role, is at fault or is full, and goes
-	// on doing so for seconds. It is a last resort for firstDoubt, and for twice as long
-	// after each further refusal, up to longestDoubt.
-	firstDoubt   = 2 * time.Second
-	longestDoubt = 8 * time.Second
-	// refusedCost is what speaks against it meanwhile, in seconds: more than a queue that a
-	// prompt can wait behind and still be on time.
+	minSetAside        = time.Second
+	maxSetAside        = 30 * time.Second
+	// An engine that refuses a prompt changes its role, is faulty or is full, and goes on
+	// refusing for seconds. It is a last resort for minAvoidPeriod, and for twice as long
+	// after each further refusal, up to maxAvoidPeriod.
+	minAvoidPeriod = 2 * time.Second
+	maxAvoidPeriod = 8 * time.Second
+	// refusedCost is its extra cost meanwhile, in seconds: more than any queue behind which a
+	// prompt can still be on time.
 	refusedCost = 0.8
 )
 
 func (h *health) setAside(now time.Time) bool {
-	return h.failures >= failuresToSetAside && now.Before(h.until)
+	return h.failuresInRow >= failuresToSetAside && now.Before(h.setAsideUntil)
 }
 
-// chosen is called when a request is sent to the engine.
-func (h *health) chosen(now time.Time) {
-	if h.failures >= failuresToSetAside {
-		h.until = now.Add(h.pause)
+// noteRequest is called when a request is sent to the engine.
+func (h *health) noteRequest(now time.Time) {
+	if h.failuresInRow >= failuresToSetAside {
+		h.setAsideUntil = now.Add(h.setAsideFor)
 	}
 }
 
-// refused is called when the engine turned a prompt away.
-func (h *health) refused(now time.Time) {
-	h.doubtedUntil = now.Add(min(longestDoubt, firstDoubt<<min(h.refusals, 4)))
-	h.refusals++
+// noteRefusal is called when the engine refused a prompt.
+func (h *health) noteRefusal(now time.Time) {
+	h.avoidUntil = now.Add(min(maxAvoidPeriod, minAvoidPeriod<<min(h.refusalsInRow, 4)))
+	h.refusalsInRow++
 }
 
-func (h *health) succeeded() { *h = health{} }
+func (h *health) noteSuccess() { *h = health{} }
 
-func (h *health) failed(now time.Time) {
-	h.failures++
-	if h.failures < failuresToSetAside {
+func (h *health) noteFailure(now time.Time) {
+	h.failuresInRow++
+	if h.failuresInRow < failuresToSetAside {
 		return
 	}
-	h.pause = min(longestPause, max(firstPause, 2*h.pause))
-	h.until = now.Add(h.pause)
+	h.setAsideFor = min(maxSetAside, max(minSetAside, 2*h.setAsideFor))
+	h.setAsideUntil = now.Add(h.setAsideFor)
 }
--- a/internal/decide/memory.go
+++ b/internal/decide/memory.go
@@ -5,171 +5,172 @@
 	"time"
 )
 
-// This file foresees how full a decode engine's memory will be. A stream takes more with
-// every token, so an engine that has room now may have none in a second; it then displaces
-// a stream, whose prompt is read again while its caller waits.
+// This file forecasts the memory use of decode engines. A stream takes more memory with every
+// token, so an engine that has room now may have none in a second. It then preempts a stream,
+// whose prompt is prefilled again while its caller waits.
 
-// Run is one stream that an engine reports to be running.
+// Run is one running stream in an engine's report.
 type Run struct {
-	Tokens int // Of memory.
-	Made   int // Tokens of its answer so far.
+	Tokens int // Memory in use.
+	Made   int // Tokens of the answer generated so far.
 }
 
 const (
-	// lengthSpread is the spread of the logarithm of answers' lengths around that of their
-	// median, and guessSpread around what the caller guessed.
-	lengthSpread = 0.7
-	guessSpread  = 0.5
+	// lengthSigma is the standard deviation of the logarithm of answer lengths. guessSigma is
+	// the same for their ratio to the length that the caller expects.
+	lengthSigma = 0.7
+	guessSigma  = 0.5
 	// overflowSigma is how many standard deviations above the expected use must fit.
 	overflowSigma = 2.0
-	// unknownPart is the part of an engine's memory that is left for streams that are not known
-	// of: some of other boxes are heard of late or never.
-	unknownPart = 0.06
-	// foreseeFor is how old a report may be to foresee anything by it.
-	foreseeFor = 3 * time.Second
+	// unknownShare is the fraction of an engine's memory that is kept free for streams of other
+	// boxes whose messages arrive late or never.
+	unknownShare = 0.06
+	// maxForecastReportAge is how old a report may be for a forecast.
+	maxForecastReportAge = 3 * time.Second
 )
 
-// unforeseenCost is what speaks against an engine of which nothing is foreseen, in seconds:
-// more than engines that are alike differ by, and less than a queue.
-const unforeseenCost = 0.03
+// noForecastCost is the extra cost, in seconds, of an engine without a forecast: more than the
+// difference between similar engines, and less than a queue.
+const noForecastCost = 0.03
 
-// unforeseen says that the engine has no fresh report.
-func (e *engine) unforeseen(now time.Time) bool {
-	return !e.reported || e.reportAge(now) > foreseeFor
+// lacksForecast reports that the engine has no recent report.
+func (e *engine) lacksForecast(now time.Time) bool {
+	return !e.reported || e.reportAge(now) > maxForecastReportAge
 }
 
-// horizons are the points in time at which the use is looked at, as parts of the time that
-// a mean answer takes from now.
-var horizons = [...]float64{0, 0.15, 0.3, 0.5, 0.75, 1, 1.5}
+// forecastHorizons are the times from now at which the memory use is forecast, as multiples
+// of the time that a mean answer takes.
+var forecastHorizons = [...]float64{0, 0.15, 0.3, 0.5, 0.75, 1, 1.5}
 
-// above is the probability that an answer is longer than n tokens.
-func above(n, median, spread float64) float64 {
+// longerThan is the probability that an answer is longer than n tokens.
+func longerThan(n, median, spread float64) float64 {
 	if n <= 0 {
 		return 1
 	}
 	return 0.5 * math.Erfc(math.Log(n/median)/(spread*math.Sqrt2))
 }
 
-// outlook is what is expected of a decode engine's memory, without the request that is to
-// be placed. It is kept for as long as nothing more is known of the engine and no time to
-// speak of has passed: a request that waits is tried many times a second.
-type outlook struct {
+// memoryForecast is the expected memory use of a decode engine, without the request that is
+// to be placed. It is cached for a short time while no new information arrives, because a
+// waiting request is tried many times a second.
+type memoryForecast struct {
 	at time.Time
-	// mean and variance are of the tokens in use at each horizon, most is what they are if no
-	// stream ends until then, and running is of the streams now.
-	mean, variance, most [len(horizons)]float64
-	running              float64
+	// mean and variance are those of the tokens in use at each horizon, max is the use if no
+	// stream ends until then, and running is the expected number of streams now.
+	mean, variance, max [len(forecastHorizons)]float64
+	running             float64
 }
 
 const (
-	// outlookFor is for how long an outlook stands.
-	outlookFor = 25 * time.Millisecond
-	// usualStart is what passes from when a stream is placed until it writes where that was
-	// not learned. Until then all that was set aside for it is taken.
-	usualStart = 200 * time.Millisecond
+	// forecastLifetime is how long a forecast stays valid.
+	forecastLifetime = 25 * time.Millisecond
+	// defaultStartTime is the time from the placement of a stream to its first token while no
+	// estimate exists. Until then all memory reserved for the stream counts as used.
+	defaultStartTime = 200 * time.Millisecond
 )
 
-// foresee works out the outlook of an engine that has a fresh report. The report is as of
-// some time ago: the streams in it have gone on since, or ended.
+// forecastMemory computes the forecast of an engine that has a recent report. Streams of the
+// report have grown or ended since it was taken.
 //
-// Example: a report of 1 s ago names a stream that had made 3,000 tokens, at 0.7 ms each,
-// where half of all answers end before 3,500. By now it has made 4,400 or, more likely than
-// not, is gone, and so is its memory.
-func (e *engine) foresee(p *pool, now time.Time) *outlook {
-	if o := &e.outlook; !o.at.IsZero() && now.Sub(o.at) < outlookFor {
+// Example: a report from 1 s ago contains a stream that had generated 3,000 tokens, at 0.7 ms
+// each, and half of all answers end before 3,500. By now it has generated 4,400 tokens or,
+// more likely, has ended and freed its memory.
+func (e *engine) forecastMemory(p *pool, now time.Time) *memoryForecast {
+	if o := &e.forecast; !o.at.IsZero() && now.Sub(o.at) < forecastLifetime {
 		return o
 	}
-	o := outlook{at: now}
+	o := memoryForecast{at: now}
 	start := p.startTime()
 	step := max(1e-6, (e.Step + time.Duration(e.report.Streams)*e.StepPerStream).Seconds())
 	since := e.reportAge(now).Seconds() / step
-	median := p.meanOutput * math.Exp(-lengthSpread*lengthSpread/2)
-	// What is in use beside the streams was set aside for some that had not begun.
-	unseen := float64(e.KVTokens - e.report.FreeKV)
-	// Where the ends of streams are heard of, those that are left still run.
+	median := p.meanOutput * math.Exp(-lengthSigma*lengthSigma/2)
+	// Memory in use beyond the reported streams is reserved for streams that have not begun.
+	notBegun := float64(e.KVTokens - e.report.FreeKV)
+	// If the ends of streams are received, the remaining ones still run.
 	alive := func(r Run) float64 {
-		if p.endsHeard {
+		if p.endsKnown {
 			return 1
 		}
-		return lasts(float64(r.Made), since, median)
+		return continueChance(float64(r.Made), since, median)
 	}
 	for _, r := range e.report.Runs {
-		unseen -= float64(r.Tokens)
+		notBegun -= float64(r.Tokens)
 		o.running += alive(r)
 	}
 	o.running += float64(e.report.Queued)
-	waits := float64(e.report.Queued) * (p.meanPrompt + p.meanOutput/2)
-	for i, part := range horizons {
+	queuedKV := float64(e.report.Queued) * (p.meanPrompt + p.meanOutput/2)
+	for i, part := range forecastHorizons {
 		t := part * p.meanOutput
-		o.mean[i] = max(0, unseen) + waits
-		o.most[i] = o.mean[i]
+		o.mean[i] = max(0, notBegun) + queuedKV
+		o.max[i] = o.mean[i]
 		for _, r := range e.report.Runs {
-			o.add(i, float64(r.Tokens)+since+t, alive(r)*lasts(float64(r.Made)+since, t, median))
+			o.addStream(i, float64(r.Tokens)+since+t, alive(r)*continueChance(float64(r.Made)+since, t, median))
 		}
-		for _, w := range e.sent {
+		for _, w := range e.placements {
 			if age := now.Sub(w.at); w.kv > 0 && i == 0 && age < start {
-				o.mean[0] += float64(w.prompt + w.ahead)
-				o.most[0] += float64(w.prompt + w.ahead)
+				o.mean[0] += float64(w.prompt + w.outputReserve)
+				o.max[0] += float64(w.prompt + w.outputReserve)
 			} else if w.kv > 0 {
 				made := t + max(0, (age-start).Seconds()/step)
-				o.add(i, float64(w.prompt)+made, above(made, max(1, float64(w.answer)), guessSpread))
+				o.addStream(i, float64(w.prompt)+made, longerThan(made, max(1, float64(w.answer)), guessSigma))
 			}
 		}
 	}
-	for _, w := range e.sent {
+	for _, w := range e.placements {
 		o.running += w.streams
 	}
-	e.outlook = o
-	return &e.outlook
+	e.forecast = o
+	return &e.forecast
 }
 
-// startTime is what passes from when a stream is placed until it writes.
+// startTime is the expected time from the placement of a stream to its first token.
 func (p *pool) startTime() time.Duration {
 	if p.speed.Begin == 0 || p.speed.PrefillRate == 0 {
-		return usualStart
+		return defaultStartTime
 	}
 	return p.speed.ReadDelay + seconds(p.meanRead/p.speed.PrefillRate) + p.speed.Begin
 }
 
-// lasts is the probability that a stream that has made so many tokens makes that many more.
-func lasts(made, more, median float64) float64 {
-	return above(made+more, median, lengthSpread) / max(1e-9, above(made, median, lengthSpread))
+// continueChance is the probability that a stream that has generated some tokens (made)
+// generates at least as many further ones as given (more).
+func continueChance(made, more, median float64) float64 {
+	return longerThan(made+more, median, lengthSigma) / max(1e-9, longerThan(made, median, lengthSigma))
 }
 
-func (o *outlook) add(i int, tokens, chance float64) {
-	o.most[i] += tokens
+func (o *memoryForecast) addStream(i int, tokens, chance float64) {
+	o.max[i] += tokens
 	o.mean[i] += tokens * chance
 	o.variance[i] += tokens * tokens * chance * (1 - chance)
 }
 
-// hasRoom says whether the engine is expected to take the request now, and not to run out of
-// memory if it does. Without a fresh report the ledger and the last report tell.
+// hasRoom reports whether the engine is expected to accept the request now, and not to run
+// out of memory if it does. Without a recent report, the ledger and the last report decide.
 //
 // Example: answers have 4,400 tokens on average, and a prompt of 4,000 is to join an engine
-// of 63,000. Five streams of 9,000 that have made 8,000 leave room for it: most will have
-// ended when it has grown. Ten of 5,000 that have just begun do not, though as much is free.
+// of 63,000. Five streams of 9,000 that have generated 8,000 leave room for it: most will
+// have ended before it has grown. Ten new ones of 5,000 do not, though as much memory is free.
 func (e *engine) hasRoom(p *pool, f *flight, now time.Time) bool {
-	if e.KVTokens-e.heldKV < f.need() {
+	if e.KVTokens-e.reservedKV < f.kvNeed() {
 		return false
 	}
-	if e.unforeseen(now) || e.report.Runs == nil || p.meanOutput <= 0 {
-		return e.freeKV() >= f.needNow()
+	if e.lacksForecast(now) || e.report.Runs == nil || p.meanOutput <= 0 {
+		return e.freeKV() >= f.kvNeedAtStart()
 	}
-	o := e.foresee(p, now)
-	if o.mean[0]+float64(f.needNow()) > float64(e.KVTokens) || e.Slots > 0 && o.running+1 > float64(e.Slots) {
+	o := e.forecastMemory(p, now)
+	if o.mean[0]+float64(f.kvNeedAtStart()) > float64(e.KVTokens) || e.Slots > 0 && o.running+1 > float64(e.Slots) {
 		return false
 	}
-	if f.patient {
+	if f.mayBeLate {
 		return true
 	}
-	guess := max(1, float64(f.expected()))
-	for i, part := range horizons {
+	guess := max(1, float64(f.expectedOutput()))
+	for i, part := range forecastHorizons {
 		t := part * p.meanOutput
-		chance := above(t, guess, guessSpread)
+		chance := longerThan(t, guess, guessSigma)
 		tokens := float64(f.PromptTokens) + t
 		mean, variance := o.mean[i]+tokens*chance, o.variance[i]+tokens*tokens*chance*(1-chance)
-		// Streams that end make room; that none does is the worst there can be of those known.
-		worst := o.most[i] + tokens + unknownPart*float64(e.KVTokens)
+		// Streams that end make room; the worst case is that none of the known ones does.
+		worst := o.max[i] + tokens + unknownShare*float64(e.KVTokens)
 		if min(worst, mean+overflowSigma*math.Sqrt(variance)) > float64(e.KVTokens) {
 			return false
 		}
@@ -177,31 +178,33 @@
 	return true
 }
 
-// lengths are those of requests on the mean, in tokens. They are 0 before the first.
-type lengths struct {
+// requestLengths are the mean lengths of requests, in tokens; 0 before the first request.
+type requestLengths struct {
 	meanPrompt float64
-	meanOutput float64 // As it is expected to be.
-	// meanRead is the part of a prompt that is not cached.
+	meanOutput float64 // Of the expected lengths, not the actual ones.
+	// meanRead is the mean length of the uncached part of a prompt.
 	meanRead float64
-	// gap is the target between tokens of the last request.
-	gap    time.Duration
-	seen   int
-	seenAt time.Time
+	// tokenTarget is the between-tokens target of the last request.
+	tokenTarget   time.Duration
+	requestCount  int
+	lastRequestAt time.Time
 }
 
-// lengthBlend is the weight of one request, at the least.
-const lengthBlend = 0.02
+// minLengthBlend is the least weight of one request.
+const minLengthBlend = 0.02
 
-// saw takes the lengths of one request.
-func (l *lengths) saw(now time.Time, prompt, read, output int, gap time.Duration) {
-	l.seen++
-	l.seenAt = now
-	blend := max(lengthBlend, 1/float64(l.seen))
+// observe records the lengths of one request.
+func (l *requestLengths) observe(now time.Time, prompt, read, output int, gap time.Duration) {
+	l.requestCount++
+	l.lastRequestAt = now
+	blend := max(minLengthBlend, 1/float64(l.requestCount))
 	l.meanPrompt += blend * (float64(prompt) - l.meanPrompt)
 	l.meanRead += blend * (float64(read) - l.meanRead)
 	l.meanOutput += blend * (float64(output) - l.meanOutput)
-	l.gap = gap
+	l.tokenTarget = gap
 }
 
-// sawElsewhere takes the lengths of a request that another box sent to an engine.
-func (l *lengths) sawElsewhere(ev Sent) { l.saw(ev.At, ev.Prompt, ev.Prompt, ev.KV-ev.Prompt, l.gap) }
+// observeRemote records the lengths of a request that another box sent to an engine.
+func (l *requestLengths) observeRemote(ev Sent) {
+	l.observe(ev.At, ev.Prompt, ev.Prompt, ev.KV-ev.Prompt, l.tokenTarget)
+}
--- a/internal/decide/memory_test.go
+++ b/internal/decide/memory_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// expectOverflow has an engine of 63,000 tokens report runs of so many tokens each, half of
-// them prompt, and expects whether a prompt of 4,000 with an answer of 4,400 would overflow it.
+// expectOverflow has an engine of 63,000 tokens report the given streams, and checks whether a
+// prompt of 4,000 tokens with an answer of 4,400 is predicted to overflow it.
 func expectOverflow(t *testing.T, runs, tokens, made int, age time.Duration, want bool) {
 	t.Helper()
 	now := time.Now()
@@ -17,25 +17,25 @@
 		e.report.Runs = append(e.report.Runs, Run{Tokens: tokens, Made: made})
 	}
 	e.report.FreeKV = e.KVTokens - runs*tokens
-	p := &pool{lengths: lengths{meanOutput: 4400}}
+	p := &pool{requestLengths: requestLengths{meanOutput: 4400}}
 	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 4000, ExpectTokens: 4400}}
 	if got := !e.hasRoom(p, f, now); got != want {
-		t.Errorf("%d runs of %d tokens, %d made, %s old: expected %t, got %t", runs, tokens, made, age, want, got)
+		t.Errorf("%d streams of %d tokens, %d generated, report %s old: expected %t, got %t", runs, tokens, made, age, want, got)
 	}
 }
 
-func TestOverflowEmpty(t *testing.T)   { expectOverflow(t, 1, 5000, 0, 0, false) }
-func TestOverflowBegun(t *testing.T)   { expectOverflow(t, 10, 5000, 0, 0, true) }
-func TestOverflowEnding(t *testing.T)  { expectOverflow(t, 5, 9000, 8000, 0, false) }
-func TestOverflowFull(t *testing.T)    { expectOverflow(t, 7, 8900, 4000, 0, true) }
-func TestOverflowOld(t *testing.T)     { expectOverflow(t, 10, 5000, 0, 10*time.Second, false) }
-func TestOverflowUnknown(t *testing.T) { expectOverflow(t, 0, 0, 0, 0, false) }
+func TestOverflowNearlyEmpty(t *testing.T)   { expectOverflow(t, 1, 5000, 0, 0, false) }
+func TestOverflowNewStreams(t *testing.T)    { expectOverflow(t, 10, 5000, 0, 0, true) }
+func TestOverflowEndingStreams(t *testing.T) { expectOverflow(t, 5, 9000, 8000, 0, false) }
+func TestOverflowFull(t *testing.T)          { expectOverflow(t, 7, 8900, 4000, 0, true) }
+func TestOverflowOldReport(t *testing.T)     { expectOverflow(t, 10, 5000, 0, 10*time.Second, false) }
+func TestOverflowNoStreams(t *testing.T)     { expectOverflow(t, 0, 0, 0, 0, false) }
 
-// A report is of some time ago: what it shows to be nearly done has ended since, and what
-// has just begun has grown.
-func TestOverflowSince(t *testing.T) {
+// Since a report was taken, streams that were nearly done have ended, and those that had just
+// begun have grown.
+func TestOverflowReportAge(t *testing.T) {
 	now := time.Now()
-	p := &pool{lengths: lengths{meanOutput: 4400}}
+	p := &pool{requestLengths: requestLengths{meanOutput: 4400}}
 	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 4000, ExpectTokens: 4400}}
 	room := func(age time.Duration, runs ...Run) bool {
 		e := &engine{Engine: Engine{KVTokens: 63000, Step: time.Millisecond}, reported: true}
@@ -60,35 +60,35 @@
 		t.Error("expected three streams that have begun to leave room")
 	}
 	if room(0, begun, begun, begun, begun, begun, begun, begun, begun, begun) {
-		t.Error("expected nine to leave none, though memory is free now")
+		t.Error("expected nine streams to leave no room, though memory is free now")
 	}
 }
 
-// An engine whose streams take all its places has no room, whatever its memory.
+// An engine without a free slot has no room, whatever its memory.
 func TestOverflowSlots(t *testing.T) {
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 63000, Slots: 3, Step: time.Millisecond}, reported: true}
 	e.report = Report{At: now, Runs: []Run{{1000, 10}, {1000, 10}, {1000, 10}}, FreeKV: 60000}
 	f := &flight{Request: Request{PromptTokens: 1000, MaxTokens: 1000, ExpectTokens: 1000}}
-	if e.hasRoom(&pool{lengths: lengths{meanOutput: 4400}}, f, now) {
-		t.Error("expected no room for a fourth stream in three places")
+	if e.hasRoom(&pool{requestLengths: requestLengths{meanOutput: 4400}}, f, now) {
+		t.Error("expected no room for a fourth stream in three slots")
 	}
 }
 
-// What is set aside for others counts, although it runs nothing yet.
-func TestOverflowSetAside(t *testing.T) {
+// Memory reserved for streams that have not begun counts as used.
+func TestOverflowReservedMemory(t *testing.T) {
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 63000}, reported: true}
 	e.report = Report{At: now, Runs: []Run{{Tokens: 5000}}, FreeKV: 4000}
 	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 0, ExpectTokens: 4400}}
-	if e.hasRoom(&pool{lengths: lengths{meanOutput: 4400}}, f, now) {
-		t.Error("expected 54,000 tokens set aside to count")
+	if e.hasRoom(&pool{requestLengths: requestLengths{meanOutput: 4400}}, f, now) {
+		t.Error("expected 54,000 reserved tokens to count as used")
 	}
 }
 
-// A request goes to the engine that will have room, though the other one has as much now
-// and is otherwise alike.
-func TestForeseesMemory(t *testing.T) {
+// A request is placed on the engine that will have room, even if another engine has as much
+// free memory now and is otherwise equal.
+func TestPlacementUsesForecast(t *testing.T) {
 	ending, begun := make([]Run, 8), make([]Run, 16)
 	for i := range ending {
 		ending[i] = Run{Tokens: 10000, Made: 9000}
@@ -97,7 +97,7 @@
 		begun[i] = Run{Tokens: 5000}
 	}
 	for seed := range uint64(20) {
-		s := newScene(t, 1, 2)
+		s := newFixture(t, 1, 2)
 		s.c.rng = rand.New(rand.NewPCG(seed, 1))
 		s.step(Report{Engine: "b", At: s.now, FreeKV: 20000, Streams: 10, Runs: begun})
 		s.step(Report{Engine: "c", At: s.now, FreeKV: 20000, Streams: 10, Runs: ending})
@@ -105,19 +105,17 @@
 			ID: 1, Pool: "p", Region: "r", PromptTokens: 4000, MaxTokens: 4400, ExpectTokens: 4400,
 			FirstToken: time.Second, BetweenTokens: 20 * time.Millisecond, Repeatable: true,
 		}})
-		s.expectRuns(1)
-		if got := s.runs[1].Decode; got != "c" {
+		s.expectStarted(1)
+		if got := s.prefills[1].Decode; got != "c" {
 			t.Errorf("seed %d: expected the engine whose streams end soon, got %s", seed, got)
 		}
 	}
 }
 
-// Streams take no more than if none of them ends: short answers beside long prompts fill an
-// engine nearly to the end.
-//
-// Without that bound the uncertainty about six streams, each of which may end or not, passed
-// for 2,000 tokens that they could not grow to.
-func TestOverflowBounded(t *testing.T) {
+// The forecast is bounded by the memory that streams take if none of them ends: short answers
+// to long prompts can fill an engine nearly to the end. Without that bound, the uncertainty
+// about the ends of six streams counted as 2,000 tokens that they could not grow to.
+func TestOverflowUpperBound(t *testing.T) {
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 28400, Step: 5 * time.Millisecond}, reported: true}
 	e.report = Report{At: now.Add(-500 * time.Millisecond), FreeKV: 28400 - 6*3650}
@@ -125,7 +123,7 @@
 		e.report.Runs = append(e.report.Runs, Run{Tokens: 3500 + 60*i, Made: 20 + 60*i})
 	}
 	f := &flight{Request: Request{PromptTokens: 3000, MaxTokens: 640, Ahead: 75, ExpectTokens: 550}}
-	if !e.hasRoom(&pool{lengths: lengths{meanOutput: 640}}, f, now) {
+	if !e.hasRoom(&pool{requestLengths: requestLengths{meanOutput: 640}}, f, now) {
 		t.Error("expected room for a seventh stream")
 	}
 }
--- a/internal/decide/migrate_test.go
+++ b/internal/decide/migrate_test.go
@@ -7,16 +7,16 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// moveScene is a pool of one prefill engine, a, and decode engines b to d. A stream of this
-// box has begun on b.
-type moveScene struct {
-	*scene
-	moves []Migrate
+// migrateFixture is a pool with one prefill engine, a, and decode engines b to d. A stream of
+// this box is running on b.
+type migrateFixture struct {
+	*fixture
+	migrations []Migrate
 }
 
-func newMoveScene(t *testing.T) *moveScene {
-	s := &moveScene{scene: newScene(t, 1, 3)}
-	s.fleet("")
+func newMigrateFixture(t *testing.T) *migrateFixture {
+	s := &migrateFixture{fixture: newFixture(t, 1, 3)}
+	s.updateFleet("")
 	s.step(Report{Engine: "b", At: s.now, FreeKV: 100000, Runs: []Run{}})
 	s.step(Arrive{Request: Request{
 		ID: 1, Pool: "p", Region: "r", PromptTokens: 5000, MaxTokens: 5000, ExpectTokens: 4400,
@@ -25,13 +25,13 @@
 	s.step(PrefillDone{ID: 1, Attempt: 1, Expires: s.now.Add(time.Second)})
 	s.step(FirstToken{ID: 1, Attempt: 2})
 	if got := s.c.flights[1]; got.decode.Name != "b" || got.stage != streaming {
-		t.Fatalf("expected the stream at b, got %+v", got.decode)
+		t.Fatalf("expected the stream on b, got %+v", got.decode)
 	}
 	return s
 }
 
-// fleet puts the engines in force, one of which may be leaving.
-func (s *moveScene) fleet(leaving string) {
+// updateFleet sets the engines, one of which may be leaving.
+func (s *migrateFixture) updateFleet(leaving string) {
 	f := Fleet{Pools: []Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: 5 * time.Second, Foresee: true, Migrates: true}}}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		e := s.c.engines[name].Engine
@@ -41,16 +41,16 @@
 	s.step(f)
 }
 
-func (s *moveScene) step(ev Event) {
+func (s *migrateFixture) step(ev Event) {
 	for _, a := range s.c.Step(s.now, ev) {
 		if m, ok := a.(Migrate); ok {
-			s.moves = append(s.moves, m)
+			s.migrations = append(s.migrations, m)
 		}
 	}
 }
 
-// tell has engines report: b is full of runs that had made so many tokens, and c is empty.
-func (s *moveScene) tell(runs, made int) {
+// report makes b report streams that had generated the given number of tokens each, and c none.
+func (s *migrateFixture) report(runs, made int) {
 	r := Report{Engine: "b", At: s.now, FreeKV: 100000 - runs*9000, Streams: runs}
 	for range runs {
 		r.Runs = append(r.Runs, Run{Tokens: 9000, Made: made})
@@ -59,153 +59,154 @@
 	s.step(Report{Engine: "c", At: s.now, FreeKV: 100000, Runs: []Run{}})
 }
 
-func (s *moveScene) later(d time.Duration) {
+func (s *migrateFixture) advance(d time.Duration) {
 	s.now = s.now.Add(d)
 	s.step(Tick{})
 }
 
-func (s *moveScene) expectMoves(what string, n int) {
+func (s *migrateFixture) expectMigrations(what string, n int) {
 	s.t.Helper()
-	if len(s.moves) != n {
-		s.t.Fatalf("%s: expected %d moves, got %+v", what, n, s.moves)
+	if len(s.migrations) != n {
+		s.t.Fatalf("%s: expected %d migrations, got %+v", what, n, s.migrations)
 	}
 }
 
-// expectBooked expects memory of the stream to be held at these engines only.
-func (s *moveScene) expectBooked(names ...string) {
+// expectReservedOn expects the stream's memory to be reserved on these engines only.
+func (s *migrateFixture) expectReservedOn(names ...string) {
 	s.t.Helper()
 	for _, e := range s.c.engines {
 		want := false
 		for _, name := range names {
 			want = want || e.Name == name
 		}
-		if (e.heldKV > 0) != want {
-			s.t.Errorf("expected memory to be held at %v, got %d at %s", names, e.heldKV, e.Name)
+		if (e.reservedKV > 0) != want {
+			s.t.Errorf("expected memory to be reserved on %v, got %d on %s", names, e.reservedKV, e.Name)
 		}
 	}
 }
 
-// The newest stream of an engine that will run out of memory is moved to the one with most
-// room, and is booked at both until it goes on there.
+// The newest stream of an engine that will run out of memory is migrated to the one with the
+// most room, and memory is reserved on both until it continues there.
 func TestMovesNewest(t *testing.T) {
-	s := newMoveScene(t)
+	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
-	s.tell(11, 600)
-	s.later(migrateEvery)
-	s.expectMoves("the newest of a full engine", 1)
-	m := s.moves[0]
+	s.report(11, 600)
+	s.advance(migrateInterval)
+	s.expectMigrations("the newest of a full engine", 1)
+	m := s.migrations[0]
 	if m.From != "b" || m.To != "c" || m.Leaving || m.Attempt != 3 {
-		t.Errorf("expected a move from b to c, got %+v", m)
+		t.Errorf("expected a migration from b to c, got %+v", m)
 	}
-	s.expectBooked("b", "c")
-	s.later(migrateEvery)
-	s.expectMoves("while it is moved", 1)
+	s.expectReservedOn("b", "c")
+	s.advance(migrateInterval)
+	s.expectMigrations("while it is being migrated", 1)
 	s.step(Migrated{ID: 1, Attempt: 3})
-	s.expectBooked("c")
-	s.step(Failed{ID: 1, Attempt: 2, Reason: outcome.EndpointDied, Ran: true}) // The old call: late.
+	s.expectReservedOn("c")
+	s.step(Failed{ID: 1, Attempt: 2, Reason: outcome.EndpointDied, Ran: true}) // A late event of the old call.
 	if f := s.c.flights[1]; f == nil || f.decode.Name != "c" || f.attempt != 3 {
-		t.Errorf("expected the stream to go on at c, got %+v", f)
+		t.Errorf("expected the stream to continue on c, got %+v", f)
 	}
 	s.step(Done{ID: 1, Attempt: 3})
-	s.expectBooked()
+	s.expectReservedOn()
 }
 
-func TestMoveFails(t *testing.T) {
-	s := newMoveScene(t)
+func TestFailedMigration(t *testing.T) {
+	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
-	s.tell(11, 600)
-	s.later(migrateEvery)
-	s.expectMoves("a full engine", 1)
+	s.report(11, 600)
+	s.advance(migrateInterval)
+	s.expectMigrations("a full engine", 1)
 	s.step(MigrateFailed{ID: 1, Attempt: 3})
-	s.expectBooked("b")
-	s.tell(11, 700)
-	s.later(migrateEvery)
-	s.expectMoves("right after a failure", 1)
+	s.expectReservedOn("b")
+	s.report(11, 700)
+	s.advance(migrateInterval)
+	s.expectMigrations("right after a failure", 1)
 	s.step(Cancel{ID: 1})
-	s.expectBooked()
+	s.expectReservedOn()
 }
 
 func TestCancelWhileMoved(t *testing.T) {
-	s := newMoveScene(t)
+	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
-	s.tell(11, 600)
-	s.later(migrateEvery)
-	s.expectBooked("b", "c")
+	s.report(11, 600)
+	s.advance(migrateInterval)
+	s.expectReservedOn("b", "c")
 	s.step(Cancel{ID: 1})
-	s.expectBooked()
+	s.expectReservedOn()
 }
 
-// A stream that is not the newest stays: the engine displaces another.
-func TestOlderStays(t *testing.T) {
-	s := newMoveScene(t)
+// A stream that is not the newest is not migrated, since the engine preempts a newer one.
+func TestOlderStreamIsNotMigrated(t *testing.T) {
+	s := newMigrateFixture(t)
 	s.now = s.now.Add(time.Second)
-	s.tell(11, 50)
-	s.later(migrateEvery)
-	s.expectMoves("newer ones run there", 0)
+	s.report(11, 50)
+	s.advance(migrateInterval)
+	s.expectMigrations("newer ones run there", 0)
 }
 
-func TestRoomyStays(t *testing.T) {
-	s := newMoveScene(t)
+func TestNoMigrationWithRoom(t *testing.T) {
+	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
-	s.tell(3, 1500)
-	s.later(migrateEvery)
-	s.expectMoves("an engine with room", 0)
+	s.report(3, 1500)
+	s.advance(migrateInterval)
+	s.expectMigrations("an engine with room", 0)
 }
 
-// An engine that fell silent seems to become empty, and one whose streams wait is full.
-func TestMovesNotToSilent(t *testing.T) {
-	s := newMoveScene(t)
+// An unresponsive engine seems to become empty, and one with queued streams is full.
+func TestNoMigrationToUnsuitableEngine(t *testing.T) {
+	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
-	s.tell(11, 600)
+	s.report(11, 600)
 	s.step(Silent{Engine: "c"})
 	s.step(Report{Engine: "d", At: s.now, FreeKV: 100000, Queued: 1, Runs: []Run{}})
-	s.later(migrateEvery)
-	s.expectMoves("only a silent one and one with a queue", 0)
+	s.advance(migrateInterval)
+	s.expectMigrations("only an unresponsive engine and one with a queue", 0)
 }
 
-// Streams are moved off an engine that leaves, unless they are nearly done.
-func TestMovesOffLeaving(t *testing.T) {
-	s := newMoveScene(t)
+// Streams are migrated off an engine that leaves, unless they are nearly done.
+func TestMigratesOffLeavingEngine(t *testing.T) {
+	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
-	s.tell(2, 1500)
-	s.fleet("b")
-	s.later(migrateEvery)
-	s.expectMoves("an engine that leaves", 1)
-	if !s.moves[0].Leaving {
-		t.Error("expected the reason to be that it leaves")
+	s.report(2, 1500)
+	s.updateFleet("b")
+	s.advance(migrateInterval)
+	s.expectMigrations("an engine that leaves", 1)
+	if !s.migrations[0].Leaving {
+		t.Error("expected the migration's reason to be that the engine leaves")
 	}
-	s = newMoveScene(t)
+	s = newMigrateFixture(t)
 	s.now = s.now.Add(4100 * time.Millisecond)
-	s.tell(2, 1500)
-	s.fleet("b")
-	s.later(migrateEvery)
-	s.expectMoves("a stream that is nearly done", 0)
-}
-
-// A move that was not made had used up the retry that it took. Each engine that leaves is asked again every
-// 1.5 s while it has no room for the copy; with ten retries for all, none was left when a stream broke off
-// that could have gone on elsewhere, and its caller's connection was closed.
-func TestMoveNotMadeGivesItsRetryBack(t *testing.T) {
-	s := newMoveScene(t)
+	s.report(2, 1500)
+	s.updateFleet("b")
+	s.advance(migrateInterval)
+	s.expectMigrations("a stream that is nearly done", 0)
+}
+
+// A migration that failed before any call was made used up the retry taken for it. An engine that
+// leaves is asked again every 1.5 s while no target has room for the copy. With ten retries in all,
+// none was left when a stream that could have resumed lost its connection, and its caller was
+// disconnected.
+func TestFailedMigrationReturnsRetry(t *testing.T) {
+	s := newMigrateFixture(t)
 	before := s.retriesLeft()
-	s.tell(0, 0)
-	s.fleet("b")
+	s.report(0, 0)
+	s.updateFleet("b")
 	for n := 1; n <= 5; n++ {
-		s.tell(0, 0)
-		s.later(migratePause + migrateEvery)
-		s.expectMoves("while b leaves", n)
+		s.report(0, 0)
+		s.advance(migrationCooldown + migrateInterval)
+		s.expectMigrations("while b leaves", n)
 		if got := s.retriesLeft(); got != before-1 {
-			t.Fatalf("expected one retry to be taken by the move under way, got %d of %d left", got, before)
+			t.Fatalf("expected one retry to be taken by the running migration, got %d of %d left", got, before)
 		}
-		s.step(MigrateFailed{ID: 1, Attempt: s.moves[n-1].Attempt})
+		s.step(MigrateFailed{ID: 1, Attempt: s.migrations[n-1].Attempt})
 	}
 	if got := s.retriesLeft(); got != before {
 		t.Errorf("expected all %d retries to be left, got %d", before, got)
 	}
 }
 
-// retriesLeft is how many calls the budget would let through now.
-func (s *moveScene) retriesLeft() (n int) {
+// retriesLeft is how many retries the budget allows now.
+func (s *migrateFixture) retriesLeft() (n int) {
 	for s.c.budget.Has(s.now, n+1) {
 		n++
 	}
--- a/internal/decide/retries_test.go
+++ b/internal/decide/retries_test.go
@@ -9,74 +9,73 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// Users saw engines get more calls beyond the first of their request, in ten seconds, than the
-// platform allows all boxes together: a fifth of the requests and a few hundred. In the order of
-// events: engines reject most calls; boxes are restarted, cut off or killed meanwhile; each box
-// spends what it may by itself, three at once and one more in ten seconds whether there are 8 boxes
-// or 85, and again after a restart; and all of them spend from a common stock before they hear that
-// others have.
+// Engines got more calls beyond the first per request in ten seconds than the platform allows all
+// boxes together (a fifth of the requests and a few hundred), in this order of events: engines reject
+// most calls; meanwhile boxes are restarted, cut off or killed; each box spends its own allowance,
+// three at once and one more per ten seconds whether there are 8 boxes or 85, and again after a
+// restart; and all of them spend from a shared allowance before they learn that others have.
 //
-// The evidence, on 85 boxes of which 319 to 323 such calls were allowed: 324 where all boxes were
-// killed meanwhile, 434 where half of them were cut off, 462 where all were restarted in turn, and
-// no more than allowed where nothing happened to them. Tried again from the start, a stream costs two
-// such calls, since its prompt is read again too, and one retry was taken for both.
+// Observed on 85 boxes that were allowed 319 to 323 such calls: 324 when all boxes were killed, 434
+// when half of them were cut off, 462 when all were restarted in turn, and no more than allowed
+// otherwise. A stream that starts over costs two such calls, since its prompt is prefilled again too,
+// and only one retry was taken for both.
 
-// platform is what a platform allows, and what it is asked.
-type platform struct {
+// retryPlatform holds the limits of a platform and its load.
+type retryPlatform struct {
 	boxes int
-	// perSecond are the requests of all boxes.
+	// perSecond is the request rate of all boxes.
 	perSecond float64
-	// share and slack bound the calls beyond the first in window.
+	// share and slack bound the calls beyond the first per request in window.
 	share, slack float64
 	window       time.Duration
 }
 
 var (
-	smallPlatform = platform{boxes: 8, perSecond: 10, share: 0.2, slack: 56, window: 10 * time.Second}
-	grownPlatform = platform{boxes: 85, perSecond: 34, share: 0.2, slack: 210, window: 10 * time.Second}
-	largePlatform = platform{boxes: 295, perSecond: 60, share: 0.2, slack: 630, window: 10 * time.Second}
+	smallPlatform = retryPlatform{boxes: 8, perSecond: 10, share: 0.2, slack: 56, window: 10 * time.Second}
+	grownPlatform = retryPlatform{boxes: 85, perSecond: 34, share: 0.2, slack: 210, window: 10 * time.Second}
+	largePlatform = retryPlatform{boxes: 295, perSecond: 60, share: 0.2, slack: 630, window: 10 * time.Second}
 )
 
-// boxOf returns the decisions of a box that started at a time and knows how many boxes there are.
-func (p platform) boxOf(now time.Time) *Core {
-	c := poolOf(9, 27, 0)
+// newBoxCore returns the core of a box that started at the given time and knows the number of boxes.
+func (p retryPlatform) newBoxCore(now time.Time) *Core {
+	c := newPoolCore(9, 27, 0)
 	c.now = now
 	c.BoundRetries(retry.Limits{Share: p.share, Free: p.slack, Window: p.window}, p.boxes, now)
 	return c
 }
 
-// failing is how engines fail the boxes of a test.
-type failing int
+// failureMode is how engines fail the calls of a test.
+type failureMode int
 
 const (
-	rejectsReads failing = iota
-	losesHandles
+	rejectsPrefills failureMode = iota
+	losesKVHandles
 )
 
-// restarts is how many boxes a second start anew from second 8 to 18.
-type restarts int
+// restartsPerSecond is how many boxes per second restart from second 8 to 18.
+type restartsPerSecond int
 
-// expectWithin has all engines fail what all boxes ask of them for half a minute, and expects
-// every window to have no more calls beyond the first than the platform allows.
-func expectWithin(t *testing.T, p platform, how failing, again restarts) {
+// expectRetriesWithin makes all engines fail all calls for half a minute, and expects no window
+// to have more calls beyond the first per request than the platform allows.
+func expectRetriesWithin(t *testing.T, p retryPlatform, how failureMode, again restartsPerSecond) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(1, uint64(p.boxes)))
 	start := time.Unix(1_800_000_000, 0).Add(time.Minute)
 	boxes := make([]*failingBox, p.boxes)
 	for i := range boxes {
-		boxes[i] = &failingBox{c: p.boxOf(start), how: how}
+		boxes[i] = &failingBox{c: p.newBoxCore(start), how: how}
 	}
-	var asked, extra []time.Duration
+	var arrivals, extra []time.Duration
 	next, id := 0, ID(0)
-	for at := time.Duration(0); at < 30*time.Second; at += tickEvery {
+	for at := time.Duration(0); at < 30*time.Second; at += tickInterval {
 		now := start.Add(at)
-		if at > 8*time.Second && at < 18*time.Second && rng.Float64() < float64(again)*tickEvery.Seconds() {
-			boxes[next%p.boxes] = &failingBox{c: p.boxOf(now), how: how}
+		if at > 8*time.Second && at < 18*time.Second && rng.Float64() < float64(again)*tickInterval.Seconds() {
+			boxes[next%p.boxes] = &failingBox{c: p.newBoxCore(now), how: how}
 			next++
 		}
-		if rng.Float64() < p.perSecond*tickEvery.Seconds() {
+		if rng.Float64() < p.perSecond*tickInterval.Seconds() {
 			id++
-			asked = append(asked, at)
+			arrivals = append(arrivals, at)
 			boxes[rng.IntN(p.boxes)].step(now, Arrive{Request{
 				ID: id, Pool: "p", Region: "r", PromptTokens: 5000, MaxTokens: 1000, Repeatable: true, ReadNotRun: true,
 				FirstToken: 900 * time.Millisecond, BetweenTokens: 5 * time.Millisecond, MaxWait: time.Second,
@@ -91,9 +90,9 @@
 		}
 	}
 	for _, from := range extra {
-		most := p.slack + p.share*float64(max(countIn(asked, from, p.window), countIn(asked, from-p.window, p.window)))
+		most := p.slack + p.share*float64(max(countIn(arrivals, from, p.window), countIn(arrivals, from-p.window, p.window)))
 		if n := countIn(extra, from, p.window); float64(n) > most {
-			t.Errorf("%d boxes: expected at most %.0f calls beyond the first in %s from %s, got %d", p.boxes, most, p.window, from, n)
+			t.Errorf("%d boxes: expected at most %.0f calls beyond the first per request in %s from %s, got %d", p.boxes, most, p.window, from, n)
 			return
 		}
 	}
@@ -108,18 +107,18 @@
 	return n
 }
 
-// failingBox is a box before engines that fail whatever it asks.
+// failingBox is a box whose engines fail all calls.
 type failingBox struct {
-	c             *Core
-	how           failing
-	reads, writes map[ID]int
-	// extra counts the calls beyond the first of their request since the last look.
+	c                 *Core
+	how               failureMode
+	prefills, decodes map[ID]int
+	// extra counts the calls beyond the first per request since it was last reset.
 	extra int
 }
 
 func (b *failingBox) step(now time.Time, ev Event) {
-	if b.reads == nil {
-		b.reads, b.writes = map[ID]int{}, map[ID]int{}
+	if b.prefills == nil {
+		b.prefills, b.decodes = map[ID]int{}, map[ID]int{}
 	}
 	pending := []Event{ev}
 	for len(pending) > 0 {
@@ -127,14 +126,14 @@
 		for _, a := range b.c.Step(now, ev) {
 			switch a := a.(type) {
 			case StartPrefill:
-				b.count(b.reads, a.ID)
-				if b.how == rejectsReads {
+				b.count(b.prefills, a.ID)
+				if b.how == rejectsPrefills {
 					pending = append(pending, Failed{ID: a.ID, Attempt: a.Attempt, Reason: outcome.EndpointRefused})
 					break
 				}
 				pending = append(pending, PrefillDone{ID: a.ID, Attempt: a.Attempt, Expires: now.Add(time.Second)})
 			case StartDecode:
-				b.count(b.writes, a.ID)
+				b.count(b.decodes, a.ID)
 				pending = append(pending, Failed{ID: a.ID, Attempt: a.Attempt, Reason: outcome.EndpointRefused, KVGone: true})
 			}
 		}
@@ -148,40 +147,40 @@
 }
 
 func TestRetriesOfAllBoxes(t *testing.T) {
-	for _, p := range []platform{smallPlatform, grownPlatform, largePlatform} {
-		for _, how := range []failing{rejectsReads, losesHandles} {
-			expectWithin(t, p, how, 0)
-			expectWithin(t, p, how, restarts(max(1, p.boxes/10)))
+	for _, p := range []retryPlatform{smallPlatform, grownPlatform, largePlatform} {
+		for _, how := range []failureMode{rejectsPrefills, losesKVHandles} {
+			expectRetriesWithin(t, p, how, 0)
+			expectRetriesWithin(t, p, how, restartsPerSecond(max(1, p.boxes/10)))
 		}
 	}
 }
 
-// A stream was answered 504 with all retries spent: the engine that took its KV cache broke off, and each
-// of the others was told to take it from the prefill engine, which had given it away. An engine that
-// refuses after that tells that it is gone, and the prompt is read again. Evidence: six decode calls for one
-// prompt, five of them refused.
-func TestTakenResultIsReadAgain(t *testing.T) {
-	s := newScene(t, 1, 3)
+// A stream was answered with 504 and all retries spent: the engine that had taken its KV cache lost the
+// connection, and each further engine was told to fetch the cache from the prefill engine, which no longer
+// had it. An engine that refuses after that shows that the cache is gone, and the prompt is prefilled
+// again. Observed: six decode calls for one prompt, five of them refused.
+func TestTakenKVCacheIsRecomputed(t *testing.T) {
+	s := newFixture(t, 1, 3)
 	s.arrive(1, "c", 1000)
-	s.step(PrefillDone{ID: 1, Attempt: s.runs[1].Attempt, Expires: s.now.Add(5 * time.Second)})
-	s.step(Failed{ID: 1, Attempt: s.goes[1].Attempt, Reason: outcome.EndpointDied, Ran: true})
-	second := s.goes[1]
+	s.step(PrefillDone{ID: 1, Attempt: s.prefills[1].Attempt, Expires: s.now.Add(5 * time.Second)})
+	s.step(Failed{ID: 1, Attempt: s.decodes[1].Attempt, Reason: outcome.EndpointDied, Ran: true})
+	second := s.decodes[1]
 	s.step(Failed{ID: 1, Attempt: second.Attempt, Reason: outcome.ConnectFailed})
-	if s.goes[1].Attempt == second.Attempt {
-		t.Error("expected a third engine to be called after a connection that was not made")
+	if s.decodes[1].Attempt == second.Attempt {
+		t.Error("expected a third engine to be called after a failed connection attempt")
 	}
-	second = s.goes[1]
+	second = s.decodes[1]
 	s.step(Failed{ID: 1, Attempt: second.Attempt, Reason: outcome.EndpointRefused})
-	if s.goes[1].Attempt != second.Attempt || s.runs[1].Attempt <= second.Attempt {
-		t.Errorf("expected the prompt to be read again after the refusal, got read %d, decode %d", s.runs[1].Attempt, s.goes[1].Attempt)
+	if s.decodes[1].Attempt != second.Attempt || s.prefills[1].Attempt <= second.Attempt {
+		t.Errorf("expected the prompt to be prefilled again after the refusal, got prefill %d, decode %d", s.prefills[1].Attempt, s.decodes[1].Attempt)
 	}
-	// Of a result that no engine can have taken, a refusal says nothing.
-	s = newScene(t, 1, 3)
+	// If no engine can have taken the KV cache, a refusal does not mean that it is gone.
+	s = newFixture(t, 1, 3)
 	s.arrive(1, "c", 1000)
-	s.step(PrefillDone{ID: 1, Attempt: s.runs[1].Attempt, Expires: s.now.Add(5 * time.Second)})
-	first := s.goes[1]
+	s.step(PrefillDone{ID: 1, Attempt: s.prefills[1].Attempt, Expires: s.now.Add(5 * time.Second)})
+	first := s.decodes[1]
 	s.step(Failed{ID: 1, Attempt: first.Attempt, Reason: outcome.EndpointRefused})
-	if s.goes[1].Attempt <= first.Attempt {
-		t.Errorf("expected another engine to take the result, got %+v", s.goes[1])
+	if s.decodes[1].Attempt <= first.Attempt {
+		t.Errorf("expected another engine to take the KV cache, got %+v", s.decodes[1])
 	}
 }
--- a/internal/decide/snapshot.go
+++ b/internal/decide/snapshot.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// EngineState is what the core believes of one engine, for operators.
+// EngineState is the observed state of one engine, for operators.
 type EngineState struct {
 	Engine
-	State   string // ready, leaving, closed, set_aside or silent
-	Queue   time.Duration
-	FreeKV  int
-	HeldKV  int // Held by this box's own requests.
-	Streams int
-	Jobs    int
+	State    string // ready, leaving, closed, set_aside or silent
+	Queue    time.Duration
+	FreeKV   int
+	HeldKV   int // Reserved for this box's own requests.
+	Streams  int
+	Prefills int
 }
 
-// Snapshot lists all engines by name, and counts the requests that wait.
+// Snapshot returns all engines, sorted by name, and the number of waiting requests.
 func (c *Core) Snapshot(now time.Time) ([]EngineState, int) {
 	var out []EngineState
 	for _, e := range c.engines {
 		out = append(out, EngineState{
 			Engine: e.Engine, State: e.state(now), Queue: e.queueTime(now),
-			FreeKV: e.freeKV(), HeldKV: e.heldKV, Streams: int(e.running()), Jobs: e.jobs,
+			FreeKV: e.freeKV(), HeldKV: e.reservedKV, Streams: int(e.running()), Prefills: e.prefills,
 		})
 	}
 	slices.SortFunc(out, func(a, b EngineState) int { return cmp.Compare(a.Name, b.Name) })
@@ -42,19 +42,20 @@
 		return "leaving"
 	case e.health.setAside(now):
 		return "set_aside"
-	case e.silent():
+	case e.statsUnreliable():
 		return "silent"
 	}
 	return "ready"
 }
 
-// Flights is the number of requests in the core's care.
-func (c *Core) Flights() int { return len(c.flights) }
+// InFlight is the number of requests that have arrived and not ended.
+func (c *Core) InFlight() int { return len(c.flights) }
 
-// busyShare is the share of its time target after which a role counts as short.
-const busyShare = 0.8
+// shortageShare is the share of a role's engines that must be full for the role to count as
+// short, and the share of its memory that a full decode engine uses.
+const shortageShare = 0.8
 
-// Imbalance says in plain terms which role of a pool limits it; empty if neither does.
+// Imbalance describes, for each pool that is limited by one or both roles, which role that is.
 func (c *Core) Imbalance(now time.Time) []string {
 	var out []string
 	for _, name := range c.names {
@@ -68,17 +69,17 @@
 func (p *pool) imbalance(now time.Time) string {
 	busy, full := 0, 0
 	for _, e := range p.prefill {
-		if e.queueTime(now) > prefillWindow {
+		if e.queueTime(now) > maxPrefillBacklog {
 			busy++
 		}
 	}
 	for _, e := range p.decode {
-		if float64(e.freeKV()) < (1-busyShare)*float64(e.KVTokens) {
+		if float64(e.freeKV()) < (1-shortageShare)*float64(e.KVTokens) {
 			full++
 		}
 	}
-	prefillShort := len(p.prefill) > 0 && float64(busy) >= busyShare*float64(len(p.prefill))
-	decodeShort := len(p.decode) > 0 && float64(full) >= busyShare*float64(len(p.decode))
+	prefillShort := len(p.prefill) > 0 && float64(busy) >= shortageShare*float64(len(p.prefill))
+	decodeShort := len(p.decode) > 0 && float64(full) >= shortageShare*float64(len(p.decode))
 	switch {
 	case prefillShort && !decodeShort:
 		return "pool " + p.Name + " is short of prefill: its decode engines have room while prompts wait"
--- a/internal/decide/speed.go
+++ b/internal/decide/speed.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// This file learns how fast the engines of a pool work, from what its requests took. Nothing
-// says so beforehand, and engines of two deployments differ by ten times and more.
+// This file estimates the speed of a pool's engines from the timings of its requests. Nothing
+// else tells it, and engines of two deployments can differ by a factor of ten and more.
 
-// Speed is how fast the engines of a pool work. What is not known yet is 0.
+// Speed is the speed of the engines of a pool. Values that are not known yet are 0.
 type Speed struct {
-	PrefillRate float64 // Prompt tokens that an engine reads in a second.
-	// ReadDelay is what a prompt takes beside being read and waiting for others.
+	PrefillRate float64 // Prompt tokens that an engine prefills per second.
+	// ReadDelay is the part of a prefill's duration besides the prefill itself and queueing.
 	ReadDelay time.Duration
-	// Begin is what passes from when a decode engine is sent a KV cache until the first event
-	// comes, without the transfer.
+	// Begin is the time from sending a KV cache to a decode engine until the first event
+	// arrives, without the transfer.
 	Begin time.Duration
-	// Step is the time of a token of a stream alone, and StepPerStream what each stream adds.
+	// Step is the time per token of a single stream, and StepPerStream what each stream adds.
 	Step          time.Duration
 	StepPerStream time.Duration
 }
 
-// Timing is what one request took of engines. What was not seen is 0.
+// Timing is the time that one request took on engines. Values that were not observed are 0.
 type Timing struct {
-	// ReadTokens were read by a prefill engine in Read: those of the prompt, and those that
-	// were known to be in front of it.
+	// ReadTokens were prefilled by a prefill engine in Read: those of the prompt, and those
+	// that were known to be queued ahead of it.
 	ReadTokens int
 	Read       time.Duration
 	Begin      time.Duration // As in Speed.
-	// Step is the mean time of a token, among so many Streams.
+	// Step is the mean time per token, with Streams running on the engine.
 	Step    time.Duration
 	Streams float64
 }
 
-// Took says what a request took of engines, once it is answered.
+// Took reports the timing of a request of this box once it is answered.
 type Took struct {
 	ID ID
 	Timing
 }
 
-// OtherTook says what a request of another box took of a pool's engines.
+// OtherTook reports the timing of a request of another box.
 type OtherTook struct {
 	Pool string
 	Timing
@@ -50,149 +50,148 @@
 func (OtherTook) event() {}
 
 const (
-	// speedKept is how many of the newest timings of each kind count: half a minute of what
-	// boxes tell each other, so that one burst does not pass for slow engines.
-	speedKept = 128
-	// speedLeast is how many there must be at least, and speedEvery after how many the figures
-	// are worked out anew.
-	speedLeast = 8
-	speedEvery = 4
-	// idleAhead is what may be known to be in front of a prompt, as a part of it, for the
-	// time that it takes to say how fast the engine reads. What is in front is itself only
-	// worked out by that.
-	idleAhead = 0.25
-	// unhindered is the part of the reads that nothing unknown hindered. The others stood
-	// behind prompts of other boxes that were not heard of, or an engine was at fault.
-	unhindered = 0.25
-	// fitRounds is how often delay and rate are corrected by each other. Each round leaves the
-	// quotient of short and long prompts' sizes, about a half, of the error.
+	// maxTimings is how many of the newest timings of each kind are used: about half a minute
+	// of those that boxes publish, so that one burst is not mistaken for slow engines.
+	maxTimings = 128
+	// minTimings is how many timings an estimate needs, and refitInterval after how many new
+	// ones the estimates are recomputed.
+	minTimings    = 8
+	refitInterval = 4
+	// maxAheadShare bounds the tokens known to be queued ahead of a prompt, as a fraction of
+	// its own, for its timing to count. The number of tokens ahead is itself derived from the
+	// estimated rate.
+	maxAheadShare = 0.25
+	// undelayedQuantile is the fraction of prefills that nothing unknown delayed. The others
+	// were queued behind unreported prompts of other boxes, or an engine was faulty.
+	undelayedQuantile = 0.25
+	// fitRounds is how often delay and rate are corrected by each other. Each round reduces the
+	// error to the ratio of the sizes of short and long prompts, about a half.
 	fitRounds = 8
-	// leastSpread is the difference in streams, between the emptier and the fuller half of the
-	// timings, from which their difference in steps tells what a stream adds.
-	leastSpread = 2
+	// minStreamSpread is the least difference in streams between the emptier and the fuller half
+	// of the timings from which the step time per stream is estimated.
+	minStreamSpread = 2
 )
 
-// speed learns a pool's Speed.
+// speed estimates a pool's Speed.
 type speed struct {
 	Speed
-	// reads, begins and steps are the timings that show each, oldest first.
-	reads, begins, steps []Timing
-	// readsSeen and stepsSeen count all that came.
-	readsSeen, stepsSeen int
-	fresh                int // How many came since the figures were worked out.
-	// before is what was known at the start, kept in the store by boxes that ran earlier.
-	before Speed
+	// prefillTimings, beginTimings and stepTimings are the timings with each value, oldest first.
+	prefillTimings, beginTimings, stepTimings []Timing
+	// prefillCount and stepCount count all timings ever received.
+	prefillCount, stepCount int
+	sinceFit                int // Timings since the estimates were last computed.
+	// prior is the estimate at the start, stored by boxes that ran earlier.
+	prior Speed
 }
 
-// took takes one timing, and returns whether the figures may have changed.
-func (s *speed) took(t Timing) bool {
+// add records one timing, and reports whether the estimates may have changed.
+func (s *speed) add(t Timing) bool {
 	if t.Read > 0 && t.ReadTokens > 0 {
-		s.reads = keep(s.reads, t)
-		s.readsSeen++
+		s.prefillTimings = appendTiming(s.prefillTimings, t)
+		s.prefillCount++
 	}
 	if t.Begin > 0 {
-		s.begins = keep(s.begins, t)
+		s.beginTimings = appendTiming(s.beginTimings, t)
 	}
 	if t.Step > 0 {
-		s.steps = keep(s.steps, t)
-		s.stepsSeen++
+		s.stepTimings = appendTiming(s.stepTimings, t)
+		s.stepCount++
 	}
-	s.fresh++
-	if s.fresh < speedEvery {
+	s.sinceFit++
+	if s.sinceFit < refitInterval {
 		return false
 	}
-	s.fresh = 0
-	s.fitReads()
+	s.sinceFit = 0
+	s.fitPrefill()
 	s.fitBegin()
 	s.fitSteps()
 	return true
 }
 
-func keep(list []Timing, t Timing) []Timing {
-	if len(list) == speedKept {
+func appendTiming(list []Timing, t Timing) []Timing {
+	if len(list) == maxTimings {
 		list = slices.Delete(list, 0, 1)
 	}
 	return append(list, t)
 }
 
-// remember takes what was known of the engines before this box saw any, by n requests.
-func (s *speed) remember(before Speed, n int) {
-	s.before = before
-	s.readsSeen, s.stepsSeen = s.readsSeen+n, s.stepsSeen+n
-	if len(s.reads) < speedLeast {
+// setPrior sets the estimates from before this box observed any, based on n requests.
+func (s *speed) setPrior(before Speed, n int) {
+	s.prior = before
+	s.prefillCount, s.stepCount = s.prefillCount+n, s.stepCount+n
+	if len(s.prefillTimings) < minTimings {
 		s.PrefillRate, s.ReadDelay = before.PrefillRate, before.ReadDelay
 	}
-	if len(s.begins) < speedLeast {
+	if len(s.beginTimings) < minTimings {
 		s.Begin = before.Begin
 	}
-	if len(s.steps) < speedLeast {
+	if len(s.stepTimings) < minTimings {
 		s.Step, s.StepPerStream = before.Step, before.StepPerStream
 	}
 }
 
-// mix is what n timings say together with what was known before, which counts as much as
-// speedLeast of them; 0 if nothing was.
-func mix(n int, seen, before float64) float64 {
+// blendPrior combines an estimate from n timings with the prior one, which counts as much as
+// minTimings of them. A prior of 0 is unknown.
+func blendPrior(n int, seen, before float64) float64 {
 	if before <= 0 {
 		return seen
 	}
-	return (float64(n)*seen + speedLeast*before) / float64(n+speedLeast)
+	return (float64(n)*seen + minTimings*before) / float64(n+minTimings)
 }
 
-func mixTime(n int, seen float64, before time.Duration) time.Duration {
-	return seconds(mix(n, seen, before.Seconds()))
+func blendPriorTime(n int, seen float64, before time.Duration) time.Duration {
+	return seconds(blendPrior(n, seen, before.Seconds()))
 }
 
-// fitReads finds the delay and the rate that a part of the short reads, and as large a part
-// of the long ones, did not fall short of.
+// fitPrefill fits the fixed delay and the time per token so that both match the fast quantile
+// of the short prefills and that of the long ones.
 //
 // Example: of prompts of 2,000 tokens the fastest quarter took up to 110 ms, of those of
-// 6,000 up to 230 ms. 4,000 tokens take 120 ms, so the rate is 33,333 a second and the delay
-// 50 ms.
-func (s *speed) fitReads() {
-	n := len(s.reads)
-	if n < speedLeast {
+// 6,000 up to 230 ms. 4,000 tokens take 120 ms, so the rate is 33,333 tokens per second and
+// the delay 50 ms.
+func (s *speed) fitPrefill() {
+	n := len(s.prefillTimings)
+	if n < minTimings {
 		return
 	}
-	list := sorted(s.reads, func(t Timing) float64 { return float64(t.ReadTokens) })
+	list := sorted(s.prefillTimings, func(t Timing) float64 { return float64(t.ReadTokens) })
 	short, long := list[:n/2], list[n/2:]
 	delay, perToken := s.ReadDelay.Seconds(), 0.0
 	for range fitRounds {
-		perToken = lowest(long, func(t Timing) float64 { return (t.Read.Seconds() - delay) / float64(t.ReadTokens) })
-		delay = max(0, lowest(short, func(t Timing) float64 { return t.Read.Seconds() - perToken*float64(t.ReadTokens) }))
+		perToken = lowQuantile(long, func(t Timing) float64 { return (t.Read.Seconds() - delay) / float64(t.ReadTokens) })
+		delay = max(0, lowQuantile(short, func(t Timing) float64 { return t.Read.Seconds() - perToken*float64(t.ReadTokens) }))
 	}
 	if perToken > 0 {
-		s.PrefillRate, s.ReadDelay = mix(n, 1/perToken, s.before.PrefillRate), mixTime(n, delay, s.before.ReadDelay)
+		s.PrefillRate, s.ReadDelay = blendPrior(n, 1/perToken, s.prior.PrefillRate), blendPriorTime(n, delay, s.prior.ReadDelay)
 	}
 }
 
-// fitBegin takes the median.
 func (s *speed) fitBegin() {
-	if n := len(s.begins); n >= speedLeast {
-		s.Begin = mixTime(n, median(s.begins, func(t Timing) float64 { return t.Begin.Seconds() }), s.before.Begin)
+	if n := len(s.beginTimings); n >= minTimings {
+		s.Begin = blendPriorTime(n, median(s.beginTimings, func(t Timing) float64 { return t.Begin.Seconds() }), s.prior.Begin)
 	}
 }
 
-// fitSteps compares the medians of the emptier and the fuller half.
+// fitSteps compares the medians of the emptier and the fuller half of the timings.
 func (s *speed) fitSteps() {
-	n := len(s.steps)
-	if n < speedLeast {
+	n := len(s.stepTimings)
+	if n < minTimings {
 		return
 	}
 	step := func(t Timing) float64 { return t.Step.Seconds() }
 	streams := func(t Timing) float64 { return t.Streams }
-	list := sorted(s.steps, streams)
+	list := sorted(s.stepTimings, streams)
 	emptier, fuller := list[:n/2], list[n/2:]
 	perStream := s.StepPerStream.Seconds()
-	if more := median(fuller, streams) - median(emptier, streams); more >= leastSpread {
+	if more := median(fuller, streams) - median(emptier, streams); more >= minStreamSpread {
 		perStream = max(0, (median(fuller, step)-median(emptier, step))/more)
 	}
 	all := median(list, step)
 	alone := all - perStream*median(list, streams)
-	if alone <= 0 { // Noise: the streams cannot take more than the whole.
+	if alone <= 0 { // Noise: the streams cannot take more than the whole step.
 		alone, perStream = all, 0
 	}
-	s.Step, s.StepPerStream = mixTime(n, alone, s.before.Step), mixTime(n, perStream, s.before.StepPerStream)
+	s.Step, s.StepPerStream = blendPriorTime(n, alone, s.prior.Step), blendPriorTime(n, perStream, s.prior.StepPerStream)
 }
 
 func sorted(list []Timing, by func(Timing) float64) []Timing {
@@ -201,7 +200,9 @@
 	return out
 }
 
-func lowest(list []Timing, of func(Timing) float64) float64 { return quantileOf(list, of, unhindered) }
+func lowQuantile(list []Timing, of func(Timing) float64) float64 {
+	return quantileOf(list, of, undelayedQuantile)
+}
 
 func median(list []Timing, of func(Timing) float64) float64 { return quantileOf(list, of, 0.5) }
 
@@ -219,8 +220,8 @@
 	return list[int(q*float64(len(list)-1))]
 }
 
-// apply has the engines of the pool go by what was learned.
-func (p *pool) apply() {
+// applySpeed sets the estimated speed on the engines of the pool.
+func (p *pool) applySpeed() {
 	if !p.Learns {
 		return
 	}
@@ -236,13 +237,13 @@
 	}
 }
 
-// known says that the engines' speed is.
-func (p *pool) known() bool {
+// speedKnown reports whether the engines' speed is configured or has been estimated.
+func (p *pool) speedKnown() bool {
 	return !p.Learns || p.speed.PrefillRate > 0 && p.speed.Step > 0
 }
 
-// beginTime is what passes from when a decode engine is sent a KV cache until the first
-// event, without the transfer.
+// beginTime is the time from sending a KV cache to a decode engine until the first event,
+// without the transfer.
 func (p *pool) beginTime(step time.Duration) time.Duration {
 	if p.speed.Begin > 0 {
 		return p.speed.Begin
@@ -250,8 +251,8 @@
 	return step
 }
 
-// StreamTime is how long a pool's engines are expected to write so many tokens, with the
-// streams that they have now; 0 for a pool without any.
+// StreamTime predicts how long a pool's engines take to generate the given number of tokens,
+// with one more stream each than now; 0 for a pool without decode engines.
 func (c *Core) StreamTime(name string, tokens int) time.Duration {
 	p := c.pools[name]
 	if p == nil || len(p.decode) == 0 {
@@ -264,10 +265,10 @@
 	return time.Duration(tokens) * sum / time.Duration(len(p.decode))
 }
 
-// stepOf is a stream's mean time of a token.
-func (f *flight) stepOf(now time.Time, output int) time.Duration {
-	if f.firstTokens <= 0 || output <= 2*f.firstTokens || f.decode == nil || f.wasMoved {
+// meanStep is a stream's mean time per token; 0 if unknown.
+func (f *flight) meanStep(now time.Time, output int) time.Duration {
+	if f.firstTokens <= 0 || output <= 2*f.firstTokens || f.decode == nil || f.wasMigrated {
 		return 0
 	}
-	return now.Sub(f.began) / time.Duration(output-f.firstTokens)
+	return now.Sub(f.streamStart) / time.Duration(output-f.firstTokens)
 }
--- a/internal/decide/speed_test.go
+++ b/internal/decide/speed_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// engineOf makes timings of an engine of that speed. One read in two stood behind prompts
-// that nobody heard of, and one stream in ten was displaced.
+// timingsOf generates timings of an engine of the given speed. Every second prefill was queued
+// behind unreported prompts, and one stream in ten was preempted.
 func timingsOf(s Speed, n int) []Timing {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var out []Timing
@@ -33,15 +33,15 @@
 
 func expectSpeed(t *testing.T, got, want Speed) {
 	t.Helper()
-	const full = 10 // Streams at which the steps are compared.
+	const full = 10 // Number of streams at which the step times are compared.
 	at := func(s Speed) float64 { return (s.Step + full*s.StepPerStream).Seconds() }
 	read := func(s Speed) float64 { return s.ReadDelay.Seconds() + 3000/s.PrefillRate }
 	if !within(got.PrefillRate, want.PrefillRate, 0.15) || !within(read(got), read(want), 0.15) || !within(at(got), at(want), 0.1) || got.Begin != want.Begin {
-		t.Errorf("expected about %+v, learned %+v", want, got)
+		t.Errorf("expected about %+v, got %+v", want, got)
 	}
 }
 
-func learned(p *pool, list []Timing) Speed {
+func learnSpeed(p *pool, list []Timing) Speed {
 	c := New(rand.New(rand.NewPCG(1, 1)), 1)
 	for _, t := range list {
 		c.learn(p, t)
@@ -56,52 +56,52 @@
 
 func TestLearnsSpeed(t *testing.T) {
 	for _, s := range []Speed{fastEngine, slowEngine} {
-		expectSpeed(t, learned(&pool{Pool: Pool{Learns: true}}, timingsOf(s, 100)), s)
+		expectSpeed(t, learnSpeed(&pool{Pool: Pool{Learns: true}}, timingsOf(s, 100)), s)
 	}
 }
 
-// Engines that are exchanged for others show in the newest timings.
+// When engines are replaced, the newest timings show it.
 func TestLearnsChange(t *testing.T) {
 	p := &pool{Pool: Pool{Learns: true}}
-	learned(p, timingsOf(fastEngine, 3*speedKept))
-	expectSpeed(t, learned(p, timingsOf(slowEngine, speedKept)), slowEngine)
+	learnSpeed(p, timingsOf(fastEngine, 3*maxTimings))
+	expectSpeed(t, learnSpeed(p, timingsOf(slowEngine, maxTimings)), slowEngine)
 }
 
-// What earlier boxes knew stands until this one has seen enough, and does not outweigh it.
-func TestLearnsAfterOthers(t *testing.T) {
+// The estimates of earlier boxes apply until this box has enough timings, and do not outweigh them.
+func TestPriorEstimates(t *testing.T) {
 	p := &pool{Pool: Pool{Learns: true}}
-	p.speed.remember(slowEngine, 100)
-	if p.speed.Speed != slowEngine || !p.known() {
-		t.Errorf("expected what was known before, got %+v", p.speed.Speed)
+	p.speed.setPrior(slowEngine, 100)
+	if p.speed.Speed != slowEngine || !p.speedKnown() {
+		t.Errorf("expected the prior estimates, got %+v", p.speed.Speed)
 	}
-	learned(p, timingsOf(fastEngine, speedLeast-1))
+	learnSpeed(p, timingsOf(fastEngine, minTimings-1))
 	if p.speed.PrefillRate != slowEngine.PrefillRate {
-		t.Errorf("expected a few timings not to count, got %+v", p.speed.Speed)
+		t.Errorf("expected a few timings not to change the estimate, got %+v", p.speed.Speed)
 	}
-	expectSpeed(t, learned(p, timingsOf(fastEngine, speedKept)), Speed{
+	expectSpeed(t, learnSpeed(p, timingsOf(fastEngine, maxTimings)), Speed{
 		PrefillRate: 53_700, ReadDelay: 14500 * time.Microsecond, Begin: p.speed.Begin, Step: 840 * time.Microsecond, StepPerStream: 20 * time.Microsecond})
 }
 
-// How long an answer takes follows from what was learned: of slow engines eight times as long
-// as of fast ones, so a box that stops must not take the same streams before both.
+// The predicted duration of an answer follows from the estimated speed: slow engines take eight
+// times as long as fast ones, so a stopping box must not accept the same streams on both.
 func TestStreamTime(t *testing.T) {
 	for _, s := range []Speed{fastEngine, slowEngine} {
-		c := poolOf(1, 2, 0)
+		c := newPoolCore(1, 2, 0)
 		c.pools["p"].Learns = true
 		c.Step(c.now, Remember{Learned{Pool: "p", Speed: s}})
 		if got, want := c.StreamTime("p", 640), 640*(s.Step+s.StepPerStream); got != want {
 			t.Errorf("expected %v, got %v", want, got)
 		}
 	}
-	if got := poolOf(0, 0, 0).StreamTime("p", 640); got != 0 {
+	if got := newPoolCore(0, 0, 0).StreamTime("p", 640); got != 0 {
 		t.Errorf("expected 0 without engines, got %v", got)
 	}
 }
 
-// A pool whose engines are configured goes by its configuration.
+// The configured speed of engines is not changed by timings.
 func TestConfiguredSpeedStands(t *testing.T) {
 	p := &pool{}
-	if got := learned(p, timingsOf(slowEngine, 100)); got != (Speed{}) {
-		t.Errorf("expected nothing to be learned, got %+v", got)
+	if got := learnSpeed(p, timingsOf(slowEngine, 100)); got != (Speed{}) {
+		t.Errorf("expected no estimates, got %+v", got)
 	}
 }
