--- a/internal/decide/types.go
+++ b/internal/decide/types.go
@@ -1,14 +1,15 @@
-// Package decide is the decision core: which engine reads a prompt, which
-// writes the answer, and whether a request waits, moves or is refused.
+// Package decide is the scheduling core of the router. It decides which engine
+// prefills a prompt, which one decodes the answer, and whether a request waits,
+// moves to other engines or is refused.
 //
 // The core does no I/O, starts no goroutine and reads no clock. It takes typed
-// events and returns typed actions; time and randomness are handed in. The box
+// events and returns typed actions; time and randomness are passed in. The box
 // drives it from HTTP handlers, the benchmark from a virtual clock, and tests
 // from generated event orders: all three run the very same code.
 //
-// Nothing here is shared between boxes. What the core believes of an engine may
-// be stale and then costs goodput, never a promise; whatever must be agreed
-// between boxes goes through the platform's table instead (package claim).
+// Nothing here is shared between boxes. The observed state of an engine may be
+// stale, which costs goodput but never breaks a guarantee; whatever boxes must
+// agree on goes through the platform's table instead (package claim).
 package decide
 
 import (
@@ -21,30 +22,30 @@
 // ID names a request within one core.
 type ID uint64
 
-// Attempt numbers the calls one request makes to engines, from 1. Everything
-// that comes back carries the attempt it belongs to, and what does not match
-// the current one is ignored.
+// Attempt numbers the calls that one request makes to engines, from 1. Events
+// carry the attempt that they belong to; those that do not match the current
+// one are ignored.
 type Attempt uint32
 
 // BlockTokens is how many prompt tokens one hash in Request.Blocks covers.
 const BlockTokens = 128
 
-// Request is what the core needs to know of one request.
+// Request holds the properties of a request that decisions depend on.
 type Request struct {
 	ID     ID
 	Pool   string
 	Region string
-	// Hall is that of the box; empty if it does not matter. Engines elsewhere are dearer.
+	// Hall is the data hall of the box; empty if it does not matter. Engines in other halls cost more.
 	Hall   string
 	Route  string
 	Client string
 
 	PromptTokens int
-	// MaxTokens bounds the answer; prompt and answer together are held in decode memory.
+	// MaxTokens bounds the answer; decode memory is reserved for prompt and answer together.
 	MaxTokens int
-	// Ahead is the memory that must be free for the answer to begin; 0 stands for MaxTokens.
+	// Ahead is how many answer tokens must fit in free memory for decoding to begin; 0 stands for MaxTokens.
 	Ahead int
-	// ExpectTokens is how long the answer is expected to be; 0 stands for MaxTokens.
+	// ExpectTokens is the expected length of the answer; 0 stands for MaxTokens.
 	ExpectTokens int
 	// Blocks are chained hashes of the prompt's leading blocks: Blocks[i] stands
 	// for blocks 0 to i, so two prompts share it only if they share the whole prefix.
@@ -52,44 +53,46 @@
 
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// Repeatable false means that at most one call may ever run any of it.
+	// Repeatable reports whether more than one call may run parts of the request. If it is
+	// false, at most one call may ever run any of it.
 	Repeatable bool
-	// Resumable says that a stream whose decode engine is lost may go on at another
-	// one from where the caller has it. Such a request is Repeatable too.
+	// Resumable reports whether a stream that loses its decode engine may continue on another
+	// one after the last token that the caller received. Such a request is Repeatable too.
 	Resumable bool
-	// MaxEngines bounds the decode engines that may run any of it; 0 leaves that to
-	// Repeatable.
+	// MaxEngines bounds the number of decode engines that may run any part of the request;
+	// 0 leaves that to Repeatable.
 	MaxEngines int
-	// ReadNotRun says that an engine that has only read the prompt has not run the
-	// request: nothing of it counts but the tokens made.
+	// ReadNotRun reports that a prefill alone does not count as running the request: only
+	// generated tokens do.
 	ReadNotRun bool
 	// ServeLate runs the request even when FirstToken cannot be met.
 	ServeLate bool
-	// CameBack says that the caller was refused before and came back as it was told. To
-	// refuse it again would cost both, so it goes before others.
+	// CameBack reports that the caller was refused before and retries at the time it was given.
+	// Such a request goes before others, since another refusal would waste that wait.
 	CameBack bool
-	// RefuseEarly has a request that waits refused as soon as it is not expected to start in
-	// time; otherwise it waits until its latest start.
+	// RefuseEarly refuses a waiting request as soon as it is not expected to start in time;
+	// otherwise it waits until its latest start.
 	RefuseEarly bool
-	// MaxWait bounds the wait of a request that may be late; 0 stands for half a minute.
+	// MaxWait bounds the wait of a request that may be late; 0 stands for 30 seconds.
 	MaxWait time.Duration
 	// Priority moves the request before (lower) or after others, in seconds of deadline.
 	Priority int
-	// Kind and Rank are the route's kind, in words, and its priority, 0 the highest. Only
-	// policies look at them.
+	// Kind and Rank are the name of the route's kind and its priority, 0 being the highest.
+	// Only policies read them.
 	Kind string
 	Rank int
-	// Policy may be nil: then the built-in rules stand alone.
+	// Policy is the operator's program; if it is nil, only the built-in rules apply.
 	Policy Policy
 }
 
 // Policy is an operator's program, consulted before the built-in rules. It can
-// refuse, hold back and weigh, but it sees only engines that the promises allow.
+// refuse requests, let them wait and add to costs, but it sees only engines that
+// the built-in rules allow.
 type Policy interface {
-	// Admit is asked once for each arrival.
+	// Admit is called once for each arrival.
 	Admit(r *Request, v View) Verdict
-	// Weigh returns seconds to add to the cost of a pair. It is asked about the
-	// pairs that are best by the built-in cost, at most six of them.
+	// Weigh returns seconds to add to the cost of a pair. It is called for the pairs with
+	// the lowest built-in cost, at most six of them.
 	Weigh(r *Request, c *Candidate) (float64, error)
 }
 
@@ -106,16 +109,15 @@
 	Refuse bool
 	// Wait lets the request wait past its first-token target instead of being refused.
 	Wait bool
-	// Text is the operator's own explanation, shown by `stoatramp why`.
+	// Text is the operator's explanation, shown by `stoatramp why`.
 	Text string
-	// Fault is set when the program failed and the built-in rules stood in.
+	// Fault is the error of a program that failed; the built-in rules applied instead.
 	Fault string
 }
 
-// EngineRole is what an engine does in a pool.
+// EngineRole is the role of an engine in a pool.
 type EngineRole uint8
 
-// The two roles.
 const (
 	Prefill EngineRole = iota
 	Decode
@@ -136,10 +138,10 @@
 	Hall    string
 	Role    EngineRole
 	Leaving bool
-	// Closed engines get nothing new and finish what they have: their data hall is evacuated. Unlike
-	// one that is Leaving they will not end, so their streams are not moved.
+	// Closed engines get no new requests and finish those they have, since their data hall is
+	// being evacuated. Unlike Leaving engines they keep running, so their streams are not moved.
 	Closed bool
-	// Cold is the engine's start, from which on it bears little for a while.
+	// Cold describes the engine's warm-up period after its start, during which it takes little load.
 	Cold pacing.Cold
 
 	PrefillRate   float64 // Prompt tokens a second.
@@ -155,38 +157,38 @@
 	Name            string
 	KVBytesPerToken int
 	PrefillExpiry   time.Duration
-	// SelfRead is the part of the prefill rate at which a decode engine reads a prompt
-	// by itself, between the tokens of its streams; 0 if it cannot.
+	// SelfRead is the fraction of the prefill rate at which a decode engine prefills a prompt
+	// itself, between the tokens of its streams; 0 if it cannot.
 	SelfRead float64
-	// Foresee says that engines are asked for their streams before requests are placed, so
-	// that one without a fresh report is a last resort.
+	// Foresee reports that engines are asked for their streams before requests are placed. An
+	// engine without a fresh report is then a last resort.
 	Foresee bool
-	// Migrates says that engines can give a stream that they write to another one.
+	// Migrates reports that engines can hand a running stream over to another engine.
 	Migrates bool
-	// Beyond counts, by role, the engines of the driver's region that it leaves out: others have the
-	// requests that they serve. They count where the split of the roles is judged.
+	// Beyond counts, by role, the engines of the driver's region that are not listed because
+	// other boxes use them. They count when the split of the roles is judged.
 	Beyond [2]int
-	// Learns says that the engines' rates and steps are only guessed at, and learned from what
-	// requests take. Otherwise those configured stand.
+	// Learns reports that the engines' rates and step times are only estimates, to be refined
+	// from the timings of requests. Otherwise the configured values apply.
 	Learns bool
 }
 
-// Event is one thing that happened. The concrete types follow.
+// Event is an input of the core. The concrete types follow.
 type Event interface{ event() }
 
-// Fleet replaces what is known of pools and engines.
+// Fleet replaces the known pools and engines.
 type Fleet struct {
 	Pools   []Pool
 	Engines []Engine
 }
 
-// Arrive brings a new request.
+// Arrive reports a new request.
 type Arrive struct{ Request Request }
 
-// Cancel says that the caller is gone.
+// Cancel reports that the caller has disconnected.
 type Cancel struct{ ID ID }
 
-// PrefillDone says that a prefill engine holds the request's KV cache.
+// PrefillDone reports that a prefill engine has the request's KV cache.
 type PrefillDone struct {
 	ID      ID
 	Attempt Attempt
@@ -194,94 +196,95 @@
 	Expires time.Time
 }
 
-// FirstToken says that a decode engine began to answer.
+// FirstToken reports that a decode engine began to answer.
 type FirstToken struct {
 	ID      ID
 	Attempt Attempt
-	// Tokens came at once with it, itself included, at the most; 0 if that is not known.
+	// Tokens bounds the number of tokens that arrived in the first event; 0 if it is unknown.
 	Tokens int
 }
 
-// Done says that the whole answer arrived.
+// Done reports that the whole answer arrived.
 type Done struct {
 	ID      ID
 	Attempt Attempt
 	Output  int // Tokens generated.
 }
 
-// Failed says that a call to an engine came to nothing.
+// Failed reports that a call to an engine failed.
 type Failed struct {
 	ID      ID
 	Attempt Attempt
 	Reason  outcome.Reason
-	// Ran is false only if no byte left for the engine or the engine said it did not run.
+	// Ran is false only if no byte was sent to the engine or the engine said it did not run the request.
 	Ran bool
-	// KVGone says that the prefill engine no longer holds the result.
+	// KVGone reports that the prefill engine no longer has the KV cache.
 	KVGone bool
 }
 
-// NoRoom says that the decode engine of a placed request refused to set memory
-// aside for it, before the prompt was sent anywhere.
+// NoRoom reports that the decode engine of a placed request refused to reserve memory
+// for it, before the prompt was sent anywhere.
 type NoRoom struct {
 	ID      ID
 	Attempt Attempt // The prefill's.
 }
 
-// Report is an engine's own account of its load.
+// Report is the load that an engine reports.
 type Report struct {
 	Engine string
 	At     time.Time // When the engine took the figures, by this box's clock.
-	// QueuedTokens are uncached prompt tokens a prefill engine has yet to read.
+	// QueuedTokens are the uncached prompt tokens in the queue of a prefill engine.
 	QueuedTokens int
-	// FreeKV is unheld decode memory in tokens.
+	// FreeKV is the unreserved decode memory in tokens.
 	FreeKV  int
 	Streams int
-	// Queued are streams that a decode engine has no memory for: new ones, and those that it
-	// displaced and will read again.
+	// Queued counts the streams for which a decode engine has no memory: new ones, and those
+	// that it preempted and will prefill again.
 	Queued int
-	// Runs are its streams one by one; nil if it does not say.
+	// Runs are its streams one by one; nil if the engine does not report them.
 	Runs    []Run
 	Leaving bool
 }
 
-// Sent says that another box sends a request to an engine. A report taken later includes it.
+// Sent reports that another box sends a request to an engine. An engine report taken later
+// includes it.
 type Sent struct {
 	Engine string
 	At     time.Time
-	// Tokens are to be read by a prefill engine. KV is memory taken of a decode engine, of
-	// which Prompt is taken from the start, and Ahead set aside with it.
+	// Tokens are to be prefilled by a prefill engine. KV is the memory that the request takes of
+	// a decode engine; Prompt is the part taken from the start, and Ahead is reserved with it.
 	Tokens int
 	KV     int
 	Prompt int
 	Ahead  int
 }
 
-// Ended says that a stream of any box has ended at a decode engine, with so much memory in
-// tokens. A report taken later does not include it.
+// Ended reports that a stream of any box ended on a decode engine, with its size in tokens of
+// memory. An engine report taken later does not include it.
 type Ended struct {
 	Engine string
 	At     time.Time
 	Tokens int
 }
 
-// OthersWait says how many requests wait for engines on all other boxes together.
+// OthersWait reports how many requests wait for engines on all other boxes together.
 type OthersWait struct{ N int }
 
-// Refused says that an engine turned a prompt of another box away.
+// Refused reports that an engine refused a prompt of another box.
 type Refused struct{ Engine string }
 
-// Silent says that an engine did not answer when asked for its load.
+// Silent reports that an engine did not answer a load probe.
 type Silent struct{ Engine string }
 
-// Evicted says that a prefill engine dropped cached blocks.
+// Evicted reports that a prefill engine dropped cached blocks.
 type Evicted struct {
 	Engine string
 	Blocks []uint64
-	// All is set when events were lost: nothing is known of the cache any more.
+	// All reports that events were lost, so nothing is known of the cache any more.
 	All bool
 }
 
-// Tick lets time-outs fire and waiting requests be tried again.
+// Tick fires timeouts and retries waiting requests.
 type Tick struct{}
 
 func (Fleet) event()       {}
@@ -301,11 +304,11 @@
 func (Evicted) event()     {}
 func (Tick) event()        {}
 
-// Action is one thing to do. The concrete types follow.
+// Action is an output of the core. The concrete types follow.
 type Action interface{ action() }
 
-// StartPrefill sends the prompt to a prefill engine. Memory on the decode
-// engine is already held in the ledger.
+// StartPrefill sends the prompt to a prefill engine. Memory on the decode engine is
+// already reserved in the ledger.
 type StartPrefill struct {
 	ID       ID
 	Attempt  Attempt
@@ -315,51 +318,51 @@
 	Choice   *Choice
 }
 
-// StartDecode sends the request and its KV handle to a decode engine. Without a prefill
-// engine, Prefill is empty and the decode engine reads the prompt itself.
+// StartDecode sends the request and its KV handle to a decode engine. If Prefill is empty,
+// the decode engine prefills the prompt itself.
 type StartDecode struct {
 	ID      ID
 	Attempt Attempt
 	Prefill string
-	// PrefillAttempt is the call that made the KV cache.
+	// PrefillAttempt is the call that produced the KV cache.
 	PrefillAttempt Attempt
 	Decode         string
 	Priority       int
-	// Moved is the reason the decode engine is another than first chosen; OK if it is not.
+	// Moved is why the decode engine is not the one that was chosen first; OK if it is.
 	Moved outcome.Reason
-	// Choice is set where Prefill is empty: otherwise the pair was chosen before.
+	// Choice is set only if Prefill is empty: otherwise StartPrefill carried it.
 	Choice *Choice
 }
 
-// Abort tells an engine to free what it holds for a call.
+// Abort asks an engine to free the resources of a call.
 type Abort struct {
 	ID      ID
 	Attempt Attempt
 	Engine  string
 }
 
-// Retry says that a call failed and the request will be tried again.
+// Retry reports that a call failed and the request will be tried again.
 type Retry struct {
 	ID     ID
 	Engine string
 	Reason outcome.Reason
 }
 
-// Waiting says that the request waits on this box, and why.
+// Waiting reports that the request waits on this box, and why.
 type Waiting struct {
 	ID     ID
 	Reason outcome.Reason
 	View   View
 }
 
-// Waste says that prompt work was thrown away.
+// Waste reports that prefill work was discarded.
 type Waste struct {
 	ID     ID
 	Tokens int
 	Reason outcome.Reason
 }
 
-// Believed says that the core changed its mind about an engine. It belongs to no request.
+// Believed reports that the observed state of an engine changed. It belongs to no request.
 type Believed struct {
 	Engine string
 	State  State
@@ -367,33 +370,33 @@
 	Until time.Time
 }
 
-// State is what is believed of an engine.
+// State is the observed state of an engine.
 type State uint8
 
-// The states. A silent one did not answer when asked for its load.
+// The states. An unresponsive engine did not answer a load probe.
 const (
 	Usable State = iota
 	SetAside
-	SilentNow
+	Unresponsive
 )
 
 func (s State) String() string {
 	switch s {
 	case SetAside:
 		return "set_aside"
-	case SilentNow:
+	case Unresponsive:
 		return "silent"
 	}
 	return "usable"
 }
 
-// Ruled carries a policy's verdict on an arrival, for the record.
+// Ruled records a policy's verdict on an arrival.
 type Ruled struct {
 	ID      ID
 	Verdict Verdict
 }
 
-// End refuses or gives up a request. Answered requests need no End.
+// End refuses or ends a request without a complete answer. Answered requests need no End.
 type End struct {
 	ID      ID
 	Outcome outcome.Outcome
@@ -409,17 +412,17 @@
 func (Believed) action()     {}
 func (End) action()          {}
 
-// Choice says how a pair was chosen.
+// Choice records how a pair was selected.
 type Choice struct {
-	// Candidates are the pairs compared, best first, at most maxKept of them.
+	// Candidates are the compared pairs with the lowest cost, cheapest first, at most maxCandidates.
 	Candidates []Candidate `json:"candidates"`
-	// Compared is how many pairs were looked at.
+	// Compared is how many pairs were compared.
 	Compared int `json:"compared"`
-	// Passed counts engines left out, by cause.
+	// Passed counts excluded engines by cause.
 	Passed PassedOver `json:"passed_over"`
 }
 
-// PassedOver counts the engines of the pool that were not candidates.
+// PassedOver counts the engines of the pool that were not candidates, by cause.
 type PassedOver struct {
 	Leaving  int `json:"leaving"`
 	SetAside int `json:"set_aside"`
@@ -427,24 +430,24 @@
 	TooSlow  int `json:"too_slow"`
 	Busy     int `json:"busy"`
 	Cold     int `json:"cold"`
-	// Throttled engines named a limit that is reached, or asked for rest.
+	// Throttled engines reached an announced limit or asked for a pause.
 	Throttled int `json:"throttled"`
 }
 
-// Candidate is one pair of engines and the figures it was judged by.
+// Candidate is one pair of engines and the figures by which it was judged.
 type Candidate struct {
-	Prefill string `json:"prefill"` // Empty where the decode engine reads the prompt.
+	Prefill string `json:"prefill"` // Empty if the decode engine prefills the prompt.
 	Decode  string `json:"decode"`
-	// SameHall says that the transfer stays inside one data hall.
+	// SameHall reports that the transfer stays inside one data hall.
 	SameHall bool          `json:"same_hall"`
-	Cached   int           `json:"cached"`            // Prompt tokens believed to be cached.
-	Queue    time.Duration `json:"queue_ns"`          // Until the prefill engine is free.
-	Read     time.Duration `json:"read_ns"`           // Reading the uncached prompt.
-	Transfer time.Duration `json:"transfer_ns"`       // Moving the KV cache, link backlog included.
+	Cached   int           `json:"cached"`            // Prompt tokens expected to be cached.
+	Queue    time.Duration `json:"queue_ns"`          // Wait until the prefill engine is free.
+	Read     time.Duration `json:"read_ns"`           // Prefilling the uncached part of the prompt.
+	Transfer time.Duration `json:"transfer_ns"`       // Transferring the KV cache, including the link backlog.
 	First    time.Duration `json:"first_token_ns"`    // Predicted time to the first token, from now.
 	Step     time.Duration `json:"between_tokens_ns"` // Predicted time between tokens.
 	FreeKV   int           `json:"free_kv_tokens"`    // Free decode memory before this request, in tokens.
-	Cost     float64       `json:"cost_s"`            // What was minimised, in seconds.
-	// ReportAge is how old the decode engine's own figures are; 0 if it gave none.
+	Cost     float64       `json:"cost_s"`            // The minimized cost, in seconds.
+	// ReportAge is the age of the decode engine's last report; 0 if there is none.
 	ReportAge time.Duration `json:"report_age_ns"`
 }
--- a/internal/decide/urgency.go
+++ b/internal/decide/urgency.go
@@ -2,103 +2,103 @@
 
 import "time"
 
-// urgency knows how much of the work has a tighter target than a request. Engines
-// read the most urgent prompts first, so a request waits for the prompt being read
-// and for what is at least as urgent, not for all that is queued.
+// urgency tracks how the recent work is distributed over first-token targets. Engines
+// prefill the most urgent prompts first, so a request waits for the prompt in progress and
+// for work of at least the same urgency, not for all that is queued.
 type urgency struct{ classes []urgencyClass }
 
 // urgencyClass is the recent work of requests with one first-token target.
 type urgencyClass struct {
-	target time.Duration
-	work   float64       // Decaying sum of seconds.
-	job    time.Duration // Mean reading time of one.
-	late   time.Duration // How much later than predicted prompts were read lately.
+	target      time.Duration
+	recentWork  float64       // Decaying sum of prefill seconds.
+	meanPrefill time.Duration // Mean prefill time of one request.
+	lateness    time.Duration // Mean delay of recent prefills against their prediction.
 }
 
 const (
-	// urgencyDecay fades the sums with each arrival.
-	urgencyDecay = 0.995
-	// maxClasses bounds the targets told apart; others count as the last one.
-	maxClasses = 16
-	jobBlend   = 0.05
-	// latenessFade is what stays of a lateness that caused a refusal.
-	latenessFade = 0.5
+	// workDecay is applied to the sums with each arrival.
+	workDecay = 0.995
+	// maxUrgencyClasses bounds the distinct targets; further ones count as the last.
+	maxUrgencyClasses = 16
+	meanPrefillBlend  = 0.05
+	// refusedLatenessFactor scales a lateness that caused a refusal.
+	refusedLatenessFactor = 0.5
 )
 
-// class is the target that says how urgent a request is. One that may be late goes
-// after all others, whatever its target.
-func (f *flight) class() time.Duration {
-	if f.yields {
-		return patientWait
+// urgencyTarget is the target that determines the urgency of a request. One that may be
+// late goes after all others, whatever its first-token target.
+func (f *flight) urgencyTarget() time.Duration {
+	if f.yieldsToOnTime {
+		return defaultMaxWait
 	}
 	return f.FirstToken
 }
 
-func (u *urgency) arrived(f *flight) {
+func (u *urgency) addArrival(f *flight) {
 	i := 0
-	for i < len(u.classes) && u.classes[i].target != f.class() {
+	for i < len(u.classes) && u.classes[i].target != f.urgencyTarget() {
 		i++
 	}
-	if i == len(u.classes) && i < maxClasses {
-		u.classes = append(u.classes, urgencyClass{target: f.class(), job: f.work[Prefill]})
+	if i == len(u.classes) && i < maxUrgencyClasses {
+		u.classes = append(u.classes, urgencyClass{target: f.urgencyTarget(), meanPrefill: f.work[Prefill]})
 	}
 	for j := range u.classes {
-		u.classes[j].work *= urgencyDecay
+		u.classes[j].recentWork *= workDecay
 	}
 	c := &u.classes[min(i, len(u.classes)-1)]
-	c.work += f.work[Prefill].Seconds()
-	c.job += time.Duration(jobBlend * float64(f.work[Prefill]-c.job))
+	c.recentWork += f.work[Prefill].Seconds()
+	c.meanPrefill += time.Duration(meanPrefillBlend * float64(f.work[Prefill]-c.meanPrefill))
 }
 
-// wasLate takes how much later than predicted a prompt was read. What other boxes
-// send to the same engines is known only from lagging reports; what a box cannot
-// see it learns from what happened to its own requests.
-func (u *urgency) wasLate(f *flight, late time.Duration) {
+// observeLateness records how much later than predicted a prompt was prefilled. Reports of
+// what other boxes send to the same engines arrive late, so a box estimates the effect from
+// its own requests.
+func (u *urgency) observeLateness(f *flight, late time.Duration) {
 	for i := range u.classes {
-		if c := &u.classes[i]; c.target == f.class() {
-			c.late = max(0, c.late+time.Duration(surpriseBlend*float64(late-c.late)))
+		if c := &u.classes[i]; c.target == f.urgencyTarget() {
+			c.lateness = max(0, c.lateness+time.Duration(errorBlend*float64(late-c.lateness)))
 		}
 	}
 }
 
-// doubted fades the lateness of a class whose requests are refused for it alone:
-// otherwise nothing would run any more that could prove it wrong.
-func (u *urgency) doubted(f *flight) {
+// fadeLateness reduces the lateness of a class whose requests are refused only because of
+// it: otherwise no request would run any more that could correct it.
+func (u *urgency) fadeLateness(f *flight) {
 	for i := range u.classes {
-		if c := &u.classes[i]; c.target == f.class() {
-			c.late = time.Duration(latenessFade * float64(c.late))
+		if c := &u.classes[i]; c.target == f.urgencyTarget() {
+			c.lateness = time.Duration(refusedLatenessFactor * float64(c.lateness))
 		}
 	}
 }
 
 func (u *urgency) lateness(f *flight) time.Duration {
 	for _, c := range u.classes {
-		if c.target == f.class() {
-			return c.late
+		if c.target == f.urgencyTarget() {
+			return c.lateness
 		}
 	}
 	return 0
 }
 
-// wait predicts how long a request waits before an engine with so much queued: for
-// the prompt being read, and for what is queued and at least as urgent.
+// wait predicts how long a request waits for an engine with the given queue: for the prompt
+// in progress, and for the queued work of at least the same urgency.
 //
-// Example: 500 ms are queued, a tenth of all work is as urgent as the request, and
-// the others take 170 ms each. It waits for the one being read, and a tenth of the
-// rest: 170 and 33 ms.
-func (u *urgency) wait(f *flight, queued time.Duration) (reading, ahead time.Duration) {
+// Example: 500 ms are queued, a tenth of all work is as urgent as the request, and the other
+// prompts take 170 ms each. It waits for the one in progress and for a tenth of the rest:
+// 170 and 33 ms.
+func (u *urgency) wait(f *flight, queued time.Duration) (current, ahead time.Duration) {
 	all, urgent, longest := 0.0, 0.0, time.Duration(0)
 	for _, c := range u.classes {
-		all += c.work
-		if c.target <= f.class() {
-			urgent += c.work
+		all += c.recentWork
+		if c.target <= f.urgencyTarget() {
+			urgent += c.recentWork
 		} else {
-			longest = max(longest, c.job)
+			longest = max(longest, c.meanPrefill)
 		}
 	}
 	if all == 0 || longest == 0 {
 		return 0, queued
 	}
-	reading = min(queued, longest)
-	return reading, time.Duration(urgent / all * float64(queued-reading))
+	current = min(queued, longest)
+	return current, time.Duration(urgent / all * float64(queued-current))
 }
