--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each part tells requests apart, and no byte of one part passes for one of the next.
+// Every part of the identity changes the fingerprint, and bytes cannot move from one part to the next.
 func TestFingerprint(t *testing.T) {
 	first := Identity{Account: "lab", Method: "POST", Host: "h.example", Target: "/a/b?c=d", Model: "m", Body: []byte("did unit 7 pass?")}
 	if again := first; again.Fingerprint() != first.Fingerprint() {
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -8,116 +8,116 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// Table is the table of the platform's store that boxes share.
+// Table is the table of the platform's store that all boxes share.
 type Table interface {
-	// Write puts rows, whatever was there, and takes others out, all or nothing. At most MostWritten
-	// in a call.
+	// Write sets rows, replacing existing ones, and removes others, atomically. A call may change at
+	// most MaxRowsPerWrite rows.
 	Write(ctx context.Context, put map[string][]byte, remove []string) error
 }
 
-// MostWritten is how many rows one call may write: what the platform's store takes.
-const MostWritten = 100
+// MaxRowsPerWrite is the most rows that the platform's store accepts in one call.
+const MaxRowsPerWrite = 100
 
 const (
-	// gather is for how long ends are gathered before they are written: all streams of an engine
-	// that ends are one call to the store. A request is back after 100 ms at the soonest.
-	gather = 50 * time.Millisecond
-	// writeLimit bounds a call, and writePause is between a failed one and the next; it doubles up
-	// to longestPause.
-	writeLimit   = 700 * time.Millisecond
-	writePause   = 200 * time.Millisecond
-	longestPause = 5 * time.Second
-	// expireEvery paces the looks for ends that count no more, and expireSpread keeps boxes from
-	// taking the same row out together.
-	expireEvery  = 15 * time.Second
-	expireSpread = time.Minute
+	// batchDelay is how long crashes are collected before they are written, so that all streams of a
+	// crashed engine need one call to the store. A request is retried after 100 ms at the earliest.
+	batchDelay = 50 * time.Millisecond
+	// writeTimeout bounds one call. minRetryDelay is the delay after the first failed call; it doubles
+	// up to maxRetryDelay.
+	writeTimeout  = 700 * time.Millisecond
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
+	// expireInterval is how often expired crashes are removed, and expireJitter keeps boxes from
+	// removing the same row at the same time.
+	expireInterval = 15 * time.Second
+	expireJitter   = time.Minute
 )
 
-// Keeper writes what its box learns to the table.
+// Keeper writes the crashes that its box observed to the table.
 type Keeper struct {
 	List  *List
 	Table Table
-	// Failed is told of writes that failed; they are tried again.
+	// Failed is called with the error of each failed write; the write is retried.
 	Failed func(error)
 }
 
-// Run writes until ctx ends.
+// Run writes until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
-	expire := time.NewTicker(expireEvery)
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		select {
-		case <-k.List.work:
-			k.write(ctx)
+		case <-k.List.pendingWrites:
+			k.flush(ctx)
 		case <-expire.C:
-			k.List.expire(keptFor + rand.N(expireSpread))
+			k.List.expire(crashTTL + rand.N(expireJitter))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// write writes what is to be written, until the store has taken it.
-func (k *Keeper) write(ctx context.Context) {
-	pause := gather
+// flush writes all pending changes, retrying until the store has accepted them.
+func (k *Keeper) flush(ctx context.Context) {
+	delay := batchDelay
 	for failures := 0; ; {
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 			return
 		}
-		put, remove := k.List.batch()
+		put, remove := k.List.nextBatch()
 		if len(put)+len(remove) == 0 {
 			return
 		}
-		limited, cancel := context.WithTimeout(ctx, writeLimit)
-		err := k.Table.Write(limited, put, remove)
+		writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
+		err := k.Table.Write(writeCtx, put, remove)
 		cancel()
 		if err == nil {
-			k.List.wrote(put, remove)
-			pause, failures = 0, 0
+			k.List.markWritten(put, remove)
+			delay, failures = 0, 0
 			continue
 		}
 		if ctx.Err() == nil {
 			k.Failed(err)
 		}
-		pause = min(longestPause, writePause<<min(failures, 10))
-		pause = pause/2 + rand.N(pause)
+		delay = min(maxRetryDelay, minRetryDelay<<min(failures, 10))
+		delay = delay/2 + rand.N(delay)
 		failures++
 	}
 }
 
-// batch is what one call is to write.
-func (l *List) batch() (put map[string][]byte, remove []string) {
+// nextBatch returns the rows that the next call writes and removes.
+func (l *List) nextBatch() (put map[string][]byte, remove []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	put = map[string][]byte{}
 	now := clock.Now()
-	for key, k := range l.ends {
-		if !k.written && !now.Before(k.due) && len(put) < MostWritten {
-			k.sent = true
+	for key, k := range l.crashes {
+		if !k.writeAcked && !now.Before(k.writeAfter) && len(put) < MaxRowsPerWrite {
+			k.writeAttempted = true
 			put[key] = k.row()
 		}
 	}
-	for key, done := range l.removing {
-		if !done && len(put)+len(remove) < MostWritten {
+	for key, removed := range l.removing {
+		if !removed && len(put)+len(remove) < MaxRowsPerWrite {
 			remove = append(remove, key)
 		}
 	}
 	return put, remove
 }
 
-// wrote notes that the table has taken a batch.
-func (l *List) wrote(put map[string][]byte, remove []string) {
+// markWritten records that the table has accepted a batch.
+func (l *List) markWritten(put map[string][]byte, remove []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key := range put {
-		if k := l.ends[key]; k != nil {
-			k.written = true
+		if k := l.crashes[key]; k != nil {
+			k.writeAcked = true
 		}
 	}
 	for _, key := range remove {
-		if _, still := l.removing[key]; still {
+		if _, pending := l.removing[key]; pending {
 			l.removing[key] = true
 		}
 	}
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -14,34 +14,36 @@
 
 func newRNG(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 3)) }
 
-func upTo(rng *rand.Rand, d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
+func randDuration(rng *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rng.Int64N(int64(limit)))
+}
 
-// tableOf is the boxes' table: writes may fail, or be done without an answer, and while it is away
-// nothing is done. Boxes hear of changes after a while.
-type tableOf struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	rows   map[string][]byte
-	boxes  []*List
-	calls  int
-	away   bool
-	failed float64
-	lost   float64
-	tells  time.Duration
+// fakeTable is the table that the boxes share. Writes may fail or take effect without a reply; while it
+// is unavailable nothing takes effect. Boxes see changes after propagationDelay.
+type fakeTable struct {
+	mu               sync.Mutex
+	rng              *rand.Rand
+	rows             map[string][]byte
+	boxes            []*List
+	calls            int
+	unavailable      bool
+	failureRate      float64
+	lostReplyRate    float64
+	propagationDelay time.Duration
 }
 
 var errNoAnswer = errors.New("no answer")
 
-func (s *tableOf) Write(_ context.Context, put map[string][]byte, remove []string) error {
+func (s *fakeTable) Write(_ context.Context, put map[string][]byte, remove []string) error {
 	time.Sleep(5 * time.Millisecond)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	if len(put)+len(remove) > MostWritten {
+	if len(put)+len(remove) > MaxRowsPerWrite {
 		return fmt.Errorf("%d rows in a call", len(put)+len(remove))
 	}
-	draw := s.rng.Float64()
-	if s.away || draw < s.failed {
+	roll := s.rng.Float64()
+	if s.unavailable || roll < s.failureRate {
 		return errNoAnswer
 	}
 	maps.Copy(s.rows, put)
@@ -50,17 +52,17 @@
 	}
 	rows := maps.Clone(s.rows)
 	for _, l := range s.boxes {
-		time.AfterFunc(s.tells, func() { l.SetRows(rows) })
+		time.AfterFunc(s.propagationDelay, func() { l.SetRows(rows) })
 	}
-	if draw < s.failed+s.lost {
+	if roll < s.failureRate+s.lostReplyRate {
 		return errNoAnswer
 	}
 	return nil
 }
 
-// fleet is some boxes before a table, in virtual time.
-func fleet(ctx context.Context, boxes int, seed uint64) *tableOf {
-	s := &tableOf{rng: newRNG(seed), rows: map[string][]byte{}, tells: 300 * time.Millisecond}
+// newFleet starts boxes that share a table, in virtual time.
+func newFleet(ctx context.Context, boxes int, seed uint64) *fakeTable {
+	s := &fakeTable{rng: newRNG(seed), rows: map[string][]byte{}, propagationDelay: 300 * time.Millisecond}
 	for range boxes {
 		l := NewList()
 		s.boxes = append(s.boxes, l)
@@ -69,109 +71,109 @@
 	return s
 }
 
-// counts returns how many calls were made and how many rows there are.
-func (s *tableOf) counts() (calls, rows int) {
+// counts returns the number of calls to the table and of its rows.
+func (s *fakeTable) counts() (calls, rows int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls, len(s.rows)
 }
 
-// played is what came of requests that end endpoints.
-type played struct {
-	most int // Runs of one request.
-	late int // Of these, more than 3 s after its third.
-	runs int
+// runStats counts the runs of requests that crash endpoints.
+type runStats struct {
+	maxRuns  int // Runs of the request that ran most often.
+	lateRuns int // Runs of any request more than 3 s after its third run.
+	runs     int
 }
 
-// play has some requests come again for a minute, each 0.2 to 3 s after its last return, at any box.
-func (s *tableOf) play(requests int) (p played) {
-	var all sync.WaitGroup
+// runCrashingRequests retries each request for a minute, at a random box 0.2 to 3 s after its last run.
+func (s *fakeTable) runCrashingRequests(requests int) (stats runStats) {
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for n := range requests {
 		rng := newRNG(uint64(n))
-		all.Go(func() {
-			f, runs, late := of(fmt.Sprint(n)), 0, 0
-			var third time.Time
+		wg.Go(func() {
+			f, runs, late := fingerprintOf(fmt.Sprint(n)), 0, 0
+			var thirdRun time.Time
 			for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 				l := s.boxes[rng.IntN(len(s.boxes))]
 				if !l.Check(f).Held {
 					runs++
-					if !third.IsZero() && time.Since(third) > 3*time.Second {
+					if !thirdRun.IsZero() && time.Since(thirdRun) > 3*time.Second {
 						late++
 					}
-					ran := 60*time.Millisecond + upTo(rng, 200*time.Millisecond)
-					time.Sleep(ran + 30*time.Millisecond) // And what finding out takes.
-					l.Ended(End{Request: f, Endpoint: fmt.Sprintf("e%d-%d", n, runs), Caller: fmt.Sprint(n), Ran: ran})
+					ranFor := 60*time.Millisecond + randDuration(rng, 200*time.Millisecond)
+					time.Sleep(ranFor + 30*time.Millisecond) // The run and the time to detect the crash.
+					l.Ended(End{Request: f, Endpoint: fmt.Sprintf("e%d-%d", n, runs), Caller: fmt.Sprint(n), Ran: ranFor})
 					if runs == 3 {
-						third = time.Now()
+						thirdRun = time.Now()
 					}
 				}
-				time.Sleep(200*time.Millisecond + upTo(rng, 2800*time.Millisecond))
+				time.Sleep(200*time.Millisecond + randDuration(rng, 2800*time.Millisecond))
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			p.most, p.late, p.runs = max(p.most, runs), p.late+late, p.runs+runs
+			stats.maxRuns, stats.lateRuns, stats.runs = max(stats.maxRuns, runs), stats.lateRuns+late, stats.runs+runs
 		})
 	}
-	all.Wait()
-	return p
+	wg.Wait()
+	return stats
 }
 
-// The boxes know together what no box sees alone, whatever their number: a request runs three times,
-// and once more for each time that it comes back before the others have heard. None runs later than
-// 3 s after its third.
+// Boxes share what none of them observes alone, however many there are: a request runs three times, and
+// once more for each retry that arrives before the other boxes have received the crashes. None runs
+// later than 3 s after its third run.
 func TestBoxesKnowTogether(t *testing.T) {
 	for _, boxes := range []int{8, 60, 400} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			s := fleet(ctx, boxes, 1)
-			s.failed, s.lost = 0.1, 0.1
-			p := s.play(20)
+			s := newFleet(ctx, boxes, 1)
+			s.failureRate, s.lostReplyRate = 0.1, 0.1
+			stats := s.runCrashingRequests(20)
 			cancel()
 			calls, _ := s.counts()
-			t.Logf("%d boxes: 20 requests ran %d times, one %d times at the most; %d calls to the store", boxes, p.runs, p.most, calls)
-			if p.late > 0 || p.most > 6 {
-				t.Errorf("%d boxes: expected no run later than 3 s after the third and six of one at the most, got %d and %d", boxes, p.late, p.most)
+			t.Logf("%d boxes: 20 requests ran %d times, one at most %d times; %d calls to the store", boxes, stats.runs, stats.maxRuns, calls)
+			if stats.lateRuns > 0 || stats.maxRuns > 6 {
+				t.Errorf("%d boxes: expected no run later than 3 s after the third and at most six of one request, got %d and %d", boxes, stats.lateRuns, stats.maxRuns)
 			}
 			synctest.Wait()
 		})
 	}
 }
 
-// While the store is away each box knows what it saw itself; once it is back all know.
+// While the store is unavailable each box acts on its own observations; afterwards all boxes agree.
 func TestStoreAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := fleet(ctx, 4, 1)
-		s.away = true
+		s := newFleet(ctx, 4, 1)
+		s.unavailable = true
 		for n, l := range s.boxes[:3] {
-			ends(l, "deadly", "a", 0, fmt.Sprint("e", n))
+			recordCrashes(l, "deadly", "a", 0, fmt.Sprint("e", n))
 		}
 		time.Sleep(30 * time.Second)
-		expectHeld(t, s.boxes[3], "deadly", false)
+		expectQuarantined(t, s.boxes[3], "deadly", false)
 		if calls, _ := s.counts(); calls > 60 {
-			t.Errorf("expected few calls to a store that is away, got %d", calls)
+			t.Errorf("expected few calls to an unavailable store, got %d", calls)
 		}
 		s.mu.Lock()
-		s.away = false
+		s.unavailable = false
 		s.mu.Unlock()
-		time.Sleep(2 * longestPause)
+		time.Sleep(2 * maxRetryDelay)
 		for _, l := range s.boxes {
-			expectHeld(t, l, "deadly", true)
+			expectQuarantined(t, l, "deadly", true)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// What a box takes back is gone everywhere, also where the write was still under way.
+// A crash that a box removes disappears everywhere, even if its write was still in progress.
 func TestTakenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := fleet(ctx, 3, 1)
-		ends(s.boxes[0], "a", "c", 0, "e1")
-		time.Sleep(gather + time.Millisecond) // The write has begun.
-		s.boxes[0].Served(of("a"))
+		s := newFleet(ctx, 3, 1)
+		recordCrashes(s.boxes[0], "a", "c", 0, "e1")
+		time.Sleep(batchDelay + time.Millisecond) // The write has begun.
+		s.boxes[0].Served(fingerprintOf("a"))
 		time.Sleep(time.Minute)
 		if _, rows := s.counts(); rows != 0 || !s.boxes[0].Empty() || !s.boxes[1].Empty() {
 			t.Errorf("expected no row, got %d", rows)
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -17,43 +17,43 @@
 )
 
 const (
-	// keptFor is for how long an end counts: a verdict is over so long after the last end. Operators
-	// replace engines or callers give up within minutes, and a request that still ends endpoints then
-	// ends three more.
-	keptFor = 10 * time.Minute
-	// mostOfCaller and mostEnds bound the ends that are kept of one caller, and of all. A caller that
-	// has more loses its own oldest, and where all are too many the caller with the most does, so that
-	// who fills the table takes nothing from others. An end takes 590 bytes of memory (4,096 ends of 64
-	// callers) and 118 in the table.
-	mostOfCaller = 128
-	mostEnds     = 4096
+	// crashTTL is how long a crash counts: a quarantine ends this long after the last crash. Operators
+	// replace engines and callers give up within minutes; a request that still crashes endpoints then
+	// crashes three more.
+	crashTTL = 10 * time.Minute
+	// maxCrashesPerCaller and maxCrashes bound the recorded crashes of one caller and of all. A caller
+	// above its bound loses its own oldest crash, and above the total bound the caller with the most
+	// crashes does, so that a caller that fills the table cannot displace others. A crash takes 590 bytes
+	// of memory (4,096 crashes of 64 callers) and 118 bytes in the table.
+	maxCrashesPerCaller = 128
+	maxCrashes          = 4096
 )
 
-// End is that an endpoint ended under a request.
+// End records that an endpoint crashed under a request.
 type End struct {
 	Request  Fingerprint
-	Endpoint string // Names one start of it.
-	Caller   string // Whose bound it counts to; see Tag.
+	Endpoint string // Names one start of the endpoint.
+	Caller   string // The caller whose bound it counts towards; see Tag.
 	Ran      time.Duration
-	// Sent is when the request was sent there, by this box's clock; zero for an end that another box saw.
+	// Sent is when the request was sent there, by this box's clock; zero for a crash that another box observed.
 	Sent time.Time
-	// Doubt says that the endpoint may have ended before the request reached it: the call broke off at
-	// once and without an answer, as it does where several endpoints end together and a request goes on
-	// from one to the next.
+	// Doubt says that the endpoint may have crashed before the request reached it: the connection was
+	// lost at once and without a response, which happens when several endpoints crash together and a
+	// request moves from one to the next.
 	Doubt bool
-	// Try tells the request's tries apart; see Tag.
+	// Try tells the tries of a request apart; see Tag.
 	Try string
 }
 
-// Verdict says what is known of a request.
+// Verdict is the evidence against a request.
 type Verdict struct {
-	// Held says that the request must not be sent to an endpoint any more.
+	// Held says that the request is quarantined: it must not be sent to an endpoint any more.
 	Held bool
 	Bits float64
 	Ends []End // The shortest run first.
 }
 
-// String says the verdict to operators.
+// String describes the verdict for operators.
 func (v Verdict) String() string {
 	parts := make([]string, len(v.Ends))
 	for i, e := range v.Ends {
@@ -62,58 +62,58 @@
 	return fmt.Sprintf("%d endpoints ended under it: %s", len(v.Ends), strings.Join(parts, ", "))
 }
 
-// known is an end and where it stands.
-type known struct {
+// crashRecord is a crash and its state in the table.
+type crashRecord struct {
 	End
-	since time.Time
-	// sent says that it was sent to the table, written that the table has taken it, and stored that
-	// it was seen there.
-	sent, written, stored bool
-	// due is when it may be written; zero for at once.
-	due time.Time
+	observedAt time.Time
+	// writeAttempted says that a write to the table was attempted, writeAcked that the table has
+	// accepted it, and seenInTable that the row was read from the table.
+	writeAttempted, writeAcked, seenInTable bool
+	// writeAfter is the earliest time to write it; zero for at once.
+	writeAfter time.Time
 }
 
-// List is what one box knows of ends: its own, and those that the table has. It is safe for
-// concurrent use; the zero value is not ready.
+// List holds the crashes that one box knows of: its own and those in the table. It is safe for
+// concurrent use; the zero value is not usable.
 type List struct {
-	// Held is told once when a request is held from now on; it must not block, and may be nil.
+	// Held is called once when a request becomes quarantined; it must not block, and may be nil.
 	Held func(Fingerprint, Verdict)
 
-	// n is how many ends there are, so that most requests need no fingerprint.
-	n atomic.Int64
-
-	mu   sync.Mutex
-	ends map[string]*known // By key.
-	by   map[Fingerprint]map[string]*known
-	// of counts the ends of each caller.
-	of map[string]int
-	// removing are keys that are being taken out of the table; true once it has done so.
-	removing map[string]bool
-	held     map[Fingerprint]bool
-	served   served
-	// restored says that the rows that are set next are of an older copy of the table, and spread over what
-	// time boxes write again what it lacks.
-	restored bool
-	spread   time.Duration
-	// work wakes who writes the table.
-	work chan struct{}
+	// count is the number of crashes, readable without the lock, so that most requests need no fingerprint.
+	count atomic.Int64
+
+	mu        sync.Mutex
+	crashes   map[string]*crashRecord // By key.
+	byRequest map[Fingerprint]map[string]*crashRecord
+	// perCaller counts the crashes of each caller.
+	perCaller map[string]int
+	// removing has the keys that are being removed from the table; true once the table has done so.
+	removing       map[string]bool
+	quarantined    map[Fingerprint]bool
+	recentlyServed servedSet
+	// restored says that the next SetRows comes from a restored older copy of the table, and
+	// rewriteSpread is the time over which boxes write again the crashes that the copy lacks.
+	restored      bool
+	rewriteSpread time.Duration
+	// pendingWrites wakes the Keeper.
+	pendingWrites chan struct{}
 }
 
 // NewList returns an empty list.
 func NewList() *List {
 	return &List{
-		ends: map[string]*known{}, by: map[Fingerprint]map[string]*known{}, of: map[string]int{},
-		removing: map[string]bool{}, held: map[Fingerprint]bool{}, work: make(chan struct{}, 1),
+		crashes: map[string]*crashRecord{}, byRequest: map[Fingerprint]map[string]*crashRecord{}, perCaller: map[string]int{},
+		removing: map[string]bool{}, quarantined: map[Fingerprint]bool{}, pendingWrites: make(chan struct{}, 1),
 	}
 }
 
-// key is the row of an end: the same from whichever box, and different for each start of an endpoint.
+// key is the row key of a crash: the same on every box, and different for each start of an endpoint.
 func (e *End) key() string {
 	h := sha256.Sum256([]byte(e.Endpoint))
 	return e.Request.String() + "." + hex.EncodeToString(h[:8])
 }
 
-// rowDoc is the text of a row.
+// rowDoc is the JSON value of a row.
 type rowDoc struct {
 	Endpoint string `json:"endpoint"`
 	Caller   string `json:"caller"`
@@ -122,20 +122,20 @@
 	Try      string `json:"try,omitempty"`
 }
 
-// mostRan bounds what a row may claim.
-const mostRan = time.Hour
+// maxRan bounds the run time that a row may claim.
+const maxRan = time.Hour
 
-// parse reads a row; ok is false for one that nobody here can have written.
+// parse decodes a row; ok is false for one that no box can have written.
 func parse(key string, text []byte) (e End, ok bool) {
-	print, _, found := strings.Cut(key, ".")
-	raw, err := hex.DecodeString(print)
-	var d rowDoc
-	if !found || err != nil || len(raw) != len(e.Request) || json.Unmarshal(text, &d) != nil {
+	fingerprint, _, found := strings.Cut(key, ".")
+	raw, err := hex.DecodeString(fingerprint)
+	var doc rowDoc
+	if !found || err != nil || len(raw) != len(e.Request) || json.Unmarshal(text, &doc) != nil {
 		return e, false
 	}
 	copy(e.Request[:], raw)
-	e.Endpoint, e.Caller, e.Ran, e.Doubt, e.Try = d.Endpoint, d.Caller, time.Duration(d.RanMS)*time.Millisecond, d.Doubt, d.Try
-	return e, e.Endpoint != "" && e.Ran >= 0 && e.Ran <= mostRan && e.key() == key
+	e.Endpoint, e.Caller, e.Ran, e.Doubt, e.Try = doc.Endpoint, doc.Caller, time.Duration(doc.RanMS)*time.Millisecond, doc.Doubt, doc.Try
+	return e, e.Endpoint != "" && e.Ran >= 0 && e.Ran <= maxRan && e.key() == key
 }
 
 func (e *End) row() []byte {
@@ -143,22 +143,22 @@
 	return b
 }
 
-// Empty says that nothing is known of any request.
-func (l *List) Empty() bool { return l.n.Load() == 0 }
+// Empty reports whether no crash is recorded for any request.
+func (l *List) Empty() bool { return l.count.Load() == 0 }
 
-// Check says what is known of a request.
+// Check returns the evidence against a request.
 func (l *List) Check(f Fingerprint) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.verdict(f)
 }
 
-// verdict adds up the ends of a request. The lock is held.
+// verdict adds up the crashes of a request. l.mu must be held.
 func (l *List) verdict(f Fingerprint) (v Verdict) {
-	for _, k := range l.by[f] {
+	for _, k := range l.byRequest[f] {
 		v.Ends = append(v.Ends, k.End)
 	}
-	v.Bits = sum(v.Ends)
+	v.Bits = totalBits(v.Ends)
 	slices.SortFunc(v.Ends, func(a, b End) int {
 		return cmp.Or(cmp.Compare(a.Ran, b.Ran), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
@@ -166,206 +166,209 @@
 	return v
 }
 
-// Ended takes that an endpoint ended under a request of this box.
+// Ended records that an endpoint crashed under a request of this box.
 func (l *List) Ended(e End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
-	if bits(&e) < leastBits || l.served.lately(e.Request, now) || !l.isNew(&e) {
+	if crashBits(&e) < minCrashBits || l.recentlyServed.contains(e.Request, now) || !l.isNew(&e) {
 		return
 	}
-	l.add(&known{End: e, since: now})
-	l.wake()
+	l.add(&crashRecord{End: e, observedAt: now})
+	l.wakeWriter()
 }
 
-// isNew says whether an end is another one than those known, and names it so. A start ends once; but
-// a worker may be back under its id before the list tells, and then what runs there is taken for the
-// start before. A request that was sent after that one had ended has met another.
+// isNew reports whether a crash differs from the recorded ones, and renames its endpoint if so. Each
+// start crashes once; but a worker may be back under its id before the endpoint list shows that, and a
+// crash of the new start is then attributed to the old one. A request that was sent after the old start
+// crashed has run on another start.
 //
-// Example: the start i-5@a ended under a request, which comes again a second later, to a box whose list
-// still shows i-5@a. The engine runs it and ends: that is the end of i-5@a+2. The lock is held.
+// Example: the start i-5@a crashed under a request, which is retried a second later at a box whose list
+// still shows i-5@a. The engine runs it and crashes: that is recorded as a crash of i-5@a+2.
+// l.mu must be held.
 func (l *List) isNew(e *End) bool {
 	start := e.Endpoint
 	for n := 2; ; n++ {
-		k := l.ends[e.key()]
+		k := l.crashes[e.key()]
 		switch {
 		case k == nil:
 			return true
-		case e.Doubt || !k.since.Before(e.Sent):
+		case e.Doubt || !k.observedAt.Before(e.Sent):
 			return false
 		}
 		e.Endpoint = fmt.Sprintf("%s+%d", start, n)
 	}
 }
 
-// Served takes that a request was answered whole: it ends nothing, whatever was seen before.
+// Served records that a request was answered completely, which clears all evidence against it.
 func (l *List) Served(f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.served.add(f, clock.Now())
-	for key, k := range l.by[f] {
-		l.drop(key, k.sent)
+	l.recentlyServed.add(f, clock.Now())
+	for key, k := range l.byRequest[f] {
+		l.drop(key, k.writeAttempted)
 	}
 }
 
-// SetRows takes the whole table. A row that is gone there is gone here, but for one that is still to
-// be written.
+// SetRows takes the content of the whole table. A row that is gone from the table is forgotten here,
+// unless it is still to be written.
 func (l *List) SetRows(rows map[string][]byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
 	older := l.restored
 	if l.restored = false; older {
-		l.writeAgain(rows, now)
+		l.scheduleRewrites(rows, now)
 	}
-	for key, k := range l.ends {
-		if _, there := rows[key]; !there && k.stored {
+	for key, k := range l.crashes {
+		if _, there := rows[key]; !there && k.seenInTable {
 			l.drop(key, false)
 		}
 	}
-	for key, done := range l.removing {
-		if _, there := rows[key]; !there && done {
+	for key, removed := range l.removing {
+		if _, there := rows[key]; !there && removed {
 			delete(l.removing, key)
 		}
 	}
 	for key, text := range rows {
-		if k := l.ends[key]; k != nil {
-			k.sent, k.written, k.stored = true, true, true
+		if k := l.crashes[key]; k != nil {
+			k.writeAttempted, k.writeAcked, k.seenInTable = true, true, true
 			continue
 		}
 		if e, ok := parse(key, text); ok && !l.isRemoving(key) {
-			l.add(&known{End: e, since: now, sent: true, written: true, stored: true})
-			if older && l.served.lately(e.Request, now) {
+			l.add(&crashRecord{End: e, observedAt: now, writeAttempted: true, writeAcked: true, seenInTable: true})
+			if older && l.recentlyServed.contains(e.Request, now) {
 				l.drop(key, true)
 			}
 		}
 	}
 }
 
-// ownerFirst is how long other boxes wait before they write an end again that an older copy of the table lacks:
-// the box that saw it does so at once.
-const ownerFirst = 2 * time.Second
+// observerHeadStart is how long other boxes wait before they write a crash that a restored older copy of
+// the table lacks: the box that observed it writes it at once.
+const observerHeadStart = 2 * time.Second
 
-// Restored says that the table has come back from an older copy, whose rows are set next. What it lacks still
-// counts and is written again; boxes that did not see an end themselves share that out over the spread.
+// Restored announces that the next SetRows comes from a restored older copy of the table. Crashes that it
+// lacks still count and are written again; boxes that did not observe a crash themselves do so at a
+// random time within spread.
 func (l *List) Restored(spread time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.restored, l.spread = true, spread
+	l.restored, l.rewriteSpread = true, spread
 }
 
-// writeAgain has written again what the rows of an older copy lack, and taken out again what they have in
-// excess. The lock is held.
-func (l *List) writeAgain(rows map[string][]byte, now time.Time) {
-	wait := ownerFirst + rand.N(l.spread+1)
-	for key, k := range l.ends {
-		if _, there := rows[key]; there || !k.written {
+// scheduleRewrites schedules the writes of crashes that a restored table lacks, and the removals of rows
+// that it should not have. l.mu must be held.
+func (l *List) scheduleRewrites(rows map[string][]byte, now time.Time) {
+	rewriteDelay := observerHeadStart + rand.N(l.rewriteSpread+1)
+	for key, k := range l.crashes {
+		if _, there := rows[key]; there || !k.writeAcked {
 			continue
 		}
-		k.written, k.stored = false, false
-		if k.Sent.IsZero() { // Another box saw it.
-			k.due = now.Add(wait)
+		k.writeAcked, k.seenInTable = false, false
+		if k.Sent.IsZero() { // Another box observed it.
+			k.writeAfter = now.Add(rewriteDelay)
 		}
 	}
-	time.AfterFunc(wait, l.wake)
+	time.AfterFunc(rewriteDelay, l.wakeWriter)
 	for key := range l.removing {
 		l.removing[key] = false
 	}
-	l.wake()
+	l.wakeWriter()
 }
 
 func (l *List) isRemoving(key string) bool {
-	_, yes := l.removing[key]
-	return yes
+	_, ok := l.removing[key]
+	return ok
 }
 
-// add keeps an end, within the bounds. The lock is held.
-func (l *List) add(k *known) {
-	l.makeRoom(k.Caller)
+// add records a crash, within the bounds. l.mu must be held.
+func (l *List) add(k *crashRecord) {
+	l.evictIfFull(k.Caller)
 	key := k.key()
-	l.ends[key] = k
-	if l.by[k.Request] == nil {
-		l.by[k.Request] = map[string]*known{}
+	l.crashes[key] = k
+	if l.byRequest[k.Request] == nil {
+		l.byRequest[k.Request] = map[string]*crashRecord{}
 	}
-	l.by[k.Request][key] = k
-	l.of[k.Caller]++
-	l.n.Store(int64(len(l.ends)))
-	if v := l.verdict(k.Request); v.Held && !l.held[k.Request] {
-		l.held[k.Request] = true
+	l.byRequest[k.Request][key] = k
+	l.perCaller[k.Caller]++
+	l.count.Store(int64(len(l.crashes)))
+	if v := l.verdict(k.Request); v.Held && !l.quarantined[k.Request] {
+		l.quarantined[k.Request] = true
 		if l.Held != nil {
 			l.Held(k.Request, v)
 		}
 	}
 }
 
-// makeRoom drops the oldest end of the caller, or of the one with the most, where there are too many.
-// The lock is held.
-func (l *List) makeRoom(caller string) {
+// evictIfFull drops the oldest crash of the caller if that is at its bound, or of the caller with the most
+// crashes if the total bound is reached. l.mu must be held.
+func (l *List) evictIfFull(caller string) {
 	switch {
-	case l.of[caller] >= mostOfCaller:
-	case len(l.ends) >= mostEnds:
-		for other, n := range l.of {
-			if n > l.of[caller] || n == l.of[caller] && other < caller {
+	case l.perCaller[caller] >= maxCrashesPerCaller:
+	case len(l.crashes) >= maxCrashes:
+		for other, n := range l.perCaller {
+			if n > l.perCaller[caller] || n == l.perCaller[caller] && other < caller {
 				caller = other
 			}
 		}
 	default:
 		return
 	}
-	var oldest *known
-	for _, k := range l.ends {
-		if k.Caller == caller && (oldest == nil || k.since.Before(oldest.since)) {
+	var oldest *crashRecord
+	for _, k := range l.crashes {
+		if k.Caller == caller && (oldest == nil || k.observedAt.Before(oldest.observedAt)) {
 			oldest = k
 		}
 	}
 	if oldest != nil {
-		l.drop(oldest.key(), oldest.sent)
+		l.drop(oldest.key(), oldest.writeAttempted)
 	}
 }
 
-// drop forgets an end, and has it taken out of the table. The lock is held.
-func (l *List) drop(key string, remove bool) {
-	k := l.ends[key]
-	delete(l.ends, key)
-	delete(l.by[k.Request], key)
-	if l.of[k.Caller]--; l.of[k.Caller] == 0 {
-		delete(l.of, k.Caller)
+// drop forgets a crash, and removes it from the table if removeFromTable is set. l.mu must be held.
+func (l *List) drop(key string, removeFromTable bool) {
+	k := l.crashes[key]
+	delete(l.crashes, key)
+	delete(l.byRequest[k.Request], key)
+	if l.perCaller[k.Caller]--; l.perCaller[k.Caller] == 0 {
+		delete(l.perCaller, k.Caller)
 	}
-	if len(l.by[k.Request]) == 0 {
-		delete(l.by, k.Request)
+	if len(l.byRequest[k.Request]) == 0 {
+		delete(l.byRequest, k.Request)
 	}
-	l.n.Store(int64(len(l.ends)))
+	l.count.Store(int64(len(l.crashes)))
 	if !l.verdict(k.Request).Held {
-		delete(l.held, k.Request)
+		delete(l.quarantined, k.Request)
 	}
-	if remove {
+	if removeFromTable {
 		l.removing[key] = false
-		l.wake()
+		l.wakeWriter()
 	}
 }
 
-// expire drops what has counted for longer than a time.
-func (l *List) expire(after time.Duration) {
+// expire drops the crashes that are older than ttl.
+func (l *List) expire(ttl time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
-	for key, k := range l.ends {
-		if now.Sub(k.since) > after {
-			l.drop(key, k.sent)
+	for key, k := range l.crashes {
+		if now.Sub(k.observedAt) > ttl {
+			l.drop(key, k.writeAttempted)
 		}
 	}
 }
 
-// Sizes are how many ends are known, and how many requests are held.
-func (l *List) Sizes() (ends, held int) {
+// Sizes returns the number of recorded crashes and of quarantined requests.
+func (l *List) Sizes() (crashes, quarantined int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.ends), len(l.held)
+	return len(l.crashes), len(l.quarantined)
 }
 
-func (l *List) wake() {
+func (l *List) wakeWriter() {
 	select {
-	case l.work <- struct{}{}:
+	case l.pendingWrites <- struct{}{}:
 	default:
 	}
 }
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -11,201 +11,201 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// of is the fingerprint of a request in these tests.
-func of(name string) Fingerprint { return (&Identity{Target: name}).Fingerprint() }
+// fingerprintOf returns the fingerprint of the request of that name.
+func fingerprintOf(name string) Fingerprint { return (&Identity{Target: name}).Fingerprint() }
 
-// ends has an endpoint of each name end under a request of a caller.
-func ends(l *List, request, caller string, ran time.Duration, endpoints ...string) {
+// recordCrashes records a crash of each endpoint under a request of a caller.
+func recordCrashes(l *List, request, caller string, ran time.Duration, endpoints ...string) {
 	for _, e := range endpoints {
-		l.Ended(End{Request: of(request), Endpoint: e, Caller: caller, Ran: ran})
+		l.Ended(End{Request: fingerprintOf(request), Endpoint: e, Caller: caller, Ran: ran})
 	}
 }
 
-func expectHeld(t *testing.T, l *List, request string, want bool) {
+func expectQuarantined(t *testing.T, l *List, request string, want bool) {
 	t.Helper()
-	if v := l.Check(of(request)); v.Held != want {
-		t.Errorf("%s: expected held to be %t, got %.1f bits: %s", request, want, v.Bits, v)
+	if v := l.Check(fingerprintOf(request)); v.Held != want {
+		t.Errorf("%s: expected quarantined to be %t, got %.1f bits: %s", request, want, v.Bits, v)
 	}
 }
 
-// Three ends soon after a request began are enough, two never are, and the same end counts once.
+// Three crashes soon after a request began quarantine it, two never do, and a repeated report counts once.
 func TestHeldAfterThree(t *testing.T) {
 	l := NewList()
-	told := 0
-	l.Held = func(Fingerprint, Verdict) { told++ }
-	ends(l, "deadly", "a", 100*time.Millisecond, "e1", "e2", "e2", "e1")
-	expectHeld(t, l, "deadly", false)
-	ends(l, "deadly", "a", 270*time.Millisecond, "e3")
-	expectHeld(t, l, "deadly", true)
-	ends(l, "deadly", "a", 270*time.Millisecond, "e4")
-	if told != 1 {
-		t.Errorf("expected one word of it, got %d", told)
+	callbacks := 0
+	l.Held = func(Fingerprint, Verdict) { callbacks++ }
+	recordCrashes(l, "deadly", "a", 100*time.Millisecond, "e1", "e2", "e2", "e1")
+	expectQuarantined(t, l, "deadly", false)
+	recordCrashes(l, "deadly", "a", 270*time.Millisecond, "e3")
+	expectQuarantined(t, l, "deadly", true)
+	recordCrashes(l, "deadly", "a", 270*time.Millisecond, "e4")
+	if callbacks != 1 {
+		t.Errorf("expected one callback, got %d", callbacks)
 	}
-	if text := l.Check(of("deadly")).String(); !strings.HasPrefix(text, "4 endpoints ended under it: e1 after 100ms, e2 after 100ms, e3") {
+	if text := l.Check(fingerprintOf("deadly")).String(); !strings.HasPrefix(text, "4 endpoints ended under it: e1 after 100ms, e2 after 100ms, e3") {
 		t.Errorf("unexpected text: %s", text)
 	}
 }
 
-// What users would see: one end more than there should be. A worker was back under its id before the
-// list told; it ran the request again and ended, and the box took that for the end of the start that
-// its list still had, which it knew of. Evidence: TestRequestThatEndsEndpoints with engines that come back
-// under their ids, 4 ends of 3 in one of three runs.
+// Guards against counting one crash too few, so that a request crashes four endpoints before it is
+// quarantined. A worker returned under its id before the endpoint list showed that, ran the request again
+// and crashed; the box took that for the already recorded crash of the listed start. Seen in
+// TestRequestThatEndsEndpoints with engines that come back under their ids: 4 crashes instead of 3 in one
+// of three runs.
 func TestEndOfStartNotListedYet(t *testing.T) {
 	l := NewList()
-	e := End{Request: of("deadly"), Endpoint: "i-5@a", Caller: "c", Ran: 50 * time.Millisecond}
+	e := End{Request: fingerprintOf("deadly"), Endpoint: "i-5@a", Caller: "c", Ran: 50 * time.Millisecond}
 	e.Sent = clock.Now().Add(-e.Ran)
 	l.Ended(e)
-	l.Ended(e) // The same end.
+	l.Ended(e) // The same crash.
 	if n, _ := l.Sizes(); n != 1 {
-		t.Errorf("expected one end, got %d", n)
+		t.Errorf("expected one crash, got %d", n)
 	}
 	e.Sent = clock.Now().Add(time.Millisecond)
 	l.Ended(e)
 	if n, _ := l.Sizes(); n != 2 {
-		t.Errorf("expected an end of another start, got %d ends: %s", n, l.Check(of("deadly")))
+		t.Errorf("expected a crash of another start, got %d crashes: %s", n, l.Check(fingerprintOf("deadly")))
 	}
 	e.Doubt = true
 	l.Ended(e)
 	e.Sent, e.Doubt = clock.Now().Add(time.Second), false
 	l.Ended(e)
-	expectHeld(t, l, "deadly", true)
+	expectQuarantined(t, l, "deadly", true)
 }
 
-// What users would see: a stream refused for good that had done nothing. It went on from engine to
-// engine within one try while another request ended these one after the other, a third of a second
-// each. Evidence: a soak (seed 673278674497), ends after 100, 192 and 433 ms under one id.
+// Guards against quarantining a harmless stream. It migrated from engine to engine within one try while
+// another request crashed these one after the other, a third of a second each. Seen in a soak test (seed
+// 673278674497): crashes after 100, 192 and 433 ms under one request id.
 func TestEndsWithinOneTry(t *testing.T) {
 	l := NewList()
 	for n, ran := range []time.Duration{192 * time.Millisecond, 100 * time.Millisecond, 433 * time.Millisecond} {
-		l.Ended(End{Request: of("long"), Endpoint: fmt.Sprint("e", n), Caller: "c", Ran: ran, Try: Tag("id-1")})
+		l.Ended(End{Request: fingerprintOf("long"), Endpoint: fmt.Sprint("e", n), Caller: "c", Ran: ran, Try: Tag("id-1")})
 	}
-	expectHeld(t, l, "long", false)
+	expectQuarantined(t, l, "long", false)
 	for n := range 4 { // Two tries of two engines each.
-		l.Ended(End{Request: of("deadly"), Endpoint: fmt.Sprint("e", n), Caller: "c", Ran: 50 * time.Millisecond, Try: Tag(fmt.Sprint("id", n/2))})
+		l.Ended(End{Request: fingerprintOf("deadly"), Endpoint: fmt.Sprint("e", n), Caller: "c", Ran: 50 * time.Millisecond, Try: Tag(fmt.Sprint("id", n/2))})
 		if n < 3 {
-			expectHeld(t, l, "deadly", false)
+			expectQuarantined(t, l, "deadly", false)
 		}
 	}
-	expectHeld(t, l, "deadly", true)
+	expectQuarantined(t, l, "deadly", true)
 }
 
-// What users would see: a request refused for good that had done nothing. Its prompt was at an engine
-// that ended with a rack; it went on to another one of that rack over a connection that broke in
-// 0.7 ms, and four seconds later it was near a third crash. Evidence: a day of crashes, on which one
-// request was held for ends after 39 ms, 0.7 ms and 220 ms.
+// Guards against quarantining a harmless request. Its prompt was at an engine that crashed with its rack; it
+// was retried on another engine of that rack, over a connection that was lost after 0.7 ms, and four
+// seconds later it was present at a third crash. Seen in a recorded day of crashes, on which one request
+// was quarantined for crashes after 39 ms, 0.7 ms and 220 ms.
 func TestEndedBefore(t *testing.T) {
 	l := NewList()
-	ends(l, "a", "c", 39*time.Millisecond, "e1")
-	l.Ended(End{Request: of("a"), Endpoint: "e2", Caller: "c", Ran: 700 * time.Microsecond, Doubt: true})
-	ends(l, "a", "c", 220*time.Millisecond, "e3")
-	expectHeld(t, l, "a", false)
+	recordCrashes(l, "a", "c", 39*time.Millisecond, "e1")
+	l.Ended(End{Request: fingerprintOf("a"), Endpoint: "e2", Caller: "c", Ran: 700 * time.Microsecond, Doubt: true})
+	recordCrashes(l, "a", "c", 220*time.Millisecond, "e3")
+	expectQuarantined(t, l, "a", false)
 	for n := range 7 {
-		l.Ended(End{Request: of("at once"), Endpoint: fmt.Sprint("e", n), Caller: "c", Doubt: true})
+		l.Ended(End{Request: fingerprintOf("at once"), Endpoint: fmt.Sprint("e", n), Caller: "c", Doubt: true})
 	}
-	expectHeld(t, l, "at once", true)
+	expectQuarantined(t, l, "at once", true)
 }
 
-// A long stream that goes on elsewhere is near several crashes that others cause.
+// A long stream that migrates is present at several crashes that other requests cause.
 func TestLongStreamIsNotBlamed(t *testing.T) {
 	l := NewList()
-	ends(l, "long", "a", 3*time.Second, "e1", "e2", "e3")
-	ends(l, "shorter", "a", time.Second, "e1", "e2", "e3")
-	expectHeld(t, l, "long", false)
-	expectHeld(t, l, "shorter", false)
+	recordCrashes(l, "long", "a", 3*time.Second, "e1", "e2", "e3")
+	recordCrashes(l, "shorter", "a", time.Second, "e1", "e2", "e3")
+	expectQuarantined(t, l, "long", false)
+	expectQuarantined(t, l, "shorter", false)
 }
 
-// How often a request that has nothing to do with the ends is held, if it comes again after each end and
-// endpoints end at a rate, a second. Half a second and less of each of three runs is what it takes.
+// Measures how often a harmless request is quarantined if it is retried after each crash and endpoints
+// crash at a given rate per second. It takes three runs of at most half a second each.
 func TestWronglyHeld(t *testing.T) {
 	const tries = 200_000
 	rng := newRNG(1)
-	for rate, most := range map[float64]float64{0.02: 1e-4, 0.05: 3e-4, 0.1: 1e-3} {
-		held := 0
+	for crashesPerSecond, maxShare := range map[float64]float64{0.02: 1e-4, 0.05: 3e-4, 0.1: 1e-3} {
+		quarantined := 0
 		for range tries {
 			sum := 0.0
-			for range 3 { // It meets three ends at most, each at some point of a run of 3 s.
-				until := rng.ExpFloat64() / rate
-				if until > 3 {
-					break // It ends well.
+			for range 3 { // It meets three crashes at most, each at a random point of a 3 s run.
+				crashedAfter := rng.ExpFloat64() / crashesPerSecond
+				if crashedAfter > 3 {
+					break // The run completes.
 				}
-				sum += bits(&End{Ran: time.Duration(until * float64(time.Second))})
+				sum += crashBits(&End{Ran: time.Duration(crashedAfter * float64(time.Second))})
 			}
 			if sum >= Enough {
-				held++
+				quarantined++
 			}
 		}
-		share := float64(held) / tries
-		t.Logf("engines that end %.2f times a second: %d of %d requests wrongly held", rate, held, tries)
-		if share > most {
-			t.Errorf("engines that end %.2f times a second: expected a share of %g at the most, got %g", rate, most, share)
+		share := float64(quarantined) / tries
+		t.Logf("engines that crash %.2f times per second: %d of %d requests wrongly quarantined", crashesPerSecond, quarantined, tries)
+		if share > maxShare {
+			t.Errorf("engines that crash %.2f times per second: expected at most a share of %g, got %g", crashesPerSecond, maxShare, share)
 		}
 	}
 }
 
-// What was answered whole ends nothing, and what is answered all the time is not suspected at all.
+// A completed answer clears the evidence, and a request that was just answered is not suspected.
 func TestServedClears(t *testing.T) {
 	l := NewList()
-	ends(l, "a", "c", 0, "e1", "e2")
-	l.Served(of("a"))
-	ends(l, "a", "c", 0, "e3", "e4", "e5")
-	expectHeld(t, l, "a", false)
+	recordCrashes(l, "a", "c", 0, "e1", "e2")
+	l.Served(fingerprintOf("a"))
+	recordCrashes(l, "a", "c", 0, "e3", "e4", "e5")
+	expectQuarantined(t, l, "a", false)
 	if !l.Empty() {
-		t.Error("expected nothing to be known of a request that was just answered")
+		t.Error("expected no crashes to be recorded for a request that was just answered")
 	}
 }
 
-// A caller that fills the table on purpose takes nothing from others.
+// A caller that fills the table on purpose displaces nobody else's crashes.
 func TestFillsNobodyElses(t *testing.T) {
 	l := NewList()
-	ends(l, "deadly", "victim", 0, "e1", "e2", "e3")
-	for n := range mostEnds + mostOfCaller {
-		ends(l, fmt.Sprint(n), fmt.Sprint("caller", n%64), 0, "e1")
+	recordCrashes(l, "deadly", "victim", 0, "e1", "e2", "e3")
+	for n := range maxCrashes + maxCrashesPerCaller {
+		recordCrashes(l, fmt.Sprint(n), fmt.Sprint("caller", n%64), 0, "e1")
 	}
-	expectHeld(t, l, "deadly", true)
-	for n := range 3 * mostOfCaller {
-		ends(l, fmt.Sprint("more", n), "one", 0, "e1")
+	expectQuarantined(t, l, "deadly", true)
+	for n := range 3 * maxCrashesPerCaller {
+		recordCrashes(l, fmt.Sprint("more", n), "one", 0, "e1")
 	}
-	expectHeld(t, l, "deadly", true)
-	if n, _ := l.Sizes(); n > mostEnds {
-		t.Errorf("expected at most %d ends, got %d", mostEnds, n)
+	expectQuarantined(t, l, "deadly", true)
+	if n, _ := l.Sizes(); n > maxCrashes {
+		t.Errorf("expected at most %d crashes, got %d", maxCrashes, n)
 	}
-	for caller, n := range l.of {
-		if n > mostOfCaller {
-			t.Errorf("caller %s: expected at most %d ends, got %d", caller, mostOfCaller, n)
+	for caller, n := range l.perCaller {
+		if n > maxCrashesPerCaller {
+			t.Errorf("caller %s: expected at most %d crashes, got %d", caller, maxCrashesPerCaller, n)
 		}
 	}
 }
 
-// Rows that others wrote count, those that nobody here can have written do not, and a row that goes
-// is gone.
+// Rows of other boxes count, rows that no box can have written do not, and a removed row is forgotten.
 func TestRows(t *testing.T) {
 	writer, l := NewList(), NewList()
-	ends(writer, "deadly", "a", 0, "e1", "e2", "e3")
-	rows, _ := writer.batch()
+	recordCrashes(writer, "deadly", "a", 0, "e1", "e2", "e3")
+	rows, _ := writer.nextBatch()
 	l.SetRows(rows)
-	expectHeld(t, l, "deadly", true)
+	expectQuarantined(t, l, "deadly", true)
 	for key, text := range rows {
-		rows["x"+key[1:]] = text                                  // The fingerprint is no number, or another one.
-		rows[key[:len(key)-1]+"z"] = text                         // It names another endpoint.
-		rows[key+"."] = []byte(`{"endpoint":7}`)                  // A field of another type.
-		rows[of("b").String()+".00"] = []byte(`{"endpoint":"e"}`) // Half a row.
+		rows["x"+key[1:]] = text                                             // The fingerprint is not hexadecimal, or another one.
+		rows[key[:len(key)-1]+"z"] = text                                    // The key of another endpoint.
+		rows[key+"."] = []byte(`{"endpoint":7}`)                             // A field of the wrong type.
+		rows[fingerprintOf("b").String()+".00"] = []byte(`{"endpoint":"e"}`) // An incomplete key.
 		break
 	}
 	rows[""] = nil
 	l.SetRows(rows)
 	if n, _ := l.Sizes(); n != 3 {
-		t.Errorf("expected three ends, got %d", n)
+		t.Errorf("expected three crashes, got %d", n)
 	}
 	l.SetRows(nil)
 	if !l.Empty() {
-		t.Error("expected nothing to be known once the rows are gone")
+		t.Error("expected no crashes to be recorded once the rows are gone")
 	}
 }
 
 func FuzzRow(f *testing.F) {
 	l := NewList()
-	ends(l, "a", "b", time.Second, "e")
-	rows, _ := l.batch()
+	recordCrashes(l, "a", "b", time.Second, "e")
+	rows, _ := l.nextBatch()
 	for key, text := range rows {
 		f.Add(key, text)
 	}
@@ -218,83 +218,83 @@
 	})
 }
 
-// A verdict is over after its time, also where the box was suspended for a part of that.
+// A quarantine expires after crashTTL, also if the box was suspended for a part of that time.
 func TestVerdictEnds(t *testing.T) {
-	var asleep time.Duration
-	defer clock.Set(func() time.Duration { return asleep })()
+	var suspended time.Duration
+	defer clock.Set(func() time.Duration { return suspended })()
 	l := NewList()
-	ends(l, "deadly", "a", 0, "e1", "e2", "e3")
-	asleep = keptFor - time.Second
-	l.expire(keptFor)
-	expectHeld(t, l, "deadly", true)
-	asleep = keptFor + time.Second
-	l.expire(keptFor)
-	expectHeld(t, l, "deadly", false)
+	recordCrashes(l, "deadly", "a", 0, "e1", "e2", "e3")
+	suspended = crashTTL - time.Second
+	l.expire(crashTTL)
+	expectQuarantined(t, l, "deadly", true)
+	suspended = crashTTL + time.Second
+	l.expire(crashTTL)
+	expectQuarantined(t, l, "deadly", false)
 	if n, held := l.Sizes(); n != 0 || held != 0 {
-		t.Errorf("expected nothing to be kept, got %d ends of which %d requests are held", n, held)
+		t.Errorf("expected nothing to be recorded, got %d crashes and %d quarantined requests", n, held)
 	}
 }
 
-// rowsOf is the table that has a list's ends.
-func rowsOf(l *List) map[string][]byte {
+// tableRows returns the table rows for the crashes of a list.
+func tableRows(l *List) map[string][]byte {
 	rows := map[string][]byte{}
-	for key, k := range l.ends {
+	for key, k := range l.crashes {
 		rows[key] = k.row()
 	}
 	return rows
 }
 
 func TestRequestStaysHeldWhenTheTableComesBackOlder(t *testing.T) {
-	l, told := NewList(), NewList()
+	l, other := NewList(), NewList()
 	for _, e := range []string{"e1", "e2", "e3"} {
-		l.Ended(End{Request: of("deadly"), Endpoint: e, Caller: "a", Ran: 100 * time.Millisecond, Sent: clock.Now()})
+		l.Ended(End{Request: fingerprintOf("deadly"), Endpoint: e, Caller: "a", Ran: 100 * time.Millisecond, Sent: clock.Now()})
 	}
-	put, _ := l.batch()
-	l.wrote(put, nil)
-	for _, box := range []*List{l, told} {
-		box.SetRows(rowsOf(l))
-		expectHeld(t, box, "deadly", true)
+	put, _ := l.nextBatch()
+	l.markWritten(put, nil)
+	for _, box := range []*List{l, other} {
+		box.SetRows(tableRows(l))
+		expectQuarantined(t, box, "deadly", true)
 		box.Restored(0)
 		box.SetRows(nil)
-		expectHeld(t, box, "deadly", true)
-		box.SetRows(nil) // A later change, of another row.
-		expectHeld(t, box, "deadly", true)
+		expectQuarantined(t, box, "deadly", true)
+		box.SetRows(nil) // A later change of another row.
+		expectQuarantined(t, box, "deadly", true)
 	}
-	if put, _ := told.batch(); len(put) != 0 {
-		t.Errorf("expected a box that was told to leave the writing to the one that saw it, got %d rows", len(put))
+	if put, _ := other.nextBatch(); len(put) != 0 {
+		t.Errorf("expected the other box to leave the writing to the box that observed the crashes, got %d rows", len(put))
 	}
-	if put, _ := l.batch(); len(put) != 3 {
-		t.Errorf("expected the box that saw the ends to write them again at once, got %d rows", len(put))
+	if put, _ := l.nextBatch(); len(put) != 3 {
+		t.Errorf("expected the box that observed the crashes to rewrite them at once, got %d rows", len(put))
 	}
 }
 
 func TestEndThatWasClearedDoesNotComeBackWithAnOlderTable(t *testing.T) {
 	l := NewList()
-	ends(l, "fine", "a", 100*time.Millisecond, "e1", "e2", "e3")
-	rows := rowsOf(l)
-	l.batch()
+	recordCrashes(l, "fine", "a", 100*time.Millisecond, "e1", "e2", "e3")
+	rows := tableRows(l)
+	l.nextBatch()
 	l.SetRows(rows)
-	l.Served(of("fine"))
-	_, remove := l.batch()
-	l.wrote(nil, remove)
+	l.Served(fingerprintOf("fine"))
+	_, remove := l.nextBatch()
+	l.markWritten(nil, remove)
 	l.SetRows(nil)
 	l.Restored(0)
 	l.SetRows(rows)
-	expectHeld(t, l, "fine", false)
-	if _, remove := l.batch(); len(remove) != 3 {
-		t.Errorf("expected the rows to be taken out again, got %d", len(remove))
+	expectQuarantined(t, l, "fine", false)
+	if _, remove := l.nextBatch(); len(remove) != 3 {
+		t.Errorf("expected the rows to be removed again, got %d", len(remove))
 	}
 }
 
-// The ends of a box that is gone are written again by the others, by few of them.
+// After a restore, crashes observed by a box that is gone are rewritten by only a few of the others.
 func TestEndsOfABoxThatIsGoneAreWrittenAgainByFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		const boxes = 400
-		s := fleet(ctx, boxes, 1)
-		lost := NewList()
-		ends(lost, "deadly", "a", 100*time.Millisecond, "e1", "e2", "e3")
-		rows := rowsOf(lost)
+		s := newFleet(ctx, boxes, 1)
+		removedBox := NewList()
+		recordCrashes(removedBox, "deadly", "a", 100*time.Millisecond, "e1", "e2", "e3")
+		rows := tableRows(removedBox)
 		for _, l := range s.boxes {
 			l.SetRows(rows)
 			l.Restored(boxes * 25 * time.Millisecond)
@@ -303,10 +303,10 @@
 		time.Sleep(time.Minute)
 		calls, written := s.counts()
 		if written != len(rows) || calls > boxes/10 {
-			t.Errorf("expected %d rows by %d calls at the most, got %d rows by %d calls", len(rows), boxes/10, written, calls)
+			t.Errorf("expected %d rows in at most %d calls, got %d rows in %d calls", len(rows), boxes/10, written, calls)
 		}
 		for _, l := range s.boxes {
-			expectHeld(t, l, "deadly", true)
+			expectQuarantined(t, l, "deadly", true)
 		}
 		cancel()
 		time.Sleep(time.Minute)
--- a/internal/quarantine/served.go
+++ b/internal/quarantine/served.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// servedFor is for how long a request that was answered whole is not suspected, and mostServed
-	// bounds how many of these are remembered. A request that is sent all the time runs on each
-	// endpoint that ends, and is answered by the others.
-	servedFor  = 10 * time.Second
-	mostServed = 1024
+	// servedTTL is how long a completely answered request is not suspected, and maxServed bounds how many
+	// such requests are remembered. A request that is sent all the time runs on every endpoint that
+	// crashes, and is answered by the others.
+	servedTTL = 10 * time.Second
+	maxServed = 1024
 )
 
-// served are requests that were answered whole lately. The zero value has none.
-type served struct {
-	// young are the newest, up to half of the bound, and old those before them.
-	young, old map[Fingerprint]time.Time
+// servedSet remembers the requests that were answered recently. The zero value is empty.
+type servedSet struct {
+	// current has the newest requests, up to half of the bound, and previous those before them.
+	current, previous map[Fingerprint]time.Time
 }
 
-func (s *served) add(f Fingerprint, now time.Time) {
-	if s.young == nil || len(s.young) >= mostServed/2 {
-		s.old, s.young = s.young, make(map[Fingerprint]time.Time, mostServed/2)
+func (s *servedSet) add(f Fingerprint, now time.Time) {
+	if s.current == nil || len(s.current) >= maxServed/2 {
+		s.previous, s.current = s.current, make(map[Fingerprint]time.Time, maxServed/2)
 	}
-	s.young[f] = now
+	s.current[f] = now
 }
 
-func (s *served) lately(f Fingerprint, now time.Time) bool {
-	at, ok := s.young[f]
+func (s *servedSet) contains(f Fingerprint, now time.Time) bool {
+	servedAt, ok := s.current[f]
 	if !ok {
-		at, ok = s.old[f]
+		servedAt, ok = s.previous[f]
 	}
-	return ok && now.Sub(at) <= servedFor
+	return ok && now.Sub(servedAt) <= servedTTL
 }
