--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -10,117 +10,117 @@
 	"time"
 )
 
-// fleetSim is many boxes in virtual time that keep one account to its limit. Boxes reach each
-// other as cut and frozen say.
+// fleetSim simulates many boxes, in virtual time, that enforce the limit of one account. Partitions and
+// frozen boxes determine which boxes reach each other.
 type fleetSim struct {
-	t     *testing.T
-	rng   *rand.Rand
-	way   way
-	limit Limit
-	b     Bounds
-	boxes []*simBox
-	// order is the boxes' order as homes of the account.
-	order []int
-	began time.Time
-	// turn has each box think of another order of homes; 0 while all think of the same.
-	turn int
-	// asked is what came, and whether it was let through.
-	asked []use
+	t        *testing.T
+	rng      *rand.Rand
+	strategy strategy
+	limit    Limit
+	bounds   Bounds
+	boxes    []*simBox
+	// ownerOrder is the order in which boxes are candidates for the ownership of the account.
+	ownerOrder []int
+	start      time.Time
+	// orderRotation gives each box another view of ownerOrder; 0 while all agree.
+	orderRotation int
+	// requests has all requests and whether they were admitted.
+	requests []simRequest
 }
 
-type use struct {
-	at    time.Duration
-	units float64
-	ok    bool
+type simRequest struct {
+	at       time.Duration
+	units    float64
+	admitted bool
 }
 
-// way is how the boxes keep the limit together.
-type way uint8
+// strategy is how the boxes enforce the limit together.
+type strategy uint8
 
 const (
-	lentParts way = iota
-	ownParts
-	wholeHome
-	counts
+	lentShares strategy = iota
+	ownShares
+	fullLimitAtOwner
+	gossipedUsage
 )
 
-func (w way) String() string {
-	return [...]string{"lent parts", "parts alone", "home with the whole limit", "counts passed on"}[w]
+func (s strategy) String() string {
+	return [...]string{"lent shares", "own shares only", "owner with the whole limit", "exchanged usage counts"}[s]
 }
 
 type simBox struct {
-	f      *fleetSim
-	i      int
-	pool   *Pool
-	lender *Lender
-	purse  *Purse
-	silent map[int]time.Time
-	// side is the part of the fleet that the box is in: only boxes of one side reach each other.
-	side   int
-	frozen bool
-	// heard is what the others let through as they last told, and told what this one did.
-	heard float64
-	level float64
-	at    time.Time
+	fleet            *fleetSim
+	index            int
+	pool             *Pool
+	lender           *Lender
+	purse            *Purse
+	unreachableUntil map[int]time.Time
+	// partition is the network partition of the box: only boxes of the same one reach each other.
+	partition int
+	frozen    bool
+	// remoteUsage is what the other boxes admitted, and level what is left of this box's own bucket.
+	remoteUsage float64
+	level       float64
+	refilledAt  time.Time
 }
 
 const simAccount = "a"
 
 var simBounds = Bounds{Window: 8 * time.Second, Overage: 0.1, Slack: 120_000}
 
-func newFleetSim(t *testing.T, way way, n int, rate float64) *fleetSim {
-	f := &fleetSim{t: t, way: way, rng: rand.New(rand.NewPCG(uint64(n), 1)), limit: Limit{rate, rate}, b: simBounds, began: time.Now()}
-	f.order = f.rng.Perm(n)
+func newFleetSim(t *testing.T, s strategy, n int, rate float64) *fleetSim {
+	f := &fleetSim{t: t, strategy: s, rng: rand.New(rand.NewPCG(uint64(n), 1)), limit: Limit{rate, rate}, bounds: simBounds, start: time.Now()}
+	f.ownerOrder = f.rng.Perm(n)
 	for i := range n {
-		b := &simBox{f: f, i: i}
+		b := &simBox{fleet: f, index: i}
 		f.boxes = append(f.boxes, b)
-		b.start()
+		b.restart()
 	}
 	return f
 }
 
-// start begins a life of the box.
-func (b *simBox) start() {
-	b.pool, b.lender, b.silent = NewPool(), &Lender{}, map[int]time.Time{}
+// restart begins a new process of the box.
+func (b *simBox) restart() {
+	b.pool, b.lender, b.unreachableUntil = NewPool(), &Lender{}, map[int]time.Time{}
 	b.purse = NewPurse(b)
-	b.pool.SetBounds(time.Now(), b.f.b)
-	b.pool.SetLimits(time.Now(), map[string]Limit{simAccount: b.f.limit})
-	b.level, b.at, b.heard = 0, time.Now(), 0
+	b.pool.SetBounds(time.Now(), b.fleet.bounds)
+	b.pool.SetLimits(time.Now(), map[string]Limit{simAccount: b.fleet.limit})
+	b.level, b.refilledAt, b.remoteUsage = 0, time.Now(), 0
 }
 
-func (b *simBox) reaches(i int) bool {
-	o := b.f.boxes[i]
-	return o == b || !b.frozen && !o.frozen && b.side == o.side
+func (b *simBox) canReach(i int) bool {
+	other := b.fleet.boxes[i]
+	return other == b || !b.frozen && !other.frozen && b.partition == other.partition
 }
 
-func (b *simBox) alone() bool {
-	return !slices.ContainsFunc(b.f.boxes, func(o *simBox) bool { return o != b && b.reaches(o.i) })
+func (b *simBox) isolated() bool {
+	return !slices.ContainsFunc(b.fleet.boxes, func(o *simBox) bool { return o != b && b.canReach(o.index) })
 }
 
-func (b *simBox) usable(i int) bool { return i == b.i || !time.Now().Before(b.silent[i]) }
+func (b *simBox) usable(i int) bool { return i == b.index || !time.Now().Before(b.unreachableUntil[i]) }
 
-// order is that of homes as the box thinks of it.
-func (b *simBox) order() []int {
-	if b.f.turn == 0 {
-		return b.f.order
+// ownerOrder is the order of owners in this box's view.
+func (b *simBox) ownerOrder() []int {
+	if b.fleet.orderRotation == 0 {
+		return b.fleet.ownerOrder
 	}
-	n := (b.i + b.f.turn) % len(b.f.order)
-	return slices.Concat(b.f.order[n:], b.f.order[:n])
+	n := (b.index + b.fleet.orderRotation) % len(b.fleet.ownerOrder)
+	return slices.Concat(b.fleet.ownerOrder[n:], b.fleet.ownerOrder[:n])
 }
 
-// tick lends the box's part, as its overlay does.
+// tick renews the box's loans, as package overlay does.
 func (b *simBox) tick() {
 	if b.frozen {
 		return
 	}
 	group := GroupOf(simAccount)
-	_, lent := Renewal(len(b.f.boxes))
-	b.pool.SetPlace(time.Now(), group, Place{Boxes: len(b.f.boxes), Rank: slices.Index(b.f.order, b.i)})
+	_, lentFor := Renewal(len(b.fleet.boxes))
+	b.pool.SetPlace(time.Now(), group, Place{Boxes: len(b.fleet.boxes), Rank: slices.Index(b.fleet.ownerOrder, b.index)})
 	for range 2 {
 		var want [Groups]string
-		want[group] = fmt.Sprint(b.i)
-		for _, i := range b.order() {
-			if b.alone() {
+		want[group] = fmt.Sprint(b.index)
+		for _, i := range b.ownerOrder() {
+			if b.isolated() {
 				break
 			}
 			if b.usable(i) {
@@ -128,68 +128,68 @@
 				break
 			}
 		}
-		again := false
-		for _, c := range b.lender.Plan(time.Now(), want, lent) {
+		retry := false
+		for _, c := range b.lender.Plan(time.Now(), want, lentFor) {
 			var to int
 			_, _ = fmt.Sscan(c.To, &to)
 			result := Lost
-			if b.reaches(to) {
-				b.f.boxes[to].pool.Lend(time.Now(), fmt.Sprint(b.i), c.Groups, c.Back, c.For)
+			if b.canReach(to) {
+				b.fleet.boxes[to].pool.Lend(time.Now(), fmt.Sprint(b.index), c.Groups, c.Back, c.For)
 				result = Delivered
 			} else {
-				b.silent[to] = time.Now().Add(2 * time.Second)
+				b.unreachableUntil[to] = time.Now().Add(2 * time.Second)
 			}
-			again = b.lender.Ended(time.Now(), c, result) || again
+			retry = b.lender.Ended(time.Now(), c, result) || retry
 		}
-		if !again {
+		if !retry {
 			return
 		}
 	}
 }
 
-// Allow asks homes, as the box's overlay does.
+// Allow asks owners, as package overlay does.
 func (b *simBox) Allow(_ context.Context, account string, units, ahead float64) (Answer, bool) {
-	asked := 0
-	for _, i := range b.order() {
-		if i == b.i || b.alone() || asked == 2 {
+	unreachable := 0
+	for _, i := range b.ownerOrder() {
+		if i == b.index || b.isolated() || unreachable == 2 {
 			break
 		}
 		if !b.usable(i) {
 			continue
 		}
-		if b.reaches(i) {
-			a, _ := b.f.boxes[i].pool.Ask(time.Now(), account, units, ahead)
+		if b.canReach(i) {
+			a, _ := b.fleet.boxes[i].pool.Ask(time.Now(), account, units, ahead)
 			return a, true
 		}
-		b.silent[i] = time.Now().Add(2 * time.Second)
-		asked++
+		b.unreachableUntil[i] = time.Now().Add(2 * time.Second)
+		unreachable++
 	}
 	return b.pool.Ask(time.Now(), account, units, ahead)
 }
 
-// takes asks for a request's units in the way that is weighed.
-func (b *simBox) takes(units float64) bool {
-	n := float64(len(b.f.boxes))
-	switch b.f.way {
-	case lentParts:
+// admit asks for a request's units with the simulated strategy.
+func (b *simBox) admit(units float64) bool {
+	n := float64(len(b.fleet.boxes))
+	switch b.fleet.strategy {
+	case lentShares:
 		return b.purse.Take(context.Background(), simAccount, units).OK
-	case ownParts:
-		return b.bucket(units, 1/n, b.f.b.over(b.f.limit)/n/2)
-	case wholeHome:
-		for _, i := range b.f.order {
-			if b.reaches(i) {
-				return b.f.boxes[i].bucket(units, 1, 0)
+	case ownShares:
+		return b.takeOwn(units, 1/n, b.fleet.bounds.overage(b.fleet.limit)/n/2)
+	case fullLimitAtOwner:
+		for _, i := range b.fleet.ownerOrder {
+			if b.canReach(i) {
+				return b.fleet.boxes[i].takeOwn(units, 1, 0)
 			}
 		}
-	case counts:
+	case gossipedUsage:
 		b.refill(1, 0)
-		if b.level-b.heard < units {
+		if b.level-b.remoteUsage < units {
 			return false
 		}
 		b.level -= units
-		for _, o := range b.f.boxes {
-			if o != b && b.reaches(o.i) {
-				o.tell(units)
+		for _, o := range b.fleet.boxes {
+			if o != b && b.canReach(o.index) {
+				o.publishUsage(units)
 			}
 		}
 		return true
@@ -197,20 +197,20 @@
 	return false
 }
 
-// tell passes on, a second later, what another box let through.
-func (b *simBox) tell(units float64) {
+// publishUsage subtracts, a second later, what another box admitted.
+func (b *simBox) publishUsage(units float64) {
 	time.AfterFunc(time.Second, func() { b.level -= units })
 }
 
-func (b *simBox) refill(part, extra float64) {
+func (b *simBox) refill(share, extra float64) {
 	now := time.Now()
-	most := part*b.f.limit.Burst + extra
-	b.level = min(most, b.level+now.Sub(b.at).Seconds()*(part*b.f.limit.Rate+extra/b.f.b.Window.Seconds()))
-	b.at = now
+	burst := share*b.fleet.limit.Burst + extra
+	b.level = min(burst, b.level+now.Sub(b.refilledAt).Seconds()*(share*b.fleet.limit.Rate+extra/b.fleet.bounds.Window.Seconds()))
+	b.refilledAt = now
 }
 
-func (b *simBox) bucket(units, part, extra float64) bool {
-	b.refill(part, extra)
+func (b *simBox) takeOwn(units, share, extra float64) bool {
+	b.refill(share, extra)
 	if b.level < units {
 		return false
 	}
@@ -218,168 +218,167 @@
 	return true
 }
 
-// The demand: plain calls of 200 units and streams of 14,000, at the share of the shifted work, of
-// callers who each come to one box.
+// The load: plain calls of 200 units and streams of 14,000, in the proportion of the shifted workload. Each
+// caller uses one box.
 const (
-	simPlain     = 200.0
-	simStream    = 14_000.0
-	simStreams   = 0.12
-	simStep      = 10 * time.Millisecond
-	simUsual     = 0.55
-	simHot       = 7.5
-	simHotFrom   = 20 * time.Second
-	simHotUntil  = 26500 * time.Millisecond
-	simEnd       = 36 * time.Second
-	simMean      = simStreams*simStream + (1-simStreams)*simPlain
-	simSettled   = 10 * time.Second
-	simFaultFrom = 20500 * time.Millisecond
-	simFaultEnd  = 26 * time.Second
-	simTurn      = 400 * time.Millisecond
+	simPlainUnits       = 200.0
+	simStreamUnits      = 14_000.0
+	simStreamShare      = 0.12
+	simStep             = 10 * time.Millisecond
+	simBaseLoad         = 0.55
+	simOverloadFactor   = 7.5
+	simOverloadFrom     = 20 * time.Second
+	simOverloadUntil    = 26500 * time.Millisecond
+	simEnd              = 36 * time.Second
+	simMeanUnits        = simStreamShare*simStreamUnits + (1-simStreamShare)*simPlainUnits
+	simWarmup           = 10 * time.Second
+	simFaultFrom        = 20500 * time.Millisecond
+	simFaultUntil       = 26 * time.Second
+	simRotationInterval = 400 * time.Millisecond
 )
 
-// play has callers come to a fifth of the boxes, at least two, while fault harms the fleet.
-func (f *fleetSim) play(hot float64, fault func(f *fleetSim, at time.Duration)) {
-	at := f.rng.Perm(len(f.boxes))[:max(2, len(f.boxes)/5)]
+// run sends load to a fifth of the boxes, at least two, while fault disturbs the fleet.
+func (f *fleetSim) run(loadFactor float64, fault func(f *fleetSim, at time.Duration)) {
+	entryBoxes := f.rng.Perm(len(f.boxes))[:max(2, len(f.boxes)/5)]
 	due := 0.0
 	renew, _ := Renewal(len(f.boxes))
-	for now := time.Duration(0); now < simEnd; now = time.Since(f.began) {
+	for now := time.Duration(0); now < simEnd; now = time.Since(f.start) {
 		fault(f, now)
 		for _, b := range f.boxes {
-			if (int(now/simStep)+b.i)%int(renew/simStep) == 0 {
+			if (int(now/simStep)+b.index)%int(renew/simStep) == 0 {
 				b.tick()
 			}
 		}
-		rate := simUsual * f.limit.Rate / simMean
-		if now >= simHotFrom && now < simHotUntil {
-			rate *= hot
+		rate := simBaseLoad * f.limit.Rate / simMeanUnits
+		if now >= simOverloadFrom && now < simOverloadUntil {
+			rate *= loadFactor
 		}
 		for due += rate * simStep.Seconds(); due >= 1; due-- {
-			units := simPlain
-			if f.rng.Float64() < simStreams {
-				units = simStream
+			units := simPlainUnits
+			if f.rng.Float64() < simStreamShare {
+				units = simStreamUnits
 			}
-			b := f.boxes[at[f.rng.IntN(len(at))]]
-			ok := !b.frozen && b.takes(units)
-			f.asked = append(f.asked, use{now, units, ok})
+			b := f.boxes[entryBoxes[f.rng.IntN(len(entryBoxes))]]
+			ok := !b.frozen && b.admit(units)
+			f.requests = append(f.requests, simRequest{now, units, ok})
 		}
 		time.Sleep(simStep)
 	}
 }
 
-// worst is the largest sum in any window, as a share of what is allowed.
-func (f *fleetSim) worst() float64 {
-	most, sum, from := 0.0, 0.0, 0
-	for _, u := range f.asked {
-		if u.ok {
+// worstWindow is the largest sum in any window, as a share of what is allowed.
+func (f *fleetSim) worstWindow() float64 {
+	maxSum, sum, from := 0.0, 0.0, 0
+	for _, u := range f.requests {
+		if u.admitted {
 			sum += u.units
 		}
-		for f.asked[from].at <= u.at-f.b.Window {
-			if f.asked[from].ok {
-				sum -= f.asked[from].units
+		for f.requests[from].at <= u.at-f.bounds.Window {
+			if f.requests[from].admitted {
+				sum -= f.requests[from].units
 			}
 			from++
 		}
-		most = max(most, sum)
+		maxSum = max(maxSum, sum)
 	}
-	r := f.limit.Rate*f.b.Window.Seconds() + f.limit.Burst
-	return most / (r + f.b.over(f.limit))
+	r := f.limit.Rate*f.bounds.Window.Seconds() + f.limit.Burst
+	return maxSum / (r + f.bounds.overage(f.limit))
 }
 
-// refused is the share of the units within the limit that were refused once the fleet had begun.
-func (f *fleetSim) refused() float64 {
-	level, at, within, lost := f.limit.Burst, time.Duration(0), 0.0, 0.0
-	for _, u := range f.asked {
+// wronglyRefused is the share of the units within the limit that were refused after the warm-up.
+func (f *fleetSim) wronglyRefused() float64 {
+	level, at, within, refused := f.limit.Burst, time.Duration(0), 0.0, 0.0
+	for _, u := range f.requests {
 		level = min(f.limit.Burst, level+(u.at-at).Seconds()*f.limit.Rate)
 		at = u.at
 		if level < u.units {
 			continue
 		}
 		level -= u.units
-		if u.at < simSettled {
+		if u.at < simWarmup {
 			continue
 		}
 		within += u.units
-		if !u.ok {
-			lost += u.units
+		if !u.admitted {
+			refused += u.units
 		}
 	}
-	return lost / within
+	return refused / within
 }
 
-// The faults.
 var simFaults = []struct {
-	name string
-	do   func(f *fleetSim, at time.Duration)
+	name  string
+	apply func(f *fleetSim, at time.Duration)
 }{
 	{"none", func(*fleetSim, time.Duration) {}},
-	{"home frozen", func(f *fleetSim, at time.Duration) {
-		f.boxes[f.order[0]].frozen = at >= simFaultFrom && at < simFaultEnd
+	{"owner frozen", func(f *fleetSim, at time.Duration) {
+		f.boxes[f.ownerOrder[0]].frozen = at >= simFaultFrom && at < simFaultUntil
 	}},
-	{"a tenth cut off, each alone", func(f *fleetSim, at time.Duration) {
-		f.divide(at, func(i int) int { return (i % 10 / 9) * (i + 1) })
+	{"a tenth of the boxes isolated", func(f *fleetSim, at time.Duration) {
+		f.partition(at, func(i int) int { return (i % 10 / 9) * (i + 1) })
 	}},
-	{"cut in halves", func(f *fleetSim, at time.Duration) { f.divide(at, func(i int) int { return i % 2 }) }},
-	{"each alone", func(f *fleetSim, at time.Duration) { f.divide(at, func(i int) int { return i }) }},
+	{"split in halves", func(f *fleetSim, at time.Duration) { f.partition(at, func(i int) int { return i % 2 }) }},
+	{"every box isolated", func(f *fleetSim, at time.Duration) { f.partition(at, func(i int) int { return i }) }},
 	{"all restarted at once", func(f *fleetSim, at time.Duration) {
 		if at == simFaultFrom {
 			for _, b := range f.boxes {
-				b.start()
+				b.restart()
 			}
 		}
 	}},
 	{"all restarted in turn", func(f *fleetSim, at time.Duration) {
 		n := len(f.boxes)
-		span := simFaultEnd - simFaultFrom
+		duration := simFaultUntil - simFaultFrom
 		for _, b := range f.boxes {
-			if when := simFaultFrom + span*time.Duration(b.i)/time.Duration(n); at >= when && at < when+simStep {
-				b.start()
+			if when := simFaultFrom + duration*time.Duration(b.index)/time.Duration(n); at >= when && at < when+simStep {
+				b.restart()
 			}
 		}
 	}},
-	{"boxes that disagree who the home is, and change their minds", func(f *fleetSim, at time.Duration) {
-		f.turn = 0
-		if at >= simFaultFrom && at < simFaultEnd {
-			f.turn = 1 + int((at-simFaultFrom)/simTurn)
+	{"boxes disagree on the owner, with changing views", func(f *fleetSim, at time.Duration) {
+		f.orderRotation = 0
+		if at >= simFaultFrom && at < simFaultUntil {
+			f.orderRotation = 1 + int((at-simFaultFrom)/simRotationInterval)
 		}
 	}},
-	{"another order of homes", func(f *fleetSim, at time.Duration) {
+	{"order of owners reversed", func(f *fleetSim, at time.Duration) {
 		if at >= simFaultFrom && at < simFaultFrom+simStep {
-			slices.Reverse(f.order)
+			slices.Reverse(f.ownerOrder)
 		}
 	}},
 }
 
-func (f *fleetSim) divide(at time.Duration, side func(i int) int) {
+func (f *fleetSim) partition(at time.Duration, partitionOf func(i int) int) {
 	for _, b := range f.boxes {
-		b.side = 0
-		if at >= simFaultFrom && at < simFaultEnd {
-			b.side = side(b.i)
+		b.partition = 0
+		if at >= simFaultFrom && at < simFaultUntil {
+			b.partition = partitionOf(b.index)
 		}
 	}
 }
 
-// playSim plays one case.
-func playSim(t *testing.T, w way, n int, rate, hot float64, fault func(f *fleetSim, at time.Duration)) (worst, refused float64) {
+// runSim simulates one case.
+func runSim(t *testing.T, s strategy, n int, rate, loadFactor float64, fault func(f *fleetSim, at time.Duration)) (worst, refused float64) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleetSim(t, w, n, rate)
-		f.play(hot, fault)
-		worst, refused = f.worst(), f.refused()
+		f := newFleetSim(t, s, n, rate)
+		f.run(loadFactor, fault)
+		worst, refused = f.worstWindow(), f.wronglyRefused()
 	})
 	return worst, refused
 }
 
-// An account that asks for four times its limit, whatever happens between the boxes, is never let
-// through more than the platform allows all of them together. Counted over the whole fleet, a box
-// that only hears of others' use went to twice that while boxes were cut off, and a home with the
-// whole limit did while there were two.
+// An account that asks for more than four times its limit never gets more units from all boxes together than
+// the platform allows, whatever fails between the boxes. The strategies that were rejected fail here: boxes
+// that only exchange usage counts admitted twice the bound while boxes were cut off, and so did an owner
+// with the whole limit while there were two owners.
 func TestSumOfAllBoxes(t *testing.T) {
 	for _, n := range []int{8, 60, 400} {
 		for _, rate := range []float64{29_000, 141_000} {
 			for _, fault := range simFaults {
 				t.Run(fmt.Sprintf("%d/%.0f/%s", n, rate, fault.name), func(t *testing.T) {
 					t.Parallel()
-					if worst, _ := playSim(t, lentParts, n, rate, simHot, fault.do); worst > 1 {
-						t.Errorf("expected at most what is allowed, got %.2f of it", worst)
+					if worst, _ := runSim(t, lentShares, n, rate, simOverloadFactor, fault.apply); worst > 1 {
+						t.Errorf("expected at most 1 times what is allowed, got %.2f times", worst)
 					}
 				})
 			}
@@ -387,13 +386,13 @@
 	}
 }
 
-// An account within its limit is refused nothing while the boxes hear of each other.
+// An account within its limit is refused nothing while the boxes reach each other.
 func TestWithinTheLimit(t *testing.T) {
 	for _, n := range []int{8, 60, 400} {
 		for _, rate := range []float64{29_000, 141_000} {
 			t.Run(fmt.Sprintf("%d/%.0f", n, rate), func(t *testing.T) {
 				t.Parallel()
-				if _, refused := playSim(t, lentParts, n, rate, 1, simFaults[0].do); refused > 0.005 {
+				if _, refused := runSim(t, lentShares, n, rate, 1, simFaults[0].apply); refused > 0.005 {
 					t.Errorf("expected under 0.5%% of what is within the limit to be refused, got %.2f%%", 100*refused)
 				}
 			})
@@ -401,20 +400,20 @@
 	}
 }
 
-// TestWays prints the worst sums and what is refused within the limit for each way weighed.
+// TestWays prints the worst windows and the units wrongly refused for each strategy.
 func TestWays(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("prints a table with -v")
 	}
-	for _, w := range []way{lentParts, ownParts, wholeHome, counts} {
+	for _, s := range []strategy{lentShares, ownShares, fullLimitAtOwner, gossipedUsage} {
 		for _, fault := range simFaults {
-			row := fmt.Sprintf("| %s | %s |", w, fault.name)
+			row := fmt.Sprintf("| %s | %s |", s, fault.name)
 			for _, n := range []int{8, 60, 400} {
-				worst, _ := playSim(t, w, n, 29_000, simHot, fault.do)
-				large, _ := playSim(t, w, n, 141_000, simHot, fault.do)
-				_, calm := playSim(t, w, n, 29_000, 1, fault.do)
-				_, calmLarge := playSim(t, w, n, 141_000, 1, fault.do)
-				row += fmt.Sprintf(" %.2f, %.2f | %.1f%%, %.1f%% |", worst, large, 100*calm, 100*calmLarge)
+				worst, _ := runSim(t, s, n, 29_000, simOverloadFactor, fault.apply)
+				large, _ := runSim(t, s, n, 141_000, simOverloadFactor, fault.apply)
+				_, withinLimit := runSim(t, s, n, 29_000, 1, fault.apply)
+				_, largeWithinLimit := runSim(t, s, n, 141_000, 1, fault.apply)
+				row += fmt.Sprintf(" %.2f, %.2f | %.1f%%, %.1f%% |", worst, large, 100*withinLimit, 100*largeWithinLimit)
 			}
 			t.Log(row)
 		}
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// Lender keeps track of to whom a box has lent its parts. It is safe for concurrent use. The zero
-// value has lent nothing.
+// Lender keeps track of the boxes to which this box has lent its shares. It is safe for concurrent use.
+// The zero value has lent nothing.
 type Lender struct {
 	mu   sync.Mutex
-	lent [Groups]lending
+	lent [Groups]loan
 }
 
-// lending says who has a part: nobody else may have it until then.
-type lending struct {
+// loan records which box has a share; no other box may get it before until.
+type loan struct {
 	to    string
 	until time.Time
 }
 
-// Call is what a box should tell a home.
+// Call is a lend or return call that this box should make to another one.
 type Call struct {
 	To     string
 	Groups []int
-	// Back takes the parts back.
+	// Back asks for the return of the shares.
 	Back bool
-	// For is how long they are lent.
+	// For is the duration of the loan.
 	For time.Duration
 }
 
-// Result is what a call came to.
+// Result is the result of a Call.
 type Result uint8
 
 const (
 	// Delivered calls were answered.
 	Delivered Result = iota
-	// Lost calls may have been carried out or may be yet.
+	// Lost calls may have been carried out, or may still be.
 	Lost
-	// Gone means that the process that was called is not there any more, and so has nothing.
+	// Gone means that the called process no longer exists, and so holds no shares.
 	Gone
 )
 
-// callTime bounds the time that a call which was lost may still be under way.
-const callTime = 300 * time.Millisecond
+// maxCallDelay bounds how long a lost call may still be in transit.
+const maxCallDelay = 300 * time.Millisecond
 
-// Plan says what to tell whom, so that the homes that are wanted have the parts for a time. A part that
-// another box has is first taken back from there; while that does not answer, it is left until its
-// time is over.
-func (l *Lender) Plan(now time.Time, want [Groups]string, lent time.Duration) []Call {
+// Plan returns the calls that lend each group's share to its wanted owner for a time. A share that another
+// box has is first requested back; while that box does not answer, the share stays there until the loan
+// expires.
+func (l *Lender) Plan(now time.Time, want [Groups]string, lentFor time.Duration) []Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lend, back := map[string][]int{}, map[string][]int{}
@@ -57,33 +57,33 @@
 		switch {
 		case home == "":
 		case had.to == home || had.to == "" || !now.Before(had.until):
-			*had = lending{home, now.Add(callTime + lent)}
+			*had = loan{home, now.Add(maxCallDelay + lentFor)}
 			lend[home] = append(lend[home], g)
 		default:
 			back[had.to] = append(back[had.to], g)
 		}
 	}
-	return append(calls(back, true, lent), calls(lend, false, lent)...)
+	return append(buildCalls(back, true, lentFor), buildCalls(lend, false, lentFor)...)
 }
 
-func calls(by map[string][]int, back bool, lent time.Duration) (out []Call) {
-	for _, to := range slices.Sorted(maps.Keys(by)) {
-		out = append(out, Call{to, by[to], back, lent})
+func buildCalls(groupsByBox map[string][]int, takeBack bool, lentFor time.Duration) (out []Call) {
+	for _, to := range slices.Sorted(maps.Keys(groupsByBox)) {
+		out = append(out, Call{to, groupsByBox[to], takeBack, lentFor})
 	}
 	return out
 }
 
-// To is the box that has the part of a group; empty if none has.
+// To returns the box that has the share of a group; empty if none has.
 func (l *Lender) To(now time.Time, group int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if had := l.lent[group]; now.Before(had.until) {
-		return had.to
+	if loan := l.lent[group]; now.Before(loan.until) {
+		return loan.to
 	}
 	return ""
 }
 
-// Ended notes what a call came to. Again says that parts are free to be lent elsewhere at once.
+// Ended records the result of a call. It reports whether shares became free to be lent elsewhere at once.
 func (l *Lender) Ended(now time.Time, c Call, r Result) (again bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,7 +94,7 @@
 		}
 		switch {
 		case r == Gone || c.Back && r == Delivered:
-			*had = lending{}
+			*had = loan{}
 			again = true
 		case r == Delivered:
 			had.until = now.Add(c.For)
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Pool is what a box gives out as the home of accounts. It is safe for concurrent use.
+// Pool grants units as the owner of accounts. It is safe for concurrent use.
 type Pool struct {
 	mu       sync.Mutex
 	bounds   Bounds
@@ -15,46 +15,46 @@
 	accounts map[string]*bucket
 }
 
-// group is one group of accounts on this box.
+// group is the state of one group of accounts on this box.
 type group struct {
 	place Place
-	// lenders are the boxes that have lent their parts, by when these end.
-	lenders map[string]time.Time
-	members []*bucket
+	// loanExpiry has the boxes that have lent their shares, and when each loan expires.
+	loanExpiry map[string]time.Time
+	members    []*bucket
 }
 
-// bucket holds what an account may still be given. At each moment it is at most its capacity.
+// bucket is the token bucket of an account. Its level never exceeds its capacity.
 type bucket struct {
-	limit Limit
-	group int
-	level float64
-	at    time.Time
+	limit      Limit
+	groupIndex int
+	level      float64
+	updatedAt  time.Time
 }
 
-// NewPool returns a pool that nobody has lent to.
+// NewPool returns a pool without loans.
 func NewPool() *Pool {
 	p := &Pool{accounts: map[string]*bucket{}}
 	for i := range p.groups {
-		p.groups[i].lenders = map[string]time.Time{}
+		p.groups[i].loanExpiry = map[string]time.Time{}
 	}
 	return p
 }
 
-// SetBounds says what the platform allows beyond the limits.
+// SetBounds sets what the platform allows beyond the limits.
 func (p *Pool) SetBounds(now time.Time, b Bounds) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settleAll(now)
+	p.refillAll(now)
 	p.bounds = b
 }
 
-// SetLimits puts the limits of a configuration in force. An account that is new begins with what
-// it may have at once, since nobody has served it, unless these are the first limits that the box
-// knows: an earlier life of it may have given out anything.
+// SetLimits applies the limits of a configuration. A new account starts with a full bucket, since no box
+// has granted it anything; but with the first configuration after a start all buckets start empty, since
+// this box may have granted anything before it restarted.
 func (p *Pool) SetLimits(now time.Time, limits map[string]Limit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settleAll(now)
+	p.refillAll(now)
 	first := len(p.accounts) == 0
 	next := make(map[string]*bucket, len(limits))
 	for i := range p.groups {
@@ -63,7 +63,7 @@
 	for name, l := range limits {
 		b := p.accounts[name]
 		if b == nil {
-			b = &bucket{limit: l, group: GroupOf(name), at: now}
+			b = &bucket{limit: l, groupIndex: GroupOf(name), updatedAt: now}
 			if !first {
 				b.level = p.capacity(b)
 			}
@@ -71,33 +71,33 @@
 		b.limit = l
 		b.level = min(b.level, p.capacity(b))
 		next[name] = b
-		g := &p.groups[b.group]
+		g := &p.groups[b.groupIndex]
 		g.members = append(g.members, b)
 	}
 	p.accounts = next
 }
 
-// Limited says whether any account has a limit.
+// Limited reports whether any account has a limit.
 func (p *Pool) Limited() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.accounts) > 0
 }
 
-// SetPlace says where this box stands for a group.
-func (p *Pool) SetPlace(now time.Time, group int, at Place) {
+// SetPlace sets the place of this box in a group.
+func (p *Pool) SetPlace(now time.Time, group int, place Place) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.groups[group].place == at {
+	if p.groups[group].place == place {
 		return
 	}
-	p.settle(now, group)
-	p.groups[group].place = at
-	p.trim(group)
+	p.refillGroup(now, group)
+	p.groups[group].place = place
+	p.clampGroup(group)
 }
 
-// Lend takes the parts of a box in groups for a time, or gives them back.
-func (p *Pool) Lend(now time.Time, box string, groups []int, back bool, lent time.Duration) {
+// Lend accepts the shares of a box in groups for a time, or returns them to it.
+func (p *Pool) Lend(now time.Time, box string, groups []int, back bool, lentFor time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, i := range groups {
@@ -106,21 +106,21 @@
 		}
 		p.expire(now, i)
 		g := &p.groups[i]
-		_, had := g.lenders[box]
-		if had == back {
-			p.settle(now, i)
+		_, existed := g.loanExpiry[box]
+		if existed == back {
+			p.refillGroup(now, i)
 		}
 		if back {
-			delete(g.lenders, box)
+			delete(g.loanExpiry, box)
 		} else {
-			g.lenders[box] = now.Add(min(lent, LongestLent))
+			g.loanExpiry[box] = now.Add(min(lentFor, LongestLent))
 		}
-		p.trim(i)
+		p.clampGroup(i)
 	}
 }
 
-// Ask gives out units of an account, and some that are wanted ahead while more than half of what
-// the account may have at once is left. Known is false for an account without a limit here.
+// Ask grants units of an account, and up to ahead more as long as more than half of the bucket's capacity
+// is left. Known is false for an account without a limit here.
 func (p *Pool) Ask(now time.Time, account string, units, ahead float64) (a Answer, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,11 +128,11 @@
 	if b == nil {
 		return Answer{}, false
 	}
-	p.expire(now, b.group)
-	p.fill(b, now)
-	a.Part = p.part(b.group)
+	p.expire(now, b.groupIndex)
+	p.refill(b, now)
+	a.Part = p.lentShare(b.groupIndex)
 	if units > b.level {
-		a.Wait = p.wait(b, units)
+		a.Wait = p.waitFor(b, units)
 		return a, true
 	}
 	if spare := b.level - units - p.capacity(b)/2; spare > 0 {
@@ -143,114 +143,114 @@
 	return a, true
 }
 
-// wait is when a bucket will have so many units. It counts on the parts of all boxes: those that
-// are lent elsewhere now serve the account there.
-func (p *Pool) wait(b *bucket, units float64) time.Duration {
-	whole := Place{Boxes: p.groups[b.group].place.Boxes, Rank: 0}
-	most, rate := p.flow(b, 1, whole)
-	if units > most || rate <= 0 {
+// waitFor returns when a bucket will have enough units. It assumes the shares of all boxes: those that
+// are lent to another owner now serve the account there.
+func (p *Pool) waitFor(b *bucket, units float64) time.Duration {
+	ownerPlace := Place{Boxes: p.groups[b.groupIndex].place.Boxes, Rank: 0}
+	burst, rate := p.burstAndRate(b, 1, ownerPlace)
+	if units > burst || rate <= 0 {
 		return -1
 	}
 	return time.Duration((units - b.level) / rate * float64(time.Second))
 }
 
-// expire ends the parts whose time is over, each at its time. The lock is held.
-func (p *Pool) expire(now time.Time, i int) {
-	g := &p.groups[i]
-	type end struct {
+// expire ends the expired loans of a group, each as of its own expiry. p.mu must be held.
+func (p *Pool) expire(now time.Time, group int) {
+	g := &p.groups[group]
+	type expiry struct {
 		box string
 		at  time.Time
 	}
-	var ended []end
-	for box, until := range g.lenders {
+	var expired []expiry
+	for box, until := range g.loanExpiry {
 		if !now.Before(until) {
-			ended = append(ended, end{box, until})
+			expired = append(expired, expiry{box, until})
 		}
 	}
-	slices.SortFunc(ended, func(a, b end) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.box, b.box)) })
-	for _, e := range ended {
-		p.settle(e.at, i)
-		delete(g.lenders, e.box)
-		p.trim(i)
+	slices.SortFunc(expired, func(a, b expiry) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.box, b.box)) })
+	for _, e := range expired {
+		p.refillGroup(e.at, group)
+		delete(g.loanExpiry, e.box)
+		p.clampGroup(group)
 	}
 }
 
-// part is the share of all boxes that has lent to this one. The lock is held.
-func (p *Pool) part(i int) float64 {
-	g := &p.groups[i]
+// lentShare is the share of all boxes that have lent to this one. p.mu must be held.
+func (p *Pool) lentShare(group int) float64 {
+	g := &p.groups[group]
 	if g.place.Boxes <= 0 {
 		return 0
 	}
-	return min(1, float64(len(g.lenders))/float64(g.place.Boxes))
+	return min(1, float64(len(g.loanExpiry))/float64(g.place.Boxes))
 }
 
-// flow is what an account may have at once and how fast that comes back, with a share of the
-// boxes' parts at a place. Half of what is allowed beyond the limit in a window is there at once
-// and half comes back in a window: together they are never more than all of it.
-func (p *Pool) flow(b *bucket, part float64, at Place) (most, rate float64) {
-	over := at.extra() * p.bounds.over(b.limit)
-	most = part*b.limit.Burst + over/2
-	rate = part * b.limit.Rate
+// burstAndRate returns the capacity and the refill rate of an account's bucket at a place to which a share
+// of all boxes has lent. Half of the overage is added to the capacity and half is refilled over a window,
+// so that a window never gets more than the whole overage.
+func (p *Pool) burstAndRate(b *bucket, share float64, place Place) (burst, rate float64) {
+	overage := place.overageShare() * p.bounds.overage(b.limit)
+	burst = share*b.limit.Burst + overage/2
+	rate = share * b.limit.Rate
 	if p.bounds.Window > 0 {
-		rate += over / 2 / p.bounds.Window.Seconds()
+		rate += overage / 2 / p.bounds.Window.Seconds()
 	}
-	return most, rate
+	return burst, rate
 }
 
-func (p *Pool) here(b *bucket) (most, rate float64) {
-	return p.flow(b, p.part(b.group), p.groups[b.group].place)
+func (p *Pool) currentBurstAndRate(b *bucket) (burst, rate float64) {
+	return p.burstAndRate(b, p.lentShare(b.groupIndex), p.groups[b.groupIndex].place)
 }
 
 func (p *Pool) capacity(b *bucket) float64 {
-	most, _ := p.here(b)
-	return most
+	burst, _ := p.currentBurstAndRate(b)
+	return burst
 }
 
-// fill brings a bucket up to a time. The lock is held.
-func (p *Pool) fill(b *bucket, now time.Time) {
-	most, rate := p.here(b)
-	if d := now.Sub(b.at).Seconds(); d > 0 {
-		b.level += d * rate
-		b.at = now
+// refill brings a bucket up to date. p.mu must be held.
+func (p *Pool) refill(b *bucket, now time.Time) {
+	burst, rate := p.currentBurstAndRate(b)
+	if elapsed := now.Sub(b.updatedAt).Seconds(); elapsed > 0 {
+		b.level += elapsed * rate
+		b.updatedAt = now
 	}
-	b.level = min(b.level, most)
+	b.level = min(b.level, burst)
 }
 
-// settle brings the buckets of a group up to a time, before what fills them changes, and trim keeps
-// them within their capacities after it. The lock is held.
-func (p *Pool) settle(now time.Time, i int) {
-	for _, b := range p.groups[i].members {
-		p.fill(b, now)
+// refillGroup brings the buckets of a group up to date, before their capacity or rate changes, and
+// clampGroup limits them to their capacity after that. p.mu must be held.
+func (p *Pool) refillGroup(now time.Time, group int) {
+	for _, b := range p.groups[group].members {
+		p.refill(b, now)
 	}
 }
 
-func (p *Pool) trim(i int) {
-	for _, b := range p.groups[i].members {
+func (p *Pool) clampGroup(group int) {
+	for _, b := range p.groups[group].members {
 		b.level = min(b.level, p.capacity(b))
 	}
 }
 
-func (p *Pool) settleAll(now time.Time) {
+func (p *Pool) refillAll(now time.Time) {
 	for i := range p.groups {
 		p.expire(now, i)
-		p.settle(now, i)
+		p.refillGroup(now, i)
 	}
 }
 
-// Levels returns the accounts that have less than a part of what they may have at once left, with
-// that share, among those whose home this box is.
+// Levels returns the accounts that this box owns whose bucket is filled to less than the share below, with
+// that share.
 func (p *Pool) Levels(now time.Time, below float64) map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]float64{}
 	for name, b := range p.accounts {
-		p.expire(now, b.group)
-		if len(p.groups[b.group].lenders) == 0 {
+		p.expire(now, b.groupIndex)
+		if len(p.groups[b.groupIndex].loanExpiry) == 0 {
 			continue
 		}
-		p.fill(b, now)
-		if left := b.level / max(1, p.capacity(b)); left < below {
-			out[name] = left
+		p.refill(b, now)
+		if share := b.level / max(1, p.capacity(b)); share < below {
+			out[name] = share
 		}
 	}
 	return out
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,15 +1,16 @@
-// Package quota keeps client accounts to limits that hold for all boxes together.
+// Package quota enforces the limits of client accounts across all boxes together.
 //
-// Each box has a part of each limit, one of as many as there are boxes, which it lends for a short
-// time to the home of the account. The home gives out what was lent to it, to whichever box a caller
-// came to. A part is lent to one home at a time, and is the box's own again only once the home has
-// given it back or its time is over; so what is given out never adds up to more than the limit,
-// whatever boxes hear of each other, and two homes at once share one limit. Package overlay finds
-// the homes and speaks to them; this package decides.
+// Each box has an equal share of each limit, which it lends for a short time to the owner of the account.
+// The owner grants units from the shares that were lent to it, to whichever box received a request. A
+// share is lent to one owner at a time, and returns to its box only once the owner has given it back or
+// the loan has expired. So the granted units never add up to more than the limit, whatever messages are
+// lost, and two boxes that both act as owner share one limit. Package overlay finds the owners and
+// calls them; this package decides.
 //
-// Ways weighed (docs/design/accounts.md has the figures): parts alone refuse most streams, since
-// callers come to few boxes; a home with the whole limit doubles it while there are two; counts
-// passed between boxes go over the limit by what is spent before they are heard.
+// Alternatives (figures in docs/design/accounts.md): fixed shares without lending refuse most streams,
+// since the callers of an account use few boxes; an owner that holds the whole limit doubles it while
+// there are two owners; usage counts that boxes exchange exceed the limit by what is used before they
+// arrive.
 package quota
 
 import (
@@ -18,101 +19,101 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds are what a platform allows beyond the limits, so that no box need know all others' latest
-// word.
+// Bounds are what the platform allows beyond the limits, so that boxes need not agree at every moment.
 type Bounds struct {
-	// Window is the time in which what an account uses is summed.
+	// Window is the time over which an account's usage is summed.
 	Window time.Duration
-	// Overage is a share of what the limit gives in a window, and Slack units beside it, by which
-	// the sum may be over that.
+	// The sum may exceed what the limit gives in a window by the share Overage of that, plus Slack units.
 	Overage float64
 	Slack   float64
 }
 
-// over is how many units an account may use beyond its limit in a window.
-func (b Bounds) over(l Limit) float64 {
+// overage is how many units an account may use beyond its limit in a window.
+func (b Bounds) overage(l Limit) float64 {
 	return b.Overage*(l.Rate*b.Window.Seconds()+l.Burst) + b.Slack
 }
 
-// Limit is the limit of one account: Rate units a second, and Burst at once. A rate of 0 is none.
+// Limit is the limit of one account: Rate units per second, with bursts of Burst units. A rate of 0
+// grants nothing.
 type Limit struct {
 	Rate  float64
 	Burst float64
 }
 
-// Answer is what a home says to a question for units.
+// Answer is an owner's response to a request for units.
 type Answer struct {
-	// Granted is 0, or what was asked for and some of what was wanted ahead.
+	// Granted is 0, or the units asked for and some of those wanted ahead.
 	Granted float64
-	// Wait is when the account will have room, if nothing was granted; negative if never.
+	// Wait is when the account will have enough units, if nothing was granted; negative if never.
 	Wait time.Duration
-	// Part is the share of all boxes that has lent to the home, and By the home's name; empty where
-	// the box that asked answered itself.
+	// Part is the share of all boxes that have lent to the owner, and By the owner's name; empty where
+	// the asking box answered itself.
 	Part float64
 	By   string
 }
 
-// Groups is how many groups the accounts are in; each has one home. More spread the work over more
-// boxes, and each box lends to so many homes: at 60 boxes with four, 8 calls a second and box
-// beside those for requests.
+// Groups is the number of groups that the accounts are divided into; each group has one owner. More
+// groups spread the work over more boxes, but each box lends to every owner: with four groups at 60 boxes,
+// each box makes 8 lend calls per second on top of the calls for requests.
 const Groups = 4
 
-// GroupOf is the group of an account.
+// GroupOf returns the group of an account.
 func GroupOf(account string) int { return int(xxhash.Sum64String(account) % Groups) }
 
 const (
-	// leastRenew is how often a box lends anew in a small fleet, and mostLends bounds the lends that a
-	// home hears a second: 600 at 300 boxes would take a third of a box with 0.192 of a core, at an
-	// estimated 0.1 ms each (not measured).
-	leastRenew = 500 * time.Millisecond
-	mostLends  = 150
-	// lentRenewals is for how many renewals a part is lent: it leaves time for two that are lost.
-	lentRenewals = 3
-	// LongestLent bounds what a home takes from a box.
+	// minRenewInterval is how often a box renews its loans in a small fleet, and maxLendsPerSecond bounds
+	// the lend calls that an owner receives: 600 per second, at 300 boxes, would take a third of a box with
+	// 0.192 of a core at an estimated 0.1 ms each.
+	minRenewInterval  = 500 * time.Millisecond
+	maxLendsPerSecond = 150
+	// renewalsPerLoan is how many renewal intervals a loan lasts, so that two lost renewals do no harm.
+	renewalsPerLoan = 3
+	// LongestLent bounds the duration of a loan that an owner accepts.
 	LongestLent = 30 * time.Second
-	// grantLife is how long a box may use what it was granted ahead.
-	grantLife = time.Second
+	// grantTTL is how long a box may use units that were granted ahead.
+	grantTTL = time.Second
 )
 
-// Renewal is how often boxes lend anew where there are so many, and for how long a part is lent. A
-// home that is frozen or cut off has its boxes' parts for so long.
+// Renewal returns how often each of so many boxes renews its loans, and how long a loan lasts. An owner
+// that is frozen or cut off keeps the shares of its boxes for that long.
 //
-// Example: 60 boxes lend each 0.5 s for 1.5 s, 300 each 2 s for 6 s.
-func Renewal(boxes int) (renew, lent time.Duration) {
-	renew = max(leastRenew, time.Duration(boxes)*time.Second/mostLends)
-	return renew, lentRenewals * renew
+// Example: each of 60 boxes lends every 0.5 s for 1.5 s, each of 300 boxes every 2 s for 6 s.
+func Renewal(boxes int) (renew, lentFor time.Duration) {
+	renew = max(minRenewInterval, time.Duration(boxes)*time.Second/maxLendsPerSecond)
+	return renew, renewalsPerLoan * renew
 }
 
-// How the units that an account may use beyond its limit in a window are used: the home keeps
-// firstPart, so that grants ahead that are used in a later window, and requests that arrive closer
-// together than they were granted, stay within the bound; the first and second box to ask when
-// it does not answer give out nextPart and thirdPart beside what they are lent, until the others'
-// parts are theirs; and all boxes that hear of no other share alonePart.
+// How the overage of an account in a window is divided. The owner gets only ownerOverageShare, which leaves
+// room for units that are granted ahead but used in a later window, and for requests that arrive closer
+// together than they were granted. The second and third candidates, which boxes ask when the owner does not
+// answer, get secondOverageShare and thirdOverageShare on top of the shares lent to them, until the shares
+// of other boxes are lent to them too. All boxes together get isolatedOverageShare, for those that reach no
+// other box.
 const (
-	firstPart = 0.30
-	nextPart  = 0.30
-	thirdPart = 0.15
-	alonePart = 0.15
+	ownerOverageShare    = 0.30
+	secondOverageShare   = 0.30
+	thirdOverageShare    = 0.15
+	isolatedOverageShare = 0.15
 )
 
-var rankParts = [...]float64{firstPart, nextPart, thirdPart}
+var overageShareByRank = [...]float64{ownerOverageShare, secondOverageShare, thirdOverageShare}
 
-// Place is where a box stands among those that may be the home of a group.
+// Place is the position of a box among those that may own a group.
 type Place struct {
-	// Boxes is how many there are; 0 if that is not known.
+	// Boxes is the number of boxes; 0 if it is not known.
 	Boxes int
-	// Rank is 0 for the box that all ask first. Those beyond the third do not matter.
+	// Rank is 0 for the box that all ask first. Ranks beyond the third make no difference.
 	Rank int
 }
 
-// extra is the part of what is allowed beyond a limit that a box at a place may give out.
-func (p Place) extra() float64 {
+// overageShare is the share of an account's overage that the box at this place may grant.
+func (p Place) overageShare() float64 {
 	if p.Boxes <= 0 {
 		return 0
 	}
-	out := alonePart / float64(p.Boxes)
-	if p.Rank < len(rankParts) {
-		out += rankParts[p.Rank]
+	share := isolatedOverageShare / float64(p.Boxes)
+	if p.Rank < len(overageShareByRank) {
+		share += overageShareByRank[p.Rank]
 	}
-	return out
+	return share
 }
--- a/internal/quota/suspended_test.go
+++ b/internal/quota/suspended_test.go
@@ -8,45 +8,45 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// granting grants whatever is asked for and as much ahead, and counts the questions.
-type granting struct{ asked int }
+// grantingOwner grants whatever is asked for and 100 units ahead, and counts the calls.
+type grantingOwner struct{ calls int }
 
-func (g *granting) Allow(_ context.Context, _ string, units, _ float64) (Answer, bool) {
-	g.asked++
+func (g *grantingOwner) Allow(_ context.Context, _ string, units, _ float64) (Answer, bool) {
+	g.calls++
 	return Answer{Granted: units + 100, Part: 1}, true
 }
 
-// What a box was granted before it was suspended has run out when it wakes: its home has given the
-// same units to others since.
+// Units granted before a suspension have expired when the box resumes: the owner has granted the same units
+// to other boxes since.
 func TestSuspendedPurse(t *testing.T) {
-	var asleep time.Duration
-	defer clock.Set(func() time.Duration { return asleep })()
-	homes := &granting{}
-	p := NewPurse(homes)
+	var suspended time.Duration
+	defer clock.Set(func() time.Duration { return suspended })()
+	owner := &grantingOwner{}
+	p := NewPurse(owner)
 	p.Take(context.Background(), "a", 1)
 	p.Take(context.Background(), "a", 1)
-	if homes.asked != 1 {
-		t.Fatalf("expected the second request to be within what was granted, got %d questions", homes.asked)
+	if owner.calls != 1 {
+		t.Fatalf("expected the second request to use cached units, got %d calls", owner.calls)
 	}
-	asleep = 2 * grantLife
+	suspended = 2 * grantTTL
 	p.Take(context.Background(), "a", 1)
-	if homes.asked != 2 {
-		t.Errorf("expected a question after the suspension, got %d", homes.asked)
+	if owner.calls != 2 {
+		t.Errorf("expected another call after the suspension, got %d calls", owner.calls)
 	}
 }
 
-// Parts that others lent to a box are theirs again when it wakes.
+// Shares that were lent to a suspended box belong to their lenders again when it resumes.
 func TestSuspendedHome(t *testing.T) {
-	var asleep time.Duration
-	defer clock.Set(func() time.Duration { return asleep })()
+	var suspended time.Duration
+	defer clock.Set(func() time.Duration { return suspended })()
 	p := NewPool()
 	p.SetLimits(clock.Now(), map[string]Limit{"a": {Rate: 100, Burst: 100}})
 	p.SetPlace(clock.Now(), GroupOf("a"), Place{Boxes: 2})
 	p.Lend(clock.Now(), "other", []int{GroupOf("a")}, false, 3*time.Second)
-	awake, _ := p.Ask(clock.Now(), "a", 1, 0)
-	asleep = 4 * time.Second
-	woken, _ := p.Ask(clock.Now(), "a", 1, 0)
-	if awake.Part != 0.5 || woken.Part != 0 {
-		t.Errorf("expected the lent half and nothing after the suspension, got %g, then %g", awake.Part, woken.Part)
+	before, _ := p.Ask(clock.Now(), "a", 1, 0)
+	suspended = 4 * time.Second
+	after, _ := p.Ask(clock.Now(), "a", 1, 0)
+	if before.Part != 0.5 || after.Part != 0 {
+		t.Errorf("expected a lent share of 0.5 before the suspension and 0 after it, got %g, then %g", before.Part, after.Part)
 	}
 }
