--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -1,25 +1,26 @@
 // Package pacing bounds what all boxes together send to one endpoint.
 //
-// The bounds are on sums over all boxes, and hold for boxes too that are cut off from the others. A part of
-// the bound for each box would be less than one request. So few boxes are selected to send; each finds out
-// by itself whether it is one of them, by rendezvous hashing over the list of boxes, and keeps to its share.
+// The bounds apply to the sum over all boxes, also while boxes are cut off from each other. An equal share
+// of the bound for each box would often be less than one request, so a few boxes are selected to send. Each
+// box determines by itself whether it is selected, by rendezvous hashing over the list of boxes, and how
+// much it may send.
 package pacing
 
 import "github.com/cespare/xxhash/v2"
 
-// selected says whether a box is listed and among the first n of the list for an endpoint.
+// selected reports whether a box is listed and among the n highest-ranked boxes of the list for an endpoint.
 func selected(box string, boxes []string, endpoint string, n int) bool {
-	own, listed, before := rank(box, endpoint), false, 0
+	ownRank, listed, higherRanked := rank(box, endpoint), false, 0
 	for _, other := range boxes {
 		if other == box {
 			listed = true
 			continue
 		}
-		if rank(other, endpoint) > own {
-			before++
+		if rank(other, endpoint) > ownRank {
+			higherRanked++
 		}
 	}
-	return listed && before < n
+	return listed && higherRanked < n
 }
 
 func rank(box, endpoint string) uint64 { return xxhash.Sum64String(box + " " + endpoint) }
