--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -13,37 +13,37 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// rowStore is a table of one row with a clock of its own. Writes may be lost, done
-// without an answer, or done late if their condition still holds.
+// rowStore is a table of one row with its own clock. Writes may fail, take effect without a reply, or take
+// effect late if their condition still holds.
 type rowStore struct {
-	mu              sync.Mutex
-	rng             *rand.Rand
-	row             Row
-	start           time.Time
-	Lost, Late, Bad float64
-	// written are the rows with when they were written; the store may come back with one of them.
-	written []writtenRow
+	mu                                        sync.Mutex
+	rng                                       *rand.Rand
+	row                                       Row
+	start                                     time.Time
+	lostReplyRate, lateWriteRate, failureRate float64
+	// history has all written rows; restore returns to one of them.
+	history []writtenRow
 }
 
 type writtenRow struct {
 	Row
-	at time.Time
+	writtenAt time.Time
 }
 
-// restore has the store come back with the row as it was some time ago. Its clock may go back, too.
-func (s *rowStore) restore(age time.Duration, clockToo bool) {
+// restore resets the store to the row of some time ago, and its clock as well if rewindClock is set.
+func (s *rowStore) restore(age time.Duration, rewindClock bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	era, at := s.row.Era+1, time.Now().Add(-age)
-	s.row = s.written[0].Row
-	for _, w := range s.written {
-		if w.at.Before(at) {
+	s.row = s.history[0].Row
+	for _, w := range s.history {
+		if w.writtenAt.Before(at) {
 			s.row = w.Row
 		}
 	}
 	s.row.Era = era
-	s.written = []writtenRow{{s.row, at}}
-	if clockToo {
+	s.history = []writtenRow{{s.row, at}}
+	if rewindClock {
 		s.start = s.start.Add(age)
 	}
 }
@@ -54,7 +54,7 @@
 	time.Sleep(s.delay())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.rng.Float64() < s.Bad {
+	if s.rng.Float64() < s.failureRate {
 		return Row{}, 0, errNoAnswer
 	}
 	return s.row, time.Since(s.start), nil
@@ -71,7 +71,7 @@
 		return Row{}, ErrConflict
 	}
 	s.row = Row{Value: value, Version: old.Version + 1 + int64(s.rng.IntN(3)), Era: s.row.Era}
-	s.written = append(s.written, writtenRow{s.row, time.Now()})
+	s.history = append(s.history, writtenRow{s.row, time.Now()})
 	if s.row.Era != old.Era {
 		return s.row, ErrRestored
 	}
@@ -83,130 +83,128 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch p := s.rng.Float64(); {
-	case p < s.Lost:
+	case p < s.lostReplyRate:
 		_, _ = s.put(old, value)
 		return Row{}, errNoAnswer
-	case p < s.Lost+s.Late:
+	case p < s.lostReplyRate+s.lateWriteRate:
 		time.AfterFunc(time.Duration(s.rng.IntN(3000))*time.Millisecond, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			_, _ = s.put(old, value)
 		})
 		return Row{}, errNoAnswer
-	case p < s.Lost+s.Late+s.Bad:
+	case p < s.lostReplyRate+s.lateWriteRate+s.failureRate:
 		return Row{}, errNoAnswer
 	}
 	return s.put(old, value)
 }
 
-// order is one order sent to an engine, by the time it arrived there.
-type order struct {
+// orderOp is one order sent to an engine, at the time of its arrival.
+type orderOp struct {
 	holder string
 	fence  int64
 }
 
-// orderState is what the engine has seen: the newest fence, its holder, and when the
-// last order came.
+// orderState is what the engine has seen: the newest fence and its holder.
 type orderState struct {
 	fence  int64
 	holder string
 }
 
-// fenceModel accepts orders whose fences never fall, and never belong to two holders.
+// fenceModel accepts orders whose fences never decrease, and never belong to two holders.
 var fenceModel = porcupine.Model{
 	Init: func() any { return orderState{} },
 	Step: func(state, input, _ any) (bool, any) {
-		s, o := state.(orderState), input.(order)
+		s, o := state.(orderState), input.(orderOp)
 		ok := o.fence > s.fence || o.fence == s.fence && o.holder == s.holder
 		return ok, orderState{o.fence, o.holder}
 	},
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// acquirer is how a holder comes by a lease: as the package does, or with a planted bug.
-type acquirer func(*Keeper) (Lease, error)
+// acquireFunc acquires a lease: as the package does, or with a deliberate bug.
+type acquireFunc func(*Keeper) (Lease, error)
 
-// badHistories counts runs of racing holders, some of them paused between taking the
-// lease and sending the order, in which the orders break a rule.
-func badHistories(t *testing.T, seeds uint64, acquire acquirer) (bad, sent int) {
+// badHistories counts the runs of racing holders, some of them paused between acquiring the lease and
+// sending the order, in which the orders break a rule.
+func badHistories(t *testing.T, seeds uint64, acquire acquireFunc) (bad, sent int) {
 	t.Helper()
-	return badHistoriesOf(t, seeds, false, acquire)
+	return badHistoriesWith(t, seeds, false, acquire)
 }
 
-// observer are what one start of a box observed of the store's eras.
-type observer struct {
+// eraObserver records what one process of a box observed of the store's eras.
+type eraObserver struct {
 	*rowStore
-	era  int64
-	at   time.Time
-	rose bool
+	era     int64
+	at      time.Time
+	eraRose bool
 }
 
-func (e *observer) Get(ctx context.Context, key string) (Row, time.Duration, error) {
+func (e *eraObserver) Get(ctx context.Context, key string) (Row, time.Duration, error) {
 	row, now, err := e.rowStore.Get(ctx, key)
 	if err == nil && row.Era > e.era {
-		e.era, e.at, e.rose = row.Era, time.Now(), e.era > 0
+		e.era, e.at, e.eraRose = row.Era, time.Now(), e.era > 0
 	}
 	return row, now, err
 }
 
-func (e *observer) observed(int64) (time.Time, bool) { return e.at, e.rose }
+func (e *eraObserver) observed(int64) (time.Time, bool) { return e.at, e.eraRose }
 
-// badHistoriesOf is badHistories, with a store that comes back from older copies and boxes that start anew
-// where restored is true.
-func badHistoriesOf(t *testing.T, seeds uint64, restored bool, acquire acquirer) (bad, sent int) {
+// badHistoriesWith is badHistories; with restores, the store is restored from older copies and boxes restart.
+func badHistoriesWith(t *testing.T, seeds uint64, restores bool, acquire acquireFunc) (bad, sent int) {
 	t.Helper()
 	const length, use = 2 * time.Second, 300 * time.Millisecond
 	for seed := range seeds {
 		synctest.Test(t, func(t *testing.T) {
-			s := &rowStore{rng: rand.New(rand.NewPCG(seed, 7)), start: time.Now(), Lost: 0.2, Late: 0.2, Bad: 0.1}
-			if restored {
-				// Some lease was taken before: a box that starts cannot tell a row that was lost from none.
+			s := &rowStore{rng: rand.New(rand.NewPCG(seed, 7)), start: time.Now(), lostReplyRate: 0.2, lateWriteRate: 0.2, failureRate: 0.1}
+			if restores {
+				// A lease was acquired before: a box that starts cannot tell a lost row from a missing one.
 				s.row = Row{Value: []byte(`{"era":1}`), Version: 10, Era: 1}
-				s.written = []writtenRow{{s.row, time.Now().Add(-time.Minute)}}
+				s.history = []writtenRow{{s.row, time.Now().Add(-time.Minute)}}
 				rng := rand.New(rand.NewPCG(seed, 8))
 				for range 2 {
 					age, clockToo := time.Duration(200+rng.IntN(4000))*time.Millisecond, rng.IntN(2) == 0
 					time.AfterFunc(time.Duration(500+rng.IntN(9000))*time.Millisecond, func() { s.restore(age, clockToo) })
 				}
 			}
-			began := time.Now()
+			start := time.Now()
 			var mu sync.Mutex
 			var ops []porcupine.Operation
 			var wg sync.WaitGroup
 			for n := range 4 {
 				wg.Go(func() {
 					rng := rand.New(rand.NewPCG(seed, uint64(n)))
-					var e *observer
+					var e *eraObserver
 					var k *Keeper
-					begin := func() {
-						e = &observer{rowStore: s}
+					startBox := func() {
+						e = &eraObserver{rowStore: s}
 						k = &Keeper{Rows: e, Key: "k", Holder: fmt.Sprint("box", n), Length: length, Use: use, Observed: e.observed}
 					}
-					begin()
+					startBox()
 					for range 6 {
-						if restored && rng.IntN(8) == 0 {
-							begin()
+						if restores && rng.IntN(8) == 0 {
+							startBox()
 						}
 						time.Sleep(time.Duration(rng.IntN(1500)) * time.Millisecond)
 						l, err := acquire(k)
 						if err != nil {
 							continue
 						}
-						if rng.IntN(3) == 0 { // Paused.
+						if rng.IntN(3) == 0 { // The holder is paused.
 							time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 						}
 						if !l.Valid(time.Now()) {
 							continue
 						}
-						at := time.Since(began).Nanoseconds()
+						at := time.Since(start).Nanoseconds()
 						mu.Lock()
-						ops = append(ops, porcupine.Operation{ClientId: n, Input: order{k.Holder, l.Fence}, Call: at, Return: at + 1})
+						ops = append(ops, porcupine.Operation{ClientId: n, Input: orderOp{k.Holder, l.Fence}, Call: at, Return: at + 1})
 						mu.Unlock()
 					}
 				})
 			}
 			wg.Wait()
-			time.Sleep(5 * time.Second) // Late writes end.
+			time.Sleep(5 * time.Second) // Wait for late writes.
 			sent += len(ops)
 			if !porcupine.CheckOperations(fenceModel, ops) || tooClose(ops, length-use) {
 				bad++
@@ -216,12 +214,12 @@
 	return bad, sent
 }
 
-// tooClose says that two holders gave orders within a time of each other.
-func tooClose(ops []porcupine.Operation, apart time.Duration) bool {
+// tooClose reports whether two holders sent orders within minGap of each other.
+func tooClose(ops []porcupine.Operation, minGap time.Duration) bool {
 	for _, a := range ops {
 		for _, b := range ops {
-			near := a.Call <= b.Call && time.Duration(b.Call-a.Call) < apart
-			if near && a.Input.(order).holder != b.Input.(order).holder {
+			near := a.Call <= b.Call && time.Duration(b.Call-a.Call) < minGap
+			if near && a.Input.(orderOp).holder != b.Input.(orderOp).holder {
 				return true
 			}
 		}
@@ -230,7 +228,7 @@
 }
 
 func TestLeaseHistoriesWithAStoreThatComesBackOlder(t *testing.T) {
-	bad, sent := badHistoriesOf(t, 3000, true, func(k *Keeper) (Lease, error) { return k.Acquire(context.Background()) })
+	bad, sent := badHistoriesWith(t, 3000, true, func(k *Keeper) (Lease, error) { return k.Acquire(context.Background()) })
 	if bad > 0 || sent < 1500 {
 		t.Errorf("expected no bad history and many orders, got %d bad and %d orders", bad, sent)
 	}
@@ -243,10 +241,10 @@
 	}
 }
 
-// The checks catch a holder that trusts a write without an answer, and one that does not
-// look at the clock again before the order.
+// The checks detect a holder that assumes a write without a reply took effect, and one that does not check
+// the clock again before it sends the order.
 func TestLeaseCheckers(t *testing.T) {
-	trusting := func(k *Keeper) (Lease, error) {
+	trustsLostReply := func(k *Keeper) (Lease, error) {
 		l, err := k.Acquire(context.Background())
 		if err != nil && !errors.Is(err, ErrHeld) {
 			row, _, _ := k.Rows.Get(context.Background(), k.Key)
@@ -254,32 +252,32 @@
 		}
 		return l, err
 	}
-	careless := func(k *Keeper) (Lease, error) {
+	ignoresExpiry := func(k *Keeper) (Lease, error) {
 		l, err := k.Acquire(context.Background())
 		l.Until = time.Now().Add(time.Hour)
 		return l, err
 	}
-	for name, acquire := range map[string]acquirer{"trusting": trusting, "careless": careless} {
+	for name, acquire := range map[string]acquireFunc{"trusts a lost reply": trustsLostReply, "ignores expiry": ignoresExpiry} {
 		if bad, _ := badHistories(t, 200, acquire); bad == 0 {
-			t.Errorf("%s: expected the planted bug to be caught", name)
+			t.Errorf("%s: expected the deliberate bug to be detected", name)
 		}
 	}
 }
 
-// The checks catch a holder that takes no notice of eras, and one whose fences have none.
+// The checks detect a holder that ignores eras, and one whose fences do not contain the era.
 func TestLeaseCheckersOfEras(t *testing.T) {
-	blind := func(k *Keeper) (Lease, error) {
+	ignoresEras := func(k *Keeper) (Lease, error) {
 		k.Observed = nil
 		return k.Acquire(context.Background())
 	}
-	plain := func(k *Keeper) (Lease, error) {
+	fenceWithoutEra := func(k *Keeper) (Lease, error) {
 		l, err := k.Acquire(context.Background())
 		l.Fence &= 1<<versionBits - 1
 		return l, err
 	}
-	for name, acquire := range map[string]acquirer{"blind": blind, "plain": plain} {
-		if bad, _ := badHistoriesOf(t, 400, true, acquire); bad == 0 {
-			t.Errorf("%s: expected the planted bug to be caught", name)
+	for name, acquire := range map[string]acquireFunc{"ignores eras": ignoresEras, "fence without era": fenceWithoutEra} {
+		if bad, _ := badHistoriesWith(t, 400, true, acquire); bad == 0 {
+			t.Errorf("%s: expected the deliberate bug to be detected", name)
 		}
 	}
 }
--- a/internal/lease/suspended_test.go
+++ b/internal/lease/suspended_test.go
@@ -9,11 +9,11 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// A box that was suspended after it took the lease must not give the order: another box may have the
-// next lease by then. The steady clock stands still meanwhile, and so the lease looked valid.
+// A box that was suspended after it acquired the lease must not send the order: another box may have the next
+// lease by then. The steady clock stops during a suspension, which made the lease look valid.
 func TestSuspendedHolder(t *testing.T) {
-	var asleep time.Duration
-	defer clock.Set(func() time.Duration { return asleep })()
+	var suspended time.Duration
+	defer clock.Set(func() time.Duration { return suspended })()
 	k := &Keeper{
 		Rows: &rowStore{rng: rand.New(rand.NewPCG(1, 1)), start: time.Now()}, Key: "k", Holder: "a",
 		Length: 8 * time.Second, Use: 1500 * time.Millisecond,
@@ -22,7 +22,7 @@
 	if err != nil || !l.Valid(clock.Now()) {
 		t.Fatalf("expected a valid lease, got %v, %v", l, err)
 	}
-	asleep = 4 * time.Second
+	suspended = 4 * time.Second
 	if l.Valid(clock.Now()) {
 		t.Error("expected no valid lease after the suspension")
 	}
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The budget never lets more calls through in any window than the free ones and a share of what
-// arrived in that window, and in the part of one before it.
+// In any window, the budget never allows more calls than the free ones plus a share of the requests that arrived
+// in that window and the one before it.
 func TestBudget(t *testing.T) {
 	for seed := range uint64(300) {
 		expectBounded(t, seed)
@@ -27,7 +27,7 @@
 	if boxes > 0 {
 		free = l.Free / float64(boxes)
 	}
-	var arrivals, extras []time.Time
+	var arrivals, retries []time.Time
 	for range 300 {
 		now = now.Add(time.Duration(rng.IntN(400)) * time.Millisecond)
 		if n := rng.IntN(4); n == 0 {
@@ -35,18 +35,18 @@
 			arrivals = append(arrivals, now)
 		} else if b.Take(now, n) {
 			for range n {
-				extras = append(extras, now)
+				retries = append(retries, now)
 			}
 		}
 		from := now.Add(-window)
-		// Each extra call was allowed by what arrived in the window before it.
-		if n, of := since(extras, from), since(arrivals, from.Add(-window-2*underWay)); float64(n) > free+l.Share*float64(of) {
-			t.Fatalf("seed %d: %d extra calls with %g free and %d requests in one window", seed, n, free, of)
+		// Each extra call was allowed because of requests in the window before it.
+		if n, requests := countAfter(retries, from), countAfter(arrivals, from.Add(-window-2*maxTransit)); float64(n) > free+l.Share*float64(requests) {
+			t.Fatalf("seed %d: %d extra calls with %g free and %d requests in one window", seed, n, free, requests)
 		}
 	}
 }
 
-// What is given back may be taken again in its window, and adds nothing to a later one.
+// Returned calls may be taken again within their window, and add nothing to a later one.
 func TestReturn(t *testing.T) {
 	var b Budget
 	b.Fixed(0, 2, 10*time.Second)
@@ -58,20 +58,20 @@
 			got++
 		}
 		if got != n {
-			t.Errorf("%s: expected %d calls to be let through, got %d", what, n, got)
+			t.Errorf("%s: expected %d calls to be allowed, got %d", what, n, got)
 		}
 	}
 	expectTaken("at first", 2)
 	b.Return(now, 1)
-	expectTaken("after one was given back", 1)
+	expectTaken("after one was returned", 1)
 	taken := now
 	now = now.Add(time.Minute)
 	b.Return(taken, 1)
 	expectTaken("a minute later", 2)
 }
 
-// since counts the times after a moment.
-func since(list []time.Time, from time.Time) (n int) {
+// countAfter counts the times after a moment.
+func countAfter(list []time.Time, from time.Time) (n int) {
 	for _, at := range list {
 		if at.After(from) {
 			n++
@@ -80,9 +80,9 @@
 	return n
 }
 
-// expectLeft has a box in a platform of so many, so long after its start, and expects so many calls
-// to be let through after so many requests.
-func expectLeft(t *testing.T, boxes int, age time.Duration, arrived, want int) {
+// expectAllowed expects that a box among so many, age after its start, is allowed want calls after the given number
+// of requests.
+func expectAllowed(t *testing.T, boxes int, age time.Duration, arrived, want int) {
 	t.Helper()
 	var b Budget
 	now := time.Unix(1_800_000_000, 0)
@@ -99,20 +99,20 @@
 	}
 }
 
-func TestAlone(t *testing.T)        { expectLeft(t, 1, time.Minute, 0, 189) }
-func TestFew(t *testing.T)          { expectLeft(t, 8, time.Minute, 0, 23) }
-func TestMany(t *testing.T)         { expectLeft(t, 85, time.Minute, 6, 3) }
-func TestBoxesUnknown(t *testing.T) { expectLeft(t, 0, time.Minute, 20, 3) }
-func TestJustStarted(t *testing.T)  { expectLeft(t, 8, 10*time.Second, 20, 3) }
+func TestBudgetOfSingleBox(t *testing.T)      { expectAllowed(t, 1, time.Minute, 0, 189) }
+func TestBudgetOfFewBoxes(t *testing.T)       { expectAllowed(t, 8, time.Minute, 0, 23) }
+func TestBudgetOfManyBoxes(t *testing.T)      { expectAllowed(t, 85, time.Minute, 6, 3) }
+func TestBudgetWithUnknownBoxes(t *testing.T) { expectAllowed(t, 0, time.Minute, 20, 3) }
+func TestBudgetAfterStart(t *testing.T)       { expectAllowed(t, 8, 10*time.Second, 20, 3) }
 
-// What may be spent comes back with the window.
-func TestComesBack(t *testing.T) {
+// The budget is available again after the window and maxTransit.
+func TestBudgetRefillsAfterWindow(t *testing.T) {
 	var b Budget
 	now := time.Unix(1_800_000_000, 0)
 	b.Bound(Limits{Free: 10, Window: 10 * time.Second}, 3, now.Add(-time.Hour))
 	for b.Take(now, 1) {
 	}
 	if b.Has(now.Add(10*time.Second), 1) || !b.Has(now.Add(12*time.Second), 3) {
-		t.Error("expected the part to be there again after the window and what is under way, and not before")
+		t.Error("expected the budget to be available again after the window and the maximum transit time, and not before")
 	}
 }
