--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,7 +1,7 @@
-// Package claim makes a keyed request run at most once, through any box: before
-// it runs, its key is claimed by one insert-if-absent row of the platform's
-// table. A claim is never taken over. This is agreement and goes through the
-// table; nothing in package decide does.
+// Package claim ensures that a request with an idempotency key runs at most once across all boxes: before it runs,
+// its key is claimed by inserting a row into the platform's table if there is none. A claim is never taken over
+// by another request. Unlike the decisions of package decide, this needs agreement between boxes, so it uses the
+// table.
 package claim
 
 import (
@@ -23,10 +23,10 @@
 	Put(ctx context.Context, key string, w platform.Write) (int64, error)
 }
 
-// State is what a claim row says of its request.
+// State is the state of a claimed request.
 type State string
 
-// The states. Running and MayHaveRun block the key for good; Free lets it be claimed anew.
+// Running and MayHaveRun block the key forever; Free lets it be claimed again.
 const (
 	Running    State = "running"
 	Done       State = "done"
@@ -34,26 +34,26 @@
 	Free       State = "free"
 )
 
-type row struct {
+type rowDoc struct {
 	State   State  `json:"state"`
 	Request string `json:"request"`
 }
 
-// Claim is a key held by one request.
+// Claim is a key claimed by one request.
 type Claim struct {
 	key     string
 	version int64
 	request string
 }
 
-// Claims makes and closes claims.
+// Claims acquires and closes claims.
 type Claims struct{ table Table }
 
-// New returns claims kept in t.
+// New returns claims that are stored in t.
 func New(t Table) *Claims { return &Claims{table: t} }
 
-// Acquire claims the client's key for a request. Where it is not claimed the
-// outcome says why, and the request must not run.
+// Acquire claims the client's key for a request. If the key cannot be claimed, the outcome says why, and the
+// request must not run.
 func (c *Claims) Acquire(ctx context.Context, client, key, request string) (*Claim, outcome.Outcome) {
 	sum := sha256.Sum256([]byte(client + "\x00" + key))
 	id := "claim/" + hex.EncodeToString(sum[:16])
@@ -69,7 +69,7 @@
 	version, err := c.table.Put(ctx, id, platform.Write{
 		IfVersion: prior.Version,
 		Token:     request,
-		Value:     encode(row{Running, request}),
+		Value:     encode(rowDoc{Running, request}),
 	})
 	switch {
 	case err == nil:
@@ -80,9 +80,9 @@
 	return c.readBack(ctx, id, request)
 }
 
-// readBack finds out whether a write whose answer was lost took effect. While
-// the table cannot be read the request has not run and is refused as such; its
-// claim, if it exists, stays, so that no other try can run beside a late one.
+// readBack finds out whether a write without a reply took effect. If the table cannot be read, the request is
+// refused as not run; its claim, if it exists, stays, so that no other try can run in case the write takes
+// effect late.
 func (c *Claims) readBack(ctx context.Context, id, request string) (*Claim, outcome.Outcome) {
 	got, err := c.table.Get(ctx, id, 0)
 	if err == nil && got.Token == request {
@@ -95,14 +95,14 @@
 	return nil, storeDown("the claim's own write was not confirmed")
 }
 
-// comeBack is when a caller may try again after the table did not answer.
-const comeBack = 5 * time.Second
+// storeDownRetryAfter is when a caller may retry after the table did not respond.
+const storeDownRetryAfter = 5 * time.Second
 
 func storeDown(detail string) outcome.Outcome {
-	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.StoreDown, Detail: detail, RetryAfter: comeBack}
+	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.StoreDown, Detail: detail, RetryAfter: storeDownRetryAfter}
 }
 
-// conflict says whose claim won.
+// conflict returns the refusal of a request that lost the race for the key.
 func (c *Claims) conflict(ctx context.Context, id, request string) outcome.Outcome {
 	got, err := c.table.Get(ctx, id, 0)
 	if err != nil {
@@ -112,15 +112,15 @@
 	return o
 }
 
-// fate turns a row into the refusal of a later request with the same key. The
-// refused request itself did not run, whatever the first one did.
+// fate returns the refusal of a later request with the same key, and whether the row blocks it. The refused
+// request itself did not run, whatever the first one did.
 func fate(r platform.Row) (outcome.Outcome, bool) {
-	var v row
-	if err := json.Unmarshal([]byte(r.Value), &v); err != nil {
+	var doc rowDoc
+	if err := json.Unmarshal([]byte(r.Value), &doc); err != nil {
 		return outcome.Refuse(outcome.KeyUnknown, "the claim cannot be read"), true
 	}
-	detail := fmt.Sprintf("the first request was %s", v.Request)
-	switch v.State {
+	detail := fmt.Sprintf("the first request was %s", doc.Request)
+	switch doc.State {
 	case Free:
 		return outcome.Refuse(outcome.KeyRunning, detail), false
 	case Done:
@@ -131,8 +131,8 @@
 	return outcome.Refuse(outcome.KeyRunning, detail), true
 }
 
-// Close writes how the claimed request ended. If that write is lost the claim
-// stays running, which refuses later tries: careful, never wrong.
+// Close records how the claimed request ended. If that write is lost the claim stays running, which refuses all
+// later tries: unnecessary, but safe.
 func (c *Claims) Close(ctx context.Context, cl *Claim, k outcome.Kind) error {
 	state := MayHaveRun
 	switch k {
@@ -144,12 +144,12 @@
 	_, err := c.table.Put(ctx, cl.key, platform.Write{
 		IfVersion: cl.version,
 		Token:     cl.request + "/end",
-		Value:     encode(row{state, cl.request}),
+		Value:     encode(rowDoc{state, cl.request}),
 	})
 	return err
 }
 
-func encode(r row) string {
+func encode(r rowDoc) string {
 	b, err := json.Marshal(r)
 	if err != nil {
 		panic("claim: a row of two strings did not encode: " + err.Error())
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -13,32 +13,31 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// tryOp is one request with a key. It claims, and if it may, runs and ends.
+// tryOp is one try of a request with a key: it acquires the claim, and if granted runs and closes it.
 type tryOp struct{ box int }
 
-// tryResult is what it saw.
+// tryResult is the result of a try.
 type tryResult struct {
-	// ran says that the request ran; kind is how it ended.
-	ran  bool
-	kind outcome.Kind
-	// reason is why it was refused.
+	// granted says that the request ran; kind is how it ended.
+	granted bool
+	kind    outcome.Kind
+	// reason is why it was refused otherwise.
 	reason outcome.Reason
 }
 
-// keyState is the truth about one key: free, or taken for good by a run that
-// ended as said. A request that ended as not run gives the key back.
+// keyState is whether a key is taken for good. A request that ended as not run releases the key.
 type keyState struct{ taken bool }
 
-// keyModel says that a key runs at most once unless the run ended as not run, and
-// that nobody is told a first request was done when there was none.
+// keyModel accepts histories in which a key runs at most once, except after runs that ended as not run, and in which
+// no try is refused with KeyDone unless a request ran.
 var keyModel = porcupine.Model{
 	Init: func() any { return keyState{} },
 	Step: func(state, _, output any) (bool, any) {
 		s, r := state.(keyState), output.(tryResult)
 		switch {
-		case r.ran && s.taken:
+		case r.granted && s.taken:
 			return false, s
-		case r.ran:
+		case r.granted:
 			return true, keyState{taken: r.kind != outcome.NotRun}
 		case r.reason == outcome.KeyDone:
 			return s.taken, s
@@ -48,9 +47,9 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v %+v", input, output) },
 }
 
-// expectHistories runs many concurrent tries of one key through several boxes
-// with faults of the table, and checks each history.
-func expectHistories(t *testing.T, seeds uint64, acquire func(*Claims, string) (*Claim, outcome.Outcome)) (bad int) {
+// countBadHistories runs concurrent tries of one key through several boxes with faults of the table, and returns how
+// many histories keyModel rejects.
+func countBadHistories(t *testing.T, seeds uint64, acquire func(*Claims, string) (*Claim, outcome.Outcome)) (bad int) {
 	t.Helper()
 	const boxes = 6
 	for seed := range seeds {
@@ -85,30 +84,29 @@
 	}
 	kind := []outcome.Kind{outcome.Answered, outcome.NotRun, outcome.MayHaveRun}[roll%3]
 	_ = c.Close(context.Background(), cl, kind)
-	return tryResult{ran: true, kind: kind}
+	return tryResult{granted: true, kind: kind}
 }
 
-func honest(c *Claims, request string) (*Claim, outcome.Outcome) {
+func acquire(c *Claims, request string) (*Claim, outcome.Outcome) {
 	return c.Acquire(context.Background(), "client", "key", request)
 }
 
 func TestKeyHistories(t *testing.T) {
-	if bad := expectHistories(t, 400, honest); bad > 0 {
-		t.Errorf("%d of 400 histories break the promise that a key runs once", bad)
+	if bad := countBadHistories(t, 400, acquire); bad > 0 {
+		t.Errorf("in %d of 400 histories a key ran more than once", bad)
 	}
 }
 
-// The checker itself must catch a claim that runs when its write was not
-// confirmed.
+// The model must reject a claim that runs although its write was not confirmed.
 func TestKeyHistoriesCatchABug(t *testing.T) {
-	careless := func(c *Claims, request string) (*Claim, outcome.Outcome) {
-		cl, o := honest(c, request)
+	ignoresStoreDown := func(c *Claims, request string) (*Claim, outcome.Outcome) {
+		cl, o := acquire(c, request)
 		if o.Reason == outcome.StoreDown {
 			return &Claim{request: request}, o
 		}
 		return cl, o
 	}
-	if bad := expectHistories(t, 400, careless); bad == 0 {
-		t.Error("the checker let a careless claim pass")
+	if bad := countBadHistories(t, 400, ignoresStoreDown); bad == 0 {
+		t.Error("expected the model to reject claims that ignore an unconfirmed write")
 	}
 }
--- a/internal/limit/grants.go
+++ b/internal/limit/grants.go
@@ -4,53 +4,54 @@
 	"time"
 )
 
-// A client's limits hold for all boxes together. Each box counts what the client
-// asks of it and tells the client's home box, any box that all agree on by hashing;
-// the home answers with the box's share. Being wrong about a share for a moment
-// lets a client have a little more or less; nothing else depends on it.
+// A client's limits hold for all boxes together. Each box counts the requests of the client and publishes the
+// count to the client's owner, a box that all agree on by hashing; the owner responds with the box's share. A
+// share that is wrong for a moment lets the client have slightly more or less; nothing else depends on it.
 
-// Demand is what a client asked of one box, in requests a second, refused ones
-// included.
+// Demand is the rate at which a client sent requests to one box, in requests per second, including refused
+// requests.
 type Demand struct {
 	Client   string
 	Requests float64
 }
 
-// Share is the part of a client's limits that one box may hand out.
+// Share is the part of a client's limits that one box may grant.
 type Share struct {
 	Client string
 	Part   float64
 }
 
-// demandKept is how long a box's last word counts. A box that is gone is forgotten
-// after it, and its share goes to the others.
-const demandKept = 4 * time.Second
+// demandTTL is how long a box's latest demand counts. A box that is gone is forgotten after this time, and its
+// share goes to the other boxes.
+const demandTTL = 4 * time.Second
 
-// Home is what one box knows as the home of clients. It is not safe for concurrent use.
-type Home struct{ clients map[string]map[string]heard }
+// Home is the state of one box as the owner of clients. It is not safe for concurrent use.
+type Home struct {
+	clients map[string]map[string]demandReport
+}
 
-type heard struct {
-	requests float64
-	at       time.Time
+type demandReport struct {
+	requests   float64
+	receivedAt time.Time
 }
 
-// NewHome returns a home that has heard nothing.
-func NewHome() *Home { return &Home{clients: map[string]map[string]heard{}} }
+// NewHome returns an owner that has received no demands.
+func NewHome() *Home { return &Home{clients: map[string]map[string]demandReport{}} }
 
-// Hear takes the demands of a box and returns its shares, in the same order. A box's
-// share is its part of all demand heard lately.
+// Hear records the demands of a box and returns its shares, in the same order. A box's share is its part of the
+// total recent demand.
 func (h *Home) Hear(now time.Time, box string, demands []Demand) []Share {
 	out := make([]Share, len(demands))
 	for i, d := range demands {
 		boxes := h.clients[d.Client]
 		if boxes == nil {
-			boxes = map[string]heard{}
+			boxes = map[string]demandReport{}
 			h.clients[d.Client] = boxes
 		}
-		boxes[box] = heard{d.Requests, now}
+		boxes[box] = demandReport{d.Requests, now}
 		total := 0.0
 		for name, b := range boxes {
-			if now.Sub(b.at) > demandKept {
+			if now.Sub(b.receivedAt) > demandTTL {
 				delete(boxes, name)
 				continue
 			}
@@ -64,11 +65,11 @@
 	return out
 }
 
-// Forget drops clients that nobody has asked about lately.
+// Forget drops clients without recent demand.
 func (h *Home) Forget(now time.Time) {
 	for client, boxes := range h.clients {
 		for name, b := range boxes {
-			if now.Sub(b.at) > demandKept {
+			if now.Sub(b.receivedAt) > demandTTL {
 				delete(boxes, name)
 			}
 		}
@@ -78,21 +79,20 @@
 	}
 }
 
-// SetDefault sets the part of every client's limits that this box may hand out
-// while it has no share from the client's home: one of all boxes' parts.
-func (t *Table) SetDefault(part float64) { t.part.Store(&part) }
+// SetDefault sets the part of every client's limits that this box may grant while it has no share from the
+// client's owner: 1 divided by the number of boxes.
+func (t *Table) SetDefault(part float64) { t.defaultShare.Store(&part) }
 
-// Demands returns what clients asked of this box in the time since the last call,
-// and begins to count anew.
+// Demands returns the demands of clients since the last call, and resets the counts.
 func (t *Table) Demands(since time.Duration) []Demand {
 	var out []Demand
 	for i := range t.shards {
 		sh := &t.shards[i]
 		sh.mu.Lock()
 		for name, b := range sh.clients {
-			if b.asked > 0 {
-				out = append(out, Demand{name, float64(b.asked) / since.Seconds()})
-				b.asked = 0
+			if b.requestsSeen > 0 {
+				out = append(out, Demand{name, float64(b.requestsSeen) / since.Seconds()})
+				b.requestsSeen = 0
 			}
 		}
 		sh.mu.Unlock()
@@ -100,7 +100,7 @@
 	return out
 }
 
-// SetShare puts a share in force.
+// SetShare applies a share.
 func (t *Table) SetShare(s Share) {
 	sh := t.shard(s.Client)
 	sh.mu.Lock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// Part is the part of a client's limits in force here.
+// Part returns the part of a client's limits that applies at this box.
 func (t *Table) Part(client string) float64 {
 	sh := t.shard(client)
 	sh.mu.Lock()
@@ -121,11 +121,10 @@
 	return t.defaultPart()
 }
 
-// DropShare goes back to the default part, because the home does not answer.
+// DropShare returns to the default part, because the owner does not respond.
 func (t *Table) DropShare(client string) { t.SetShare(Share{Client: client}) }
 
-// scaled is the part of a client's limits that this box hands out. A share of 0
-// stands for none: then the default part counts.
+// scaled returns the limits that this box enforces, given its part of them.
 func (s Set) scaled(part float64) Set {
 	return Set{Requests: s.Requests.scaled(part), Tokens: s.Tokens.scaled(part)}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,8 +1,6 @@
-// Package limit holds the clients' limits, of which each box hands out a share.
-// Requests are taken from a
-// bucket before they run; tokens are taken after the answer, when their true
-// number is known, so a bucket of tokens may go below zero and the client then
-// waits until it has filled up again.
+// Package limit enforces the clients' limits, of which each box grants a share. Requests are taken from a token
+// bucket before they run. Tokens are taken after the response, when their number is known, so the bucket of
+// tokens may go below zero; the client then waits until it has been refilled.
 package limit
 
 import (
@@ -11,7 +9,7 @@
 	"time"
 )
 
-// Rule is one limit: Rate units a second with bursts of up to Burst units.
+// Rule is one limit: Rate units per second with bursts of up to Burst units.
 type Rule struct {
 	Rate  float64
 	Burst float64
@@ -20,20 +18,20 @@
 // Set is the limits of one client. A zero rate means no limit.
 type Set struct{ Requests, Tokens Rule }
 
-// Refusal says which limit was hit and when it will have room again.
+// Refusal says which limit was exceeded and when to retry.
 type Refusal struct {
-	Tokens bool // The limit of tokens; otherwise that of requests.
+	Tokens bool // The limit of tokens was exceeded; otherwise that of requests.
 	After  time.Duration
 }
 
-// Table holds the buckets of all clients, in shards so that clients seldom
-// share a lock. A bucket costs about 150 bytes and is made on first use.
+// Table holds the buckets of all clients, in shards to reduce lock contention. A bucket takes about 150 bytes
+// and is created on first use.
 type Table struct {
-	shards [shards]shard
-	part   atomic.Pointer[float64] // The default part; nil means all.
+	shards       [numShards]shard
+	defaultShare atomic.Pointer[float64] // The part without a share from the owner; nil means all.
 }
 
-const shards = 64
+const numShards = 64
 
 type shard struct {
 	mu      sync.Mutex
@@ -42,8 +40,8 @@
 
 type buckets struct {
 	requests, tokens bucket
-	asked            int     // Requests since the last Demands, refused ones included.
-	share            float64 // From the client's home; 0 for none.
+	requestsSeen     int     // Requests since the last call of Demands, including refused ones.
+	share            float64 // From the client's owner; 0 for none.
 }
 
 type bucket struct {
@@ -65,10 +63,10 @@
 	for i := range len(client) {
 		h = (h ^ uint32(client[i])) * 16777619
 	}
-	return &t.shards[h%shards]
+	return &t.shards[h%numShards]
 }
 
-// Take asks for one request of the client.
+// Take takes one request of the client.
 func (t *Table) Take(now time.Time, client string, s Set) (Refusal, bool) {
 	if s.Requests.Rate <= 0 && s.Tokens.Rate <= 0 {
 		return Refusal{}, true
@@ -77,12 +75,12 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	b, s := sh.get(now, client, s, t.defaultPart())
-	b.asked++
+	b.requestsSeen++
 	if s.Tokens.Rate > 0 && b.tokens.level <= 0 {
-		return Refusal{Tokens: true, After: s.Tokens.until(b.tokens.level, 1)}, false
+		return Refusal{Tokens: true, After: s.Tokens.timeToReach(b.tokens.level, 1)}, false
 	}
 	if s.Requests.Rate > 0 && b.requests.level < 1 {
-		return Refusal{After: s.Requests.until(b.requests.level, 1)}, false
+		return Refusal{After: s.Requests.timeToReach(b.requests.level, 1)}, false
 	}
 	if s.Requests.Rate > 0 {
 		b.requests.level--
@@ -90,7 +88,7 @@
 	return Refusal{}, true
 }
 
-// Spend takes the tokens a request used, once they are known.
+// Spend takes the tokens that a request used, once their number is known.
 func (t *Table) Spend(now time.Time, client string, s Set, tokens int) {
 	if s.Tokens.Rate <= 0 {
 		return
@@ -103,13 +101,13 @@
 }
 
 func (t *Table) defaultPart() float64 {
-	if p := t.part.Load(); p != nil {
+	if p := t.defaultShare.Load(); p != nil {
 		return *p
 	}
 	return 1
 }
 
-// get finds a client's buckets, filled up to now, and this box's part of its limits.
+// get returns a client's buckets, refilled up to now, and the limits scaled to this box's part.
 func (sh *shard) get(now time.Time, client string, s Set, part float64) (*buckets, Set) {
 	b := sh.clients[client]
 	if b != nil && b.share > 0 {
@@ -123,22 +121,22 @@
 		}
 		sh.clients[client] = b
 	}
-	b.requests.fill(now, s.Requests)
-	b.tokens.fill(now, s.Tokens)
+	b.requests.refill(now, s.Requests)
+	b.tokens.refill(now, s.Tokens)
 	return b, s
 }
 
-// burst defaults to one second's worth, and at least one unit.
+// burst defaults to the units of one second, and is at least one unit.
 func (r Rule) burst() float64 { return max(1, r.Rate, r.Burst) }
 
-// until is how long a bucket at level takes to reach want.
-func (r Rule) until(level, want float64) time.Duration {
+// timeToReach is how long a bucket at level takes to reach want.
+func (r Rule) timeToReach(level, want float64) time.Duration {
 	return time.Duration((want - level) / r.Rate * float64(time.Second))
 }
 
-func (b *bucket) fill(now time.Time, r Rule) {
-	if d := now.Sub(b.at).Seconds(); d > 0 {
-		b.level = min(r.burst(), b.level+d*r.Rate)
+func (b *bucket) refill(now time.Time, r Rule) {
+	if elapsed := now.Sub(b.at).Seconds(); elapsed > 0 {
+		b.level = min(r.burst(), b.level+elapsed*r.Rate)
 		b.at = now
 	}
 }
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -1,6 +1,5 @@
-// Package roles changes engines between prefill and decode as the traffic asks for. One
-// box at a time does so, under a lease, and slowly: an engine that changes its role does
-// nothing for some seconds.
+// Package roles switches engines between the prefill and decode roles as the traffic requires. One box at a time
+// does so, under a lease, and slowly: an engine that switches its role serves nothing for some seconds.
 package roles
 
 import (
@@ -14,63 +13,62 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// Fleet is what the manager sees of the engines and does with them.
+// Fleet is the manager's access to the engines.
 type Fleet interface {
-	// Advise says which engine should change.
+	// Advise returns which engines should switch to which role, if any.
 	Advise() (decide.Advice, bool)
-	// SetRole orders one change. Any error leaves open whether it is carried out.
+	// SetRole orders one switch. After an error, the order may or may not be carried out.
 	SetRole(ctx context.Context, engine string, role decide.EngineRole, l lease.Lease) error
 }
 
-// Leases are the right to give orders.
+// Leases grants the right to send orders.
 type Leases interface {
 	Acquire(ctx context.Context) (lease.Lease, error)
 }
 
-// Manager follows the advice.
+// Manager carries out the advice.
 type Manager struct {
 	Fleet  Fleet
 	Leases Leases
-	// Every paces the looks at the advice, and Steady is how many looks in a row must
-	// give the same before it is followed.
+	// Every is the mean interval between checks of the advice, and Steady the number of consecutive checks
+	// that must give the same advice before it is carried out.
 	Every  time.Duration
 	Steady int
-	// Spacing is how long after an order, or the sight of another box's lease, this box
-	// does not try again.
+	// Spacing is how long this box waits after an order, or after it found another box's lease, before it
+	// tries again.
 	Spacing time.Duration
-	// Patience is how many looks more an advice stands before this box follows it; nil for
-	// none. Of many boxes one is to be first, and the others see that engines have changed.
+	// Patience returns for how many further checks an advice must last before this box carries it out; nil
+	// for none. It lets one of many boxes act first, so that the others see the result.
 	Patience func() int
-	// Leased is called after each try to take the lease that did not find it held; it may
-	// be nil.
+	// Leased is called after each attempt to acquire the lease, unless another box held it; it may be nil.
 	Leased func(l lease.Lease, err error)
 	// Ordered is called after each order; it may be nil.
 	Ordered func(engine string, role decide.EngineRole, l lease.Lease, err error)
 }
 
-// limit bounds one look, its lease and its order.
-const limit = 2 * time.Second
+// attemptTimeout bounds acquiring the lease and sending the orders.
+const attemptTimeout = 2 * time.Second
 
-// Run follows the advice until ctx ends.
+// Run checks and carries out the advice until ctx is done.
 func (m *Manager) Run(ctx context.Context) {
 	var last decide.Advice
-	same, patience := 0, 0
+	stableCount, extraChecks := 0, 0
 	for {
-		// Boxes that see the same do not ask for the lease at the same moment.
+		// The jitter keeps boxes with the same advice from requesting the lease at the same time.
 		wait := m.Every/2 + time.Duration(rand.Int64N(int64(m.Every)))
 		a, ok := m.Fleet.Advise()
 		switch {
 		case !ok:
-			same = 0
+			stableCount = 0
 		case a.Role == last.Role && a.Pool == last.Pool:
-			same++
+			stableCount++
 		default:
-			same, patience = 1, m.patience()
+			stableCount, extraChecks = 1, m.newExtraChecks()
 		}
 		last = a
-		if ok && same >= m.Steady+patience {
-			if m.follow(ctx, a) {
-				wait, same = m.Spacing, 0
+		if ok && stableCount >= m.Steady+extraChecks {
+			if m.applyAdvice(ctx, a) {
+				wait, stableCount = m.Spacing, 0
 			}
 		}
 		select {
@@ -81,17 +79,17 @@
 	}
 }
 
-func (m *Manager) patience() int {
+func (m *Manager) newExtraChecks() int {
 	if m.Patience == nil {
 		return 0
 	}
 	return m.Patience()
 }
 
-// follow gives the order if this box gets the lease. It returns whether an order was
-// given or another box is about to.
-func (m *Manager) follow(ctx context.Context, a decide.Advice) bool {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// applyAdvice sends the orders if this box gets the lease. It reports whether orders were sent or another box
+// is about to send them.
+func (m *Manager) applyAdvice(ctx context.Context, a decide.Advice) bool {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	l, err := m.Leases.Acquire(ctx)
 	if m.Leased != nil && !errors.Is(err, lease.ErrHeld) {
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -10,40 +10,40 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// fleet gives an advice from a time on, for so long.
-type fleet struct {
-	start      time.Time
-	from, till time.Duration
-	orders     []string
+// fakeFleet gives one advice between adviceFrom and adviceUntil.
+type fakeFleet struct {
+	start                   time.Time
+	adviceFrom, adviceUntil time.Duration
+	orders                  []string
 }
 
-func (f *fleet) Advise() (decide.Advice, bool) {
+func (f *fakeFleet) Advise() (decide.Advice, bool) {
 	at := time.Since(f.start)
-	return decide.Advice{Pool: "p", Engines: []string{"a", "b"}, Role: decide.Decode}, at >= f.from && at < f.till
+	return decide.Advice{Pool: "p", Engines: []string{"a", "b"}, Role: decide.Decode}, at >= f.adviceFrom && at < f.adviceUntil
 }
 
-func (f *fleet) SetRole(_ context.Context, engine string, _ decide.EngineRole, _ lease.Lease) error {
+func (f *fakeFleet) SetRole(_ context.Context, engine string, _ decide.EngineRole, _ lease.Lease) error {
 	f.orders = append(f.orders, engine)
 	return nil
 }
 
-// leases gives one, or says that another box holds it, after a delay.
-type leases struct {
+// fakeLeases grants a lease, or reports that another box holds it, after a delay.
+type fakeLeases struct {
 	err   error
 	delay time.Duration
 }
 
-func (l leases) Acquire(context.Context) (lease.Lease, error) {
+func (l fakeLeases) Acquire(context.Context) (lease.Lease, error) {
 	until := time.Now().Add(time.Second)
 	time.Sleep(l.delay)
 	return lease.Lease{Fence: 1, Until: until}, l.err
 }
 
-func expectOrders(t *testing.T, f fleet, l leases, want int) {
+func expectOrders(t *testing.T, f fakeFleet, l fakeLeases, want int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f.start = time.Now()
-		// The third order of a steady advice comes after 18.9 to 20.7 s, the fourth after 28.2.
+		// The third pair of orders comes after 18.9 to 20.7 s, the fourth after 28.2 s.
 		ctx, cancel := context.WithTimeout(context.Background(), 25*time.Second)
 		defer cancel()
 		m := &Manager{Fleet: &f, Leases: l, Every: 300 * time.Millisecond, Steady: 3, Spacing: 9 * time.Second}
@@ -54,14 +54,14 @@
 	})
 }
 
-// A box that lets others be first gives no order where the advice passes meanwhile.
-func TestLetsOthersBeFirst(t *testing.T) {
+// A box with patience sends no order if the advice disappears while it waits.
+func TestPatienceDelaysOrders(t *testing.T) {
 	for patience, want := range map[int]int{0: 2, 20: 0} {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fleet{start: time.Now(), till: 3 * time.Second}
+			f := &fakeFleet{start: time.Now(), adviceUntil: 3 * time.Second}
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			m := &Manager{Fleet: f, Leases: leases{}, Every: 300 * time.Millisecond, Steady: 3, Spacing: 9 * time.Second, Patience: func() int { return patience }}
+			m := &Manager{Fleet: f, Leases: fakeLeases{}, Every: 300 * time.Millisecond, Steady: 3, Spacing: 9 * time.Second, Patience: func() int { return patience }}
 			m.Run(ctx)
 			if len(f.orders) != want {
 				t.Errorf("patience of %d: expected %d orders, got %v", patience, want, f.orders)
@@ -71,15 +71,17 @@
 }
 
 func TestFollowsSteadyAdvice(t *testing.T) {
-	expectOrders(t, fleet{till: 5 * time.Second}, leases{}, 2)
+	expectOrders(t, fakeFleet{adviceUntil: 5 * time.Second}, fakeLeases{}, 2)
 }
-func TestIgnoresPassingAdvice(t *testing.T) {
-	expectOrders(t, fleet{from: time.Second, till: 1300 * time.Millisecond}, leases{}, 0)
+func TestIgnoresShortLivedAdvice(t *testing.T) {
+	expectOrders(t, fakeFleet{adviceFrom: time.Second, adviceUntil: 1300 * time.Millisecond}, fakeLeases{}, 0)
 }
-func TestSpacesOrders(t *testing.T) { expectOrders(t, fleet{till: time.Hour}, leases{}, 6) }
-func TestOtherBoxOrders(t *testing.T) {
-	expectOrders(t, fleet{till: time.Hour}, leases{err: lease.ErrHeld}, 0)
+func TestSpacesOrders(t *testing.T) {
+	expectOrders(t, fakeFleet{adviceUntil: time.Hour}, fakeLeases{}, 6)
+}
+func TestNoOrdersWhileOtherBoxHoldsLease(t *testing.T) {
+	expectOrders(t, fakeFleet{adviceUntil: time.Hour}, fakeLeases{err: lease.ErrHeld}, 0)
 }
 func TestPausedHolder(t *testing.T) {
-	expectOrders(t, fleet{till: 5 * time.Second}, leases{delay: 2 * time.Second}, 0)
+	expectOrders(t, fakeFleet{adviceUntil: 5 * time.Second}, fakeLeases{delay: 2 * time.Second}, 0)
 }
