--- a/internal/learned/learned.go
+++ b/internal/learned/learned.go
@@ -1,7 +1,6 @@
-// Package learned keeps what boxes learn of engines and requests in the platform's store, as
-// one small row, so that boxes that start, even all at once, begin where others were. It is
-// never needed for a promise: a row that is old, lost or wrong costs goodput, until the box
-// has seen enough for itself.
+// Package learned stores what boxes learn about engines and requests in the platform's store, as one small row, so
+// that starting boxes, even if all restart at once, continue from what other boxes learned. No guarantee depends on
+// it: an outdated, lost or wrong row only costs goodput until the box has observed enough itself.
 package learned
 
 import (
@@ -16,48 +15,48 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// Key is that of the row.
+// Key is the key of the row.
 const Key = "pools"
 
-// Pools is the box's own knowledge.
+// Pools is the box's own learned state.
 type Pools interface {
 	Learned() []decide.Learned
 	Remember(decide.Learned)
 }
 
-// Keeper reads the row when its box starts, and afterwards sees to it that it is not far
-// from what its box knows.
+// Keeper reads the row when its box starts, and afterwards updates it when it differs clearly from what the box
+// has learned.
 type Keeper struct {
 	Rows  lease.Rows
 	Pools Pools
-	// Boxes is how many boxes there are: they take turns, by chance.
+	// Boxes returns the number of boxes, over which the checks of the row are spread at random.
 	Boxes func() int
-	// Failed is told of what did not work.
+	// Failed is called with each failure.
 	Failed func(what string, err error)
 }
 
 const (
-	// callLimit bounds one call to the store.
-	callLimit = 600 * time.Millisecond
-	// firstPause is between two tries to read the row at the start; it doubles up to
-	// longestPause.
-	firstPause   = time.Second
-	longestPause = 16 * time.Second
-	// lookEvery is how far apart all boxes together look at the row: a fifth of the time in
-	// which a burst comes and goes, and one call in it.
-	lookEvery = 4 * time.Second
-	// clearly is by how much a figure must differ from the row's to be written, as a part:
-	// more than two boxes that see the same engines differ by.
-	clearly = 0.15
+	// callTimeout bounds one call to the store.
+	callTimeout = 600 * time.Millisecond
+	// minRetryDelay is the delay between the first two attempts to read the row at the start; it doubles up to
+	// maxRetryDelay.
+	minRetryDelay = time.Second
+	maxRetryDelay = 16 * time.Second
+	// checkInterval is the mean interval between checks of the row by all boxes together. It is a fifth of the
+	// duration of a traffic burst, and costs one call.
+	checkInterval = 4 * time.Second
+	// minDifference is the relative difference from the stored figure above which a figure is written. Boxes that
+	// observe the same engines differ by less.
+	minDifference = 0.15
 )
 
-// row is the text of the row.
-type row struct {
-	Pools []poolRow `json:"pools"`
+// rowDoc is the JSON value of the row.
+type rowDoc struct {
+	Pools []poolDoc `json:"pools"`
 }
 
-// poolRow is one pool's part. Times are in microseconds, lengths in tokens.
-type poolRow struct {
+// poolDoc has the figures of one pool. Times are in microseconds, lengths in tokens.
+type poolDoc struct {
 	Pool          string  `json:"pool"`
 	ReadPerSecond float64 `json:"read_tokens_per_s"`
 	ReadDelay     int64   `json:"read_delay_us"`
@@ -67,109 +66,109 @@
 	Prompt        float64 `json:"prompt_tokens"`
 	Read          float64 `json:"read_tokens"`
 	Output        float64 `json:"output_tokens"`
-	Gap           int64   `json:"gap_us"` // The target between tokens.
+	Gap           int64   `json:"gap_us"` // The target time between tokens.
 	Requests      int     `json:"requests"`
 }
 
-// Run keeps the row until ctx ends.
+// Run loads the row and keeps it up to date until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
-	if !k.begin(ctx) {
+	if !k.load(ctx) {
 		return
 	}
-	for sleep(ctx, k.turn()) {
-		if err := k.look(ctx); err != nil && ctx.Err() == nil && !errors.Is(err, lease.ErrConflict) {
-			k.Failed("what was learned is not kept", err)
+	for sleep(ctx, k.nextCheck()) {
+		if err := k.update(ctx); err != nil && ctx.Err() == nil && !errors.Is(err, lease.ErrConflict) {
+			k.Failed("updating the learned figures failed", err)
 		}
 	}
 }
 
-// turn is the time until this box looks again.
-func (k *Keeper) turn() time.Duration {
-	mean := time.Duration(max(1, k.Boxes())) * lookEvery
+// nextCheck is the time until this box checks the row again.
+func (k *Keeper) nextCheck() time.Duration {
+	mean := time.Duration(max(1, k.Boxes())) * checkInterval
 	return mean/2 + time.Duration(rand.Int64N(int64(mean)))
 }
 
-// begin takes what other boxes learned; it returns false if ctx ended before.
-func (k *Keeper) begin(ctx context.Context) bool {
-	for pause := firstPause; ; pause = min(longestPause, 2*pause) {
-		kept, _, err := k.read(ctx)
+// load takes over what other boxes learned; it returns false if ctx is done before that.
+func (k *Keeper) load(ctx context.Context) bool {
+	for delay := minRetryDelay; ; delay = min(maxRetryDelay, 2*delay) {
+		stored, _, err := k.read(ctx)
 		if err == nil {
-			for _, l := range kept {
+			for _, l := range stored {
 				k.Pools.Remember(l)
 			}
 			return true
 		}
 		if ctx.Err() == nil {
-			k.Failed("what was learned before is not known", err)
+			k.Failed("loading the learned figures failed", err)
 		}
-		if !sleep(ctx, pause/2+time.Duration(rand.Int64N(int64(pause)))) {
+		if !sleep(ctx, delay/2+time.Duration(rand.Int64N(int64(delay)))) {
 			return false
 		}
 	}
 }
 
-// look writes the row if this box knows clearly better.
-func (k *Keeper) look(ctx context.Context) error {
-	mine := k.Pools.Learned()
-	if len(mine) == 0 {
+// update writes the row if what this box has learned differs clearly from it.
+func (k *Keeper) update(ctx context.Context) error {
+	own := k.Pools.Learned()
+	if len(own) == 0 {
 		return nil
 	}
-	kept, row, err := k.read(ctx)
+	stored, row, err := k.read(ctx)
 	if err != nil {
 		return err
 	}
-	next, differ := merge(kept, mine)
-	if !differ {
+	merged, changed := merge(stored, own)
+	if !changed {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err = k.Rows.Put(ctx, Key, row, encode(next))
+	_, err = k.Rows.Put(ctx, Key, row, encode(merged))
 	return err
 }
 
-// merge replaces what is kept by what this box knows where that differs clearly.
-func merge(kept, mine []decide.Learned) (next []decide.Learned, differ bool) {
-	next = kept
-	for _, m := range mine {
-		known := false
-		for i, o := range next {
+// merge replaces stored figures by this box's own where these differ clearly.
+func merge(stored, own []decide.Learned) (merged []decide.Learned, changed bool) {
+	merged = stored
+	for _, m := range own {
+		found := false
+		for i, o := range merged {
 			if o.Pool != m.Pool {
 				continue
 			}
-			known = true
-			if m.Differs(o, clearly) {
-				next[i], differ = m, true
+			found = true
+			if m.Differs(o, minDifference) {
+				merged[i], changed = m, true
 			}
 		}
-		if !known {
-			next, differ = append(next, m), true
+		if !found {
+			merged, changed = append(merged, m), true
 		}
 	}
-	return next, differ
+	return merged, changed
 }
 
 func (k *Keeper) read(ctx context.Context) ([]decide.Learned, lease.Row, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r, _, err := k.Rows.Get(ctx, Key)
 	if err != nil {
-		return nil, r, fmt.Errorf("read the row of what was learned: %w", err)
+		return nil, r, fmt.Errorf("read the row of learned figures: %w", err)
 	}
 	if r.Version == 0 {
 		return nil, r, nil
 	}
 	list, err := decode(r.Value)
 	if err != nil {
-		k.Failed("the row of what was learned is written anew", err)
+		k.Failed("the row of learned figures is invalid and will be overwritten", err)
 	}
 	return list, r, nil
 }
 
 func encode(list []decide.Learned) []byte {
-	var out row
+	var out rowDoc
 	for _, l := range list {
-		out.Pools = append(out.Pools, poolRow{
+		out.Pools = append(out.Pools, poolDoc{
 			Pool: l.Pool, ReadPerSecond: l.PrefillRate, ReadDelay: l.ReadDelay.Microseconds(), Begin: l.Begin.Microseconds(),
 			Step: l.Step.Microseconds(), StepPerStream: l.StepPerStream.Microseconds(), Prompt: l.Prompt, Read: l.Read, Output: l.Output,
 			Gap: l.Gap.Microseconds(), Requests: l.Requests,
@@ -177,20 +176,20 @@
 	}
 	text, err := json.Marshal(out)
 	if err != nil {
-		panic(fmt.Sprintf("learned: %v", err)) // Only numbers that are none cannot be written, and none is learned.
+		panic(fmt.Sprintf("learned: %v", err)) // Only NaN and infinities cannot be encoded, and they are never learned.
 	}
 	return text
 }
 
-// decode reads the row. What cannot be true is left out and reported.
+// decode reads the row. Implausible figures are left out and reported.
 func decode(text []byte) (out []decide.Learned, err error) {
-	var r row
-	if err := json.Unmarshal(text, &r); err != nil {
-		return nil, fmt.Errorf("the row of what was learned: %w", err)
+	var doc rowDoc
+	if err := json.Unmarshal(text, &doc); err != nil {
+		return nil, fmt.Errorf("decode the row of learned figures: %w", err)
 	}
-	for _, p := range r.Pools {
-		if !p.sound() {
-			err = fmt.Errorf("the row of what was learned has impossible figures of %q", p.Pool)
+	for _, p := range doc.Pools {
+		if !p.valid() {
+			err = fmt.Errorf("the row of learned figures has implausible figures for pool %q", p.Pool)
 			continue
 		}
 		out = append(out, decide.Learned{
@@ -207,26 +206,26 @@
 func micros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
 const (
-	mostTime   = int64(time.Minute / time.Microsecond)
-	mostTokens = 1e9
+	maxMicros = int64(time.Minute / time.Microsecond)
+	maxTokens = 1e9
 )
 
-func (p *poolRow) sound() bool {
+func (p *poolDoc) valid() bool {
 	times := [...]int64{p.ReadDelay, p.Begin, p.Step, p.StepPerStream, p.Gap}
 	for _, us := range times {
-		if us < 0 || us > mostTime {
+		if us < 0 || us > maxMicros {
 			return false
 		}
 	}
 	for _, n := range [...]float64{p.ReadPerSecond, p.Prompt, p.Read, p.Output} {
-		if !(n > 0 && n < mostTokens) {
+		if !(n > 0 && n < maxTokens) {
 			return false
 		}
 	}
 	return p.Pool != "" && p.Step > 0 && p.Requests >= 0
 }
 
-// sleep returns false if ctx ended before.
+// sleep returns false if ctx is done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/learned/learned_test.go
+++ b/internal/learned/learned_test.go
@@ -12,28 +12,28 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// rows is a store's table that may be away.
-type rows struct {
-	mu     sync.Mutex
-	row    lease.Row
-	away   bool
-	reads  int
-	writes int
+// fakeStore is a store's table that may be unavailable.
+type fakeStore struct {
+	mu          sync.Mutex
+	row         lease.Row
+	unavailable bool
+	reads       int
+	writes      int
 }
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
-func (r *rows) Get(context.Context, string) (lease.Row, time.Duration, error) {
+func (r *fakeStore) Get(context.Context, string) (lease.Row, time.Duration, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reads++
-	if r.away {
-		return lease.Row{}, 0, errAway
+	if r.unavailable {
+		return lease.Row{}, 0, errUnavailable
 	}
 	return r.row, 0, nil
 }
 
-func (r *rows) Put(_ context.Context, _ string, old lease.Row, value []byte) (lease.Row, error) {
+func (r *fakeStore) Put(_ context.Context, _ string, old lease.Row, value []byte) (lease.Row, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if old.Version != r.row.Version {
@@ -44,103 +44,103 @@
 	return r.row, nil
 }
 
-// pools is a box's own knowledge.
-type pools struct {
+// fakePools is a box's own learned state.
+type fakePools struct {
 	mu         sync.Mutex
-	known      []decide.Learned
+	own        []decide.Learned
 	remembered []decide.Learned
 }
 
-func (p *pools) Learned() []decide.Learned {
+func (p *fakePools) Learned() []decide.Learned {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.known
+	return p.own
 }
 
-func (p *pools) Remember(l decide.Learned) {
+func (p *fakePools) Remember(l decide.Learned) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.remembered = append(p.remembered, l)
 }
 
-func engine(step time.Duration) decide.Learned {
+func learnedWithStep(step time.Duration) decide.Learned {
 	return decide.Learned{
 		Pool: "verdicts", Prompt: 3200, Read: 3100, Output: 640, Gap: 33 * time.Millisecond, Requests: 100,
 		Speed: decide.Speed{PrefillRate: 33_000, ReadDelay: 55 * time.Millisecond, Begin: 19 * time.Millisecond, Step: step, StepPerStream: 30 * time.Microsecond},
 	}
 }
 
-// keep runs the keepers of so many boxes for a while.
-func keep(t *testing.T, r *rows, d time.Duration, boxes ...*pools) {
+// runKeepers runs the keepers of several boxes for a while.
+func runKeepers(t *testing.T, r *fakeStore, d time.Duration, boxes ...*fakePools) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	var done sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, p := range boxes {
 		k := &Keeper{Rows: r, Pools: p, Boxes: func() int { return len(boxes) }, Failed: func(string, error) {}}
-		done.Go(func() { k.Run(ctx) })
+		wg.Go(func() { k.Run(ctx) })
 	}
 	time.Sleep(d)
 	cancel()
-	done.Wait()
+	wg.Wait()
 }
 
-// Boxes that start where others ran begin with what those learned.
-func TestBeginsWhereOthersWere(t *testing.T) {
+// A starting box takes over what earlier boxes learned.
+func TestLoadsWhatOtherBoxesLearned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rows{}
-		keep(t, r, time.Minute, &pools{known: []decide.Learned{engine(5 * time.Millisecond)}}, &pools{})
-		next := &pools{}
-		keep(t, r, time.Second, next)
-		if len(next.remembered) != 1 || next.remembered[0] != engine(5*time.Millisecond) {
+		r := &fakeStore{}
+		runKeepers(t, r, time.Minute, &fakePools{own: []decide.Learned{learnedWithStep(5 * time.Millisecond)}}, &fakePools{})
+		next := &fakePools{}
+		runKeepers(t, r, time.Second, next)
+		if len(next.remembered) != 1 || next.remembered[0] != learnedWithStep(5*time.Millisecond) {
 			t.Errorf("expected what the first boxes learned, got %+v", next.remembered)
 		}
 	})
 }
 
-// As long as boxes agree nothing is written, and what clearly changes is.
-func TestWritesWhatChanges(t *testing.T) {
+// Nothing is written while boxes agree, but a clear change is.
+func TestWritesOnlyClearChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rows{}
-		a, b := &pools{known: []decide.Learned{engine(5 * time.Millisecond)}}, &pools{known: []decide.Learned{engine(5400 * time.Microsecond)}}
-		keep(t, r, 10*time.Minute, a, b)
+		r := &fakeStore{}
+		a, b := &fakePools{own: []decide.Learned{learnedWithStep(5 * time.Millisecond)}}, &fakePools{own: []decide.Learned{learnedWithStep(5400 * time.Microsecond)}}
+		runKeepers(t, r, 10*time.Minute, a, b)
 		if r.writes != 1 {
 			t.Errorf("expected one write by boxes that agree, got %d", r.writes)
 		}
-		a.known, b.known = []decide.Learned{engine(time.Millisecond)}, []decide.Learned{engine(time.Millisecond)}
-		keep(t, r, 10*time.Minute, a, b)
+		a.own, b.own = []decide.Learned{learnedWithStep(time.Millisecond)}, []decide.Learned{learnedWithStep(time.Millisecond)}
+		runKeepers(t, r, 10*time.Minute, a, b)
 		if r.writes != 2 {
-			t.Errorf("expected one write more once engines are faster, got %d", r.writes)
+			t.Errorf("expected one more write after engines became faster, got %d writes", r.writes)
 		}
 	})
 }
 
-// However many boxes there are, they look at the row some times a minute together.
-func TestLooksSeldom(t *testing.T) {
+// The number of checks by all boxes together does not grow with the number of boxes.
+func TestCheckRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rows{}
-		var boxes []*pools
+		r := &fakeStore{}
+		var boxes []*fakePools
 		for range 60 {
-			boxes = append(boxes, &pools{known: []decide.Learned{engine(5 * time.Millisecond)}})
+			boxes = append(boxes, &fakePools{own: []decide.Learned{learnedWithStep(5 * time.Millisecond)}})
 		}
-		keep(t, r, 10*time.Minute, boxes...)
-		if looks := r.reads - len(boxes); looks < 75 || looks > 300 {
-			t.Errorf("expected a look every 4 s or so, 150 in ten minutes, got %d", looks)
+		runKeepers(t, r, 10*time.Minute, boxes...)
+		if checks := r.reads - len(boxes); checks < 75 || checks > 300 {
+			t.Errorf("expected a check about every 4 s, 150 in ten minutes, got %d", checks)
 		}
 	})
 }
 
-// A box that starts in an outage has it when the store is back, and does not press it.
+// A box that starts during an outage loads the row once the store is back, and does not overload the store.
 func TestStartsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &rows{away: true, row: lease.Row{Value: encode([]decide.Learned{engine(5 * time.Millisecond)}), Version: 1}}
-		p := &pools{}
+		r := &fakeStore{unavailable: true, row: lease.Row{Value: encode([]decide.Learned{learnedWithStep(5 * time.Millisecond)}), Version: 1}}
+		p := &fakePools{}
 		go func() {
 			time.Sleep(time.Minute)
 			r.mu.Lock()
-			r.away = false
+			r.unavailable = false
 			r.mu.Unlock()
 		}()
-		keep(t, r, 90*time.Second, p)
+		runKeepers(t, r, 90*time.Second, p)
 		if len(p.remembered) != 1 || r.reads > 12 {
 			t.Errorf("expected the row after %d reads, got %+v", r.reads, p.remembered)
 		}
@@ -155,10 +155,10 @@
 	}
 }
 
-// A row that another version wrote, or that is broken, is no reason to believe nonsense.
+// A row that another version wrote, or that is corrupt, must not lead to implausible figures.
 func TestDecodeRow(t *testing.T) {
-	sound := string(encode([]decide.Learned{engine(5 * time.Millisecond)}))
-	expectDecoded(t, sound, 1, false)
+	valid := string(encode([]decide.Learned{learnedWithStep(5 * time.Millisecond)}))
+	expectDecoded(t, valid, 1, false)
 	expectDecoded(t, `{"pools":[]}`, 0, false)
 	expectDecoded(t, `{`, 0, true)
 	expectDecoded(t, `{"pools":[{"pool":"p"}]}`, 0, true)
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,8 +1,8 @@
-// Package notice keeps what endpoints say of themselves in the heads of their answers. Whoever is to
-// send something new to an endpoint asks the Table first.
+// Package notice tracks what endpoints announce about themselves in response headers. Before a new request is sent to
+// an endpoint, the Table is consulted.
 //
-// A notice is known by the endpoint's ID, which names one start: it outlives each change of the list and
-// of the configuration, and ends with the start.
+// Notices are stored under the endpoint's ID, which identifies one start: they outlive changes of the endpoint list and
+// of the configuration, but not the start.
 package notice
 
 import (
@@ -15,102 +15,103 @@
 	"github.com/stoatramp/stoatramp/internal/pacing"
 )
 
-// Notice is what the head of one answer says of the endpoint that sent it.
+// Notice is what one response header announces about the endpoint that sent it.
 type Notice struct {
-	// Limit is how many requests a second the endpoint takes from all boxes together; 0 if it names no
+	// Limit is how many requests per second the endpoint accepts from all boxes together; 0 if it announces no
 	// limit.
 	Limit float64
-	// Leaving says that the endpoint will end and takes nothing new.
+	// Leaving says that the endpoint will shut down and accepts no new requests.
 	Leaving bool
-	// Rest is for how long it wants nothing of the box that it has turned away; 0 if it does not ask for
-	// any.
+	// Rest is how long the endpoint, which rejected a request, wants no further requests from this box; 0 if it
+	// asks for no rest.
 	Rest time.Duration
-	// Unread describes what the head says and could not be read; empty if there is nothing of the kind.
-	// What the endpoint said before still counts.
+	// Unread describes a malformed part of the header; empty if there is none. What the endpoint announced before
+	// still applies.
 	Unread string
 }
 
-// Answer is one answer of an endpoint.
+// Answer is one response of an endpoint.
 type Answer struct {
 	Endpoint string
-	// Region is where the endpoint is: the boxes listed for it share what the endpoint takes.
+	// Region is where the endpoint is: the boxes listed for that region share its limit.
 	Region string
-	// Sent is when its request was sent, by the box's steady clock.
+	// Sent is when the request was sent, by the box's steady clock.
 	Sent time.Time
-	// Ran says that the endpoint ran a caller's request to a good end. Only such an answer can take a
-	// notice back: whether others repeat what still counts is not known.
+	// Ran says that the endpoint completed a caller's request. Only such a response can clear a limit: other
+	// responses may not repeat what still applies.
 	Ran    bool
 	Notice Notice
 }
 
-// otherLimit is the part of a limit by which the next must differ to be another one. An endpoint may name
-// a slightly different number in each answer.
-const otherLimit = 0.1
+// minLimitChange is the relative change of a limit above which it counts as another limit. An endpoint may announce
+// a slightly different number in each response.
+const minLimitChange = 0.1
 
-// Change is what an answer changed of what is known of an endpoint.
+// Change is a change of an endpoint's state by a response.
 type Change uint8
 
-// The changes.
+// Changes of an endpoint's state.
 const (
 	_ Change = iota
-	// LimitNamed is a first limit or another one, LimitRepeated the same one after a while, and
-	// LimitLifted the end of it.
+	// LimitNamed means a first or a changed limit, LimitRepeated the same limit after a while, and LimitLifted
+	// that the limit no longer applies.
 	LimitNamed
 	LimitRepeated
 	LimitLifted
-	// Leaves is the first word that the endpoint leaves, and RestAsked a rest that ends later than the last.
+	// Leaves means that the endpoint announced for the first time that it leaves, and RestAsked a rest that ends
+	// later than the last one.
 	Leaves
 	RestAsked
-	// Misread is a notice that could not be read, the first of its kind.
+	// Misread means a malformed notice that is not a recent repetition.
 	Misread
 )
 
-// endpoint is what one endpoint said. The zero value has said nothing.
+// endpoint is the announced state of one endpoint. The zero value has announced nothing.
 type endpoint struct {
 	region string
-	limit  float64 // Requests a second; 0 for none.
-	// limitAt is when the request was sent whose answer named the limit last, and passedOn when that was
-	// last published to the other boxes.
-	limitAt, passedOn time.Time
-	pacer             pacing.Pacer
-	// version is that of the list of boxes by which pacer was settled, and renewAt when the list is looked
-	// at again; zero where the limit has changed.
-	version int64
-	renewAt time.Time
-	leaving bool
-	restBy  time.Time // When the rest of this box is over; zero if none was asked for.
-	// unread is what was last not read, as of unreadAt: an endpoint may say another thing each time.
-	unread   string
-	unreadAt time.Time
-	saidAt   time.Time // When it said anything last.
+	limit  float64 // Requests per second; 0 for none.
+	// limitSentAt is when the request was sent whose response announced the limit last, and publishedAt when the
+	// limit was last published to the other boxes.
+	limitSentAt, publishedAt time.Time
+	pacer                    pacing.Pacer
+	// boxesVersion is the version of the list of boxes for which the pacer's share was computed, and nextRenewal
+	// when the list is checked again; zero after a change of the limit.
+	boxesVersion int64
+	nextRenewal  time.Time
+	leaving      bool
+	restBy       time.Time // When the rest of this box ends; zero if none was requested.
+	// malformed is the last malformed notice, as of malformedAt: an endpoint may send another one each time.
+	malformed    string
+	malformedAt  time.Time
+	lastNoticeAt time.Time // When the endpoint last sent a notice.
 }
 
-// Boxes lists the boxes that may send to endpoints of a region, with a number that changes with the list.
+// Boxes lists the boxes that may send to endpoints of a region, with a version that changes with the list.
 type Boxes func(region string) (names []string, version int64)
 
-// Table keeps what endpoints said. It is safe for concurrent use.
+// Table holds the announced state of endpoints. It is safe for concurrent use.
 type Table struct {
 	box   string
 	boxes Boxes
 	epoch time.Time
-	// known counts the endpoints in byID, so that nobody waits for the lock while there are none, and
-	// limits those with a limit.
-	known, limits atomic.Int64
+	// numEndpoints counts the endpoints in byID, so that the lock is not needed while there are none, and
+	// numLimited those with a limit.
+	numEndpoints, numLimited atomic.Int64
 
 	mu   sync.Mutex
 	byID map[string]*endpoint
 }
 
-// NewTable returns a table, for one box, of endpoints that have said nothing.
+// NewTable returns an empty table for one box.
 func NewTable(box string, boxes Boxes) *Table {
 	return &Table{box: box, boxes: boxes, epoch: clock.Now(), byID: map[string]*endpoint{}}
 }
 
-// repeatAfter is how often a limit that still counts is published again, since messages are lost and boxes
-// start meanwhile, and how often a notice that cannot be read is logged.
-const repeatAfter = 5 * time.Second
+// repeatInterval is how often a limit that still applies is published again, since messages are lost and boxes
+// restart, and how often malformed notices of an endpoint are reported.
+const repeatInterval = 5 * time.Second
 
-// Observe takes the head of an answer, and returns what it changes.
+// Observe records the notice of a response, and returns what it changes.
 func (t *Table) Observe(now time.Time, a Answer) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,55 +122,55 @@
 		}
 		e = &endpoint{}
 		t.byID[a.Endpoint] = e
-		t.known.Add(1)
+		t.numEndpoints.Add(1)
 	}
 	e.region = a.Region
 	if a.Notice != (Notice{}) {
-		e.saidAt = now
+		e.lastNoticeAt = now
 	}
-	changes := t.takeLimit(now, e, a)
+	changes := t.updateLimit(now, e, a)
 	if a.Notice.Leaving && !e.leaving {
 		e.leaving = true
 		changes = append(changes, Leaves)
 	}
-	if by := now.Add(a.Notice.Rest); a.Notice.Rest > 0 && by.After(e.restBy) {
-		e.restBy = by
+	if restUntil := now.Add(a.Notice.Rest); a.Notice.Rest > 0 && restUntil.After(e.restBy) {
+		e.restBy = restUntil
 		changes = append(changes, RestAsked)
 	}
-	if other := e.unread != a.Notice.Unread; a.Notice.Unread != "" && other && now.Sub(e.unreadAt) >= repeatAfter {
-		e.unread, e.unreadAt = a.Notice.Unread, now
+	if differs := e.malformed != a.Notice.Unread; a.Notice.Unread != "" && differs && now.Sub(e.malformedAt) >= repeatInterval {
+		e.malformed, e.malformedAt = a.Notice.Unread, now
 		changes = append(changes, Misread)
 	}
 	return changes
 }
 
-// takeLimit takes what an answer says of a limit. The lock is held.
-func (t *Table) takeLimit(now time.Time, e *endpoint, a Answer) []Change {
+// updateLimit records what a response announces about a limit. t.mu must be held.
+func (t *Table) updateLimit(now time.Time, e *endpoint, a Answer) []Change {
 	switch {
 	case a.Notice.Limit > 0:
-		changed := math.Abs(a.Notice.Limit-e.limit) > otherLimit*e.limit
+		changed := math.Abs(a.Notice.Limit-e.limit) > minLimitChange*e.limit
 		if e.limit == 0 {
-			t.limits.Add(1)
+			t.numLimited.Add(1)
 		}
-		e.limit, e.limitAt = a.Notice.Limit, latest(e.limitAt, a.Sent)
+		e.limit, e.limitSentAt = a.Notice.Limit, latest(e.limitSentAt, a.Sent)
 		if changed {
-			e.passedOn, e.renewAt = now, time.Time{}
+			e.publishedAt, e.nextRenewal = now, time.Time{}
 			return []Change{LimitNamed}
 		}
-		if now.Sub(e.passedOn) >= repeatAfter {
-			e.passedOn = now
+		if now.Sub(e.publishedAt) >= repeatInterval {
+			e.publishedAt = now
 			return []Change{LimitRepeated}
 		}
-	case a.Notice.Unread == "" && e.limit > 0 && a.Ran && a.Sent.After(e.limitAt):
-		t.lift(e)
+	case a.Notice.Unread == "" && e.limit > 0 && a.Ran && a.Sent.After(e.limitSentAt):
+		t.clearLimit(e)
 		return []Change{LimitLifted}
 	}
 	return nil
 }
 
-// Knows says whether an endpoint has said anything: an answer without a notice changes nothing otherwise.
+// Knows reports whether an endpoint has sent any notice; otherwise, a response without a notice changes nothing.
 func (t *Table) Knows(id string) bool {
-	if t.known.Load() == 0 {
+	if t.numEndpoints.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
@@ -177,17 +178,17 @@
 	return t.byID[id] != nil
 }
 
-// lift ends the limit of an endpoint. The lock is held.
-func (t *Table) lift(e *endpoint) {
+// clearLimit removes the limit of an endpoint. t.mu must be held.
+func (t *Table) clearLimit(e *endpoint) {
 	if e.limit > 0 {
-		t.limits.Add(-1)
+		t.numLimited.Add(-1)
 	}
-	e.limit, e.pacer, e.renewAt = 0, pacing.Pacer{}, time.Time{}
+	e.limit, e.pacer, e.nextRenewal = 0, pacing.Pacer{}, time.Time{}
 }
 
-// Leaving says that an endpoint has said that it leaves. Nothing takes that back: it is said of one start.
+// Leaving reports whether an endpoint has announced that it leaves. That is final for this start.
 func (t *Table) Leaving(id string) bool {
-	if t.known.Load() == 0 {
+	if t.numEndpoints.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
@@ -196,9 +197,9 @@
 	return e != nil && e.leaving
 }
 
-// Rests says that an endpoint has asked this box for rest that is not over.
+// Rests reports whether an endpoint has asked this box for a rest that is not over.
 func (t *Table) Rests(id string, now time.Time) bool {
-	if t.known.Load() == 0 {
+	if t.numEndpoints.Load() == 0 {
 		return false
 	}
 	t.mu.Lock()
@@ -207,9 +208,9 @@
 	return e != nil && now.Before(e.restBy)
 }
 
-// Wait is how long an endpoint takes nothing new of this box; 0 if it takes some now.
+// Wait is how long an endpoint accepts no new requests from this box; 0 if it accepts one now.
 func (t *Table) Wait(id string, now time.Time) time.Duration {
-	if t.known.Load() == 0 {
+	if t.numEndpoints.Load() == 0 {
 		return 0
 	}
 	t.mu.Lock()
@@ -222,37 +223,37 @@
 	if e.limit == 0 {
 		return rest
 	}
-	t.renew(e, id, now)
+	t.renewShare(e, id, now)
 	return max(rest, e.pacer.Wait(now, t.epoch))
 }
 
-// Sent notes that something new is sent to an endpoint that took it.
+// Sent accounts for a request that was sent to an endpoint and accepted.
 func (t *Table) Sent(id string, now time.Time) {
-	if t.known.Load() == 0 {
+	if t.numEndpoints.Load() == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.byID[id]; e != nil && e.limit > 0 {
-		t.renew(e, id, now)
+		t.renewShare(e, id, now)
 		e.pacer.Sent(now, t.epoch)
 	}
 }
 
-// renewAfter is how often the list of boxes is looked at for a limit.
-const renewAfter = 250 * time.Millisecond
+// renewInterval is how often the list of boxes is checked for an endpoint with a limit.
+const renewInterval = 250 * time.Millisecond
 
-// renew works this box's share of a limit out anew where the limit or the list of boxes has changed. The
-// lock is held.
-func (t *Table) renew(e *endpoint, id string, now time.Time) {
-	if now.Before(e.renewAt) {
+// renewShare computes this box's share of a limit again if the limit or the list of boxes has changed. t.mu must be
+// held.
+func (t *Table) renewShare(e *endpoint, id string, now time.Time) {
+	if now.Before(e.nextRenewal) {
 		return
 	}
 	names, version := t.boxes(e.region)
-	if e.renewAt.IsZero() || e.version != version {
+	if e.nextRenewal.IsZero() || e.boxesVersion != version {
 		e.pacer.Settle(now, pacing.ShareOf(t.box, names, id, e.limit))
 	}
-	e.version, e.renewAt = version, now.Add(renewAfter)
+	e.boxesVersion, e.nextRenewal = version, now.Add(renewInterval)
 }
 
 func latest(a, b time.Time) time.Time {
@@ -262,23 +263,23 @@
 	return b
 }
 
-// keptFor is for how long an endpoint is remembered that asks for nothing, or is not listed: longer than a
-// list is without entries that lapsed while the store was away.
-const keptFor = 10 * time.Minute
+// endpointTTL is how long an endpoint is remembered that has nothing in force, or is not listed. It is longer than
+// a list may lack entries that expired while the store was unavailable.
+const endpointTTL = 10 * time.Minute
 
-// Keep forgets endpoints that said nothing for long and ask for nothing any more or are not listed.
+// Keep forgets endpoints without a recent notice that have nothing in force or are not listed.
 func (t *Table) Keep(now time.Time, listed func(id string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.byID {
-		asks := e.limit > 0 || e.leaving || now.Before(e.restBy)
-		if now.Sub(e.saidAt) > keptFor && !(asks && listed(id)) {
-			t.lift(e)
+		inForce := e.limit > 0 || e.leaving || now.Before(e.restBy)
+		if now.Sub(e.lastNoticeAt) > endpointTTL && !(inForce && listed(id)) {
+			t.clearLimit(e)
 			delete(t.byID, id)
-			t.known.Add(-1)
+			t.numEndpoints.Add(-1)
 		}
 	}
 }
 
-// Limited counts the endpoints that have a limit now.
-func (t *Table) Limited() int { return int(t.limits.Load()) }
+// Limited returns the number of endpoints with a limit.
+func (t *Table) Limited() int { return int(t.numLimited.Load()) }
