--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -1,29 +1,28 @@
-// Package cost is the cost model of the engines. The stand-ins run it in real
-// time and the benchmark in virtual time, so that both show the same engine.
+// Package cost is the performance model of the engines. The stand-in engines run it in real time and the benchmark in
+// virtual time, so that both simulate the same engine.
 package cost
 
 import "time"
 
-// Model gives the speed of one engine.
+// Model describes the speed and memory of one engine.
 type Model struct {
-	// PrefillRate is uncached prompt tokens a second.
+	// PrefillRate is in uncached prompt tokens per second.
 	PrefillRate float64
 	// PrefillBase is added to every prefill.
 	PrefillBase time.Duration
-	// Step and StepPerStream give the time between tokens: the step of a batch
-	// slows with its size.
+	// Step and StepPerStream determine the time between tokens, which grows with the size of the batch.
 	Step          time.Duration
 	StepPerStream time.Duration
 	// KVTokens is the KV memory in tokens.
 	KVTokens int
-	// KVBytesPerToken and LinkRate (bytes a second) give the time of a transfer.
+	// KVBytesPerToken and LinkRate, in bytes per second, determine the time of a transfer.
 	KVBytesPerToken int
 	LinkRate        float64
 	// Expiry is how long a prefill's result is kept.
 	Expiry time.Duration
 }
 
-// Prefill is the time to read a prompt of which cached tokens are cached.
+// Prefill is the time to prefill a prompt of which some tokens are cached.
 func (m Model) Prefill(tokens, cached int) time.Duration {
 	return m.PrefillBase + seconds(float64(max(1, tokens-cached))/m.PrefillRate)
 }
@@ -33,7 +32,7 @@
 	return m.Step + time.Duration(n)*m.StepPerStream
 }
 
-// Transfer is the time a KV cache of that many tokens takes on an idle link.
+// Transfer is the time to transfer the KV cache of that many tokens over an idle link.
 func (m Model) Transfer(tokens int) time.Duration {
 	return seconds(float64(tokens) * float64(m.KVBytesPerToken) / m.LinkRate)
 }
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -62,7 +62,7 @@
 	// later than the last one.
 	Leaves
 	RestAsked
-	// Misread means a malformed notice that is not a recent repetition.
+	// Misread means a malformed notice that differs from the last one reported.
 	Misread
 )
 
@@ -108,7 +108,7 @@
 }
 
 // repeatInterval is how often a limit that still applies is published again, since messages are lost and boxes
-// restart, and how often malformed notices of an endpoint are reported.
+// restart, and the minimum time between reports of malformed notices of one endpoint.
 const repeatInterval = 5 * time.Second
 
 // Observe records the notice of a response, and returns what it changes.
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,6 +1,5 @@
-// Package outcome names every way a request can end. Both enums are closed:
-// code that handles a request returns one Outcome value, never an ad-hoc error
-// string, and every Reason has a counter, a sentence for operators and a rule
+// Package outcome names every way a request can end. Both enums are closed: code that handles a request returns
+// an Outcome value, never an ad-hoc error string, and every Reason has a counter, a sentence for operators and a rule
 // for what the caller may do next.
 package outcome
 
@@ -20,7 +19,7 @@
 	NotRun
 	// MayHaveRun means an endpoint was sent the request and no answer reached the caller.
 	MayHaveRun
-	// CutOff means the caller received part of an answer and was told it is not whole.
+	// CutOff means the caller received part of an answer and was told that it is incomplete.
 	CutOff
 	// Cancelled means the caller went away first.
 	Cancelled
@@ -31,10 +30,10 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Reason says why a request ended, or why an attempt was given up.
+// Reason says why a request ended, or why an attempt failed.
 type Reason uint8
 
-// The reasons. The table below gives the words and the HTTP status of each.
+// Reasons. The table reasons has the name, the HTTP status and the sentence of each.
 const (
 	OK Reason = iota
 	BadRequest
@@ -142,10 +141,10 @@
 
 func (r Reason) String() string { return reasons[r].name }
 
-// Sentence says in plain English what the reason means.
+// Sentence describes the reason in plain English.
 func (r Reason) Sentence() string { return reasons[r].sentence }
 
-// Status is the HTTP status a refusal for this reason carries.
+// Status is the HTTP status of a refusal for this reason.
 func (r Reason) Status() int {
 	if s := reasons[r].status; s != 0 {
 		return s
@@ -153,8 +152,7 @@
 	return http.StatusInternalServerError
 }
 
-// Passes says whether the same request may do better later: what is wrong is not wrong
-// with the request.
+// Passes reports whether the same request may succeed later, because the cause is not in the request.
 func (r Reason) Passes() bool {
 	switch s := r.Status(); s {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -163,7 +161,7 @@
 	return false
 }
 
-// All calls fn with every reason, so that each has its counter from the start.
+// All calls fn with every reason, so that a counter for each can be registered at the start.
 func All(fn func(Reason)) {
 	for r := OK; r < reasonCount; r++ {
 		fn(r)
@@ -177,24 +175,24 @@
 	}
 }
 
-// Outcome is the end of one request.
+// Outcome is how one request ended.
 type Outcome struct {
 	Kind   Kind
 	Reason Reason
-	// Detail adds what the reason's sentence cannot know, such as the name of the
-	// limit or the place of a syntax error. It holds no prompt text and no key.
+	// Detail adds specifics to the reason's sentence, such as the name of the limit or the position of a syntax
+	// error. It contains no prompt text and no key.
 	Detail string
-	// RetryAfter tells the caller when to come back; zero where waiting does not help.
+	// RetryAfter tells the caller when to retry; zero if a retry would not help.
 	RetryAfter time.Duration
 }
 
-// Refuse returns a NotRun outcome. Only code that knows that no byte of the
-// request left for an endpoint, or that the endpoint said so, may call it.
+// Refuse returns a NotRun outcome. It may be called only by code that knows that no byte of the request was sent to
+// an endpoint, or that the endpoint reported that it did not run the request.
 func Refuse(r Reason, detail string) Outcome {
 	return Outcome{Kind: NotRun, Reason: r, Detail: detail}
 }
 
-// Message is the text a caller reads.
+// Message is the text sent to the caller.
 func (o Outcome) Message() string {
 	if o.Detail == "" {
 		return o.Reason.Sentence()
@@ -202,7 +200,7 @@
 	return fmt.Sprintf("%s: %s", o.Reason.Sentence(), o.Detail)
 }
 
-// MarshalText writes the reason's name, so that records read well as JSON.
+// MarshalText writes the reason's name, which keeps JSON records readable.
 func (r Reason) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
 // UnmarshalText reads a reason's name.
--- a/internal/policy/cases.go
+++ b/internal/policy/cases.go
@@ -16,8 +16,8 @@
 	Failure string // Empty if the case passed.
 }
 
-// RunCases runs an operator's test cases: a Starlark text that sees the
-// program's own functions and
+// RunCases runs an operator's test cases: a Starlark program that can call the policy's own functions and the
+// following ones.
 //
 //	request(prompt_tokens = 8000, client = "lab")   # fields not given have usual values
 //	pool(waiting = 12), pair(queue = 0.1)
@@ -31,21 +31,21 @@
 	if err != nil {
 		return nil, err
 	}
-	names := starlark.StringDict{
+	env := starlark.StringDict{
 		"request": starlark.NewBuiltin("request", makeRequest),
 		"pool":    starlark.NewBuiltin("pool", makePool),
 		"pair":    starlark.NewBuiltin("pair", makePair),
 	}
 	for k, v := range predeclared {
-		names[k] = v
+		env[k] = v
 	}
 	for k, v := range globals {
-		names[k] = v
+		env[k] = v
 	}
 	var results []CaseResult
-	names["expect"] = starlark.NewBuiltin("expect", expecter(&results, expectEqual))
-	names["expect_less"] = starlark.NewBuiltin("expect_less", expecter(&results, expectLess))
-	if _, err := load(name+" cases", cases, names); err != nil {
+	env["expect"] = starlark.NewBuiltin("expect", expecter(&results, expectEqual))
+	env["expect_less"] = starlark.NewBuiltin("expect_less", expecter(&results, expectLess))
+	if _, err := load(name+" cases", cases, env); err != nil {
 		return results, err
 	}
 	if len(results) == 0 {
@@ -69,7 +69,7 @@
 	}
 }
 
-// expectEqual compares verdicts by what they decide, and by their text where one is wanted.
+// expectEqual compares verdicts by their kind, and also by their text if want has one.
 func expectEqual(got, want starlark.Value) (string, error) {
 	g, okG := got.(*verdictValue)
 	w, okW := want.(*verdictValue)
@@ -79,8 +79,8 @@
 		}
 		return "", nil
 	}
-	same, err := starlark.Equal(got, want)
-	if err != nil || same {
+	equal, err := starlark.Equal(got, want)
+	if err != nil || equal {
 		return "", err
 	}
 	return fmt.Sprintf("got %s, wanted %s", got, want), nil
@@ -98,7 +98,7 @@
 	return fmt.Sprintf("%s is not less than %s", a, b), nil
 }
 
-// seconds is a number argument that stands for a duration.
+// secondsArg is an argument in seconds that sets a duration.
 type secondsArg struct{ d *time.Duration }
 
 func (s secondsArg) Unpack(v starlark.Value) error {
--- a/internal/policy/examples_test.go
+++ b/internal/policy/examples_test.go
@@ -7,7 +7,7 @@
 	"github.com/stoatramp/stoatramp/internal/config"
 )
 
-// The examples for operators pass their own cases.
+// The example policies for operators pass their own test cases.
 func TestExamples(t *testing.T) {
 	for _, name := range []string{"kalbarri", "norrvik"} {
 		base := "../../examples/policies/" + name
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -4,8 +4,8 @@
 //	def admit(request, pool):     # run(), wait() or refuse("why")
 //	def weigh(request, pair):     # seconds to add to the cost of a pair
 //
-// It is hermetic, cannot loop without end, and sees only engines that the
-// promises allow. Where it fails, the built-in rules stand in.
+// A program has no access to the outside, cannot loop forever, and sees only engines that the guarantees to
+// callers permit. If it fails, the built-in rules decide.
 package policy
 
 import (
@@ -27,7 +27,7 @@
 	maxWeight = 10
 )
 
-// options is the language: functions and ifs, no recursion, no while.
+// options restricts the language to functions and conditionals, without recursion and while loops.
 var options = &syntax.FileOptions{TopLevelControl: false}
 
 // Program is a compiled policy. It is not safe for concurrent use: the decision
@@ -37,7 +37,7 @@
 	admit  starlark.Callable
 	weigh  starlark.Callable
 
-	// The arguments are kept between calls to spare allocations.
+	// The arguments are reused between calls to avoid allocations.
 	req  requestValue
 	pool poolValue
 	pair pairValue
@@ -52,10 +52,10 @@
 		return nil, err
 	}
 	p := &Program{thread: &starlark.Thread{Name: name}}
-	if p.admit, err = function(globals, "admit"); err != nil {
+	if p.admit, err = globalFunction(globals, "admit"); err != nil {
 		return nil, err
 	}
-	if p.weigh, err = function(globals, "weigh"); err != nil {
+	if p.weigh, err = globalFunction(globals, "weigh"); err != nil {
 		return nil, err
 	}
 	if p.admit == nil && p.weigh == nil {
@@ -64,15 +64,15 @@
 	return p, nil
 }
 
-func load(name, text string, names starlark.StringDict) (starlark.StringDict, error) {
+func load(name, text string, env starlark.StringDict) (starlark.StringDict, error) {
 	thread := &starlark.Thread{Name: name}
 	thread.SetMaxExecutionSteps(maxSteps)
-	globals, err := starlark.ExecFileOptions(options, thread, name, text, names)
-	return globals, plain(err)
+	globals, err := starlark.ExecFileOptions(options, thread, name, text, env)
+	return globals, withPosition(err)
 }
 
-// plain adds the place to an error of a running program.
-func plain(err error) error {
+// withPosition adds the source position to an error of a running program.
+func withPosition(err error) error {
 	var eval *starlark.EvalError
 	if errors.As(err, &eval) && len(eval.CallStack) > 0 {
 		return fmt.Errorf("%s: %s", eval.CallStack.At(0).Pos, eval.Msg)
@@ -80,8 +80,8 @@
 	return err
 }
 
-// function finds a global of that name; both kinds of functions take two arguments.
-func function(globals starlark.StringDict, name string) (starlark.Callable, error) {
+// globalFunction returns the global function of that name, which must take two arguments; nil if there is none.
+func globalFunction(globals starlark.StringDict, name string) (starlark.Callable, error) {
 	v, ok := globals[name]
 	if !ok {
 		return nil, nil
@@ -100,10 +100,10 @@
 	p.thread.SetMaxExecutionSteps(p.thread.Steps + maxSteps)
 	p.thread.Uncancel()
 	v, err := starlark.Call(p.thread, f, args, nil)
-	return v, plain(err)
+	return v, withPosition(err)
 }
 
-// Admit asks the program about an arrival.
+// Admit calls the program's admit function for an arriving request.
 func (p *Program) Admit(r *decide.Request, v decide.View) decide.Verdict {
 	if p.admit == nil {
 		return decide.Verdict{}
@@ -120,7 +120,7 @@
 	return decide.Verdict{Refuse: verdict.kind == refuse, Wait: verdict.kind == wait, Text: verdict.text}
 }
 
-// Weigh asks the program about a pair.
+// Weigh calls the program's weigh function for a candidate pair.
 func (p *Program) Weigh(r *decide.Request, c *decide.Candidate) (float64, error) {
 	if p.weigh == nil {
 		return 0, nil
@@ -140,7 +140,7 @@
 // Set holds the compiled policies of one configuration.
 type Set struct{ byName map[string]*Program }
 
-// Policy returns the program of that name, nil if there is none.
+// Policy returns the program of that name; nil if there is none.
 func (s *Set) Policy(name string) decide.Policy {
 	if p, ok := s.byName[name]; ok {
 		return p
@@ -161,7 +161,7 @@
 	return s, nil
 }
 
-// RuleSet is the compiled policies of boxes on a platform, and the requests they are for.
+// RuleSet is the compiled policies of boxes on a platform, and the rules that select them.
 type RuleSet struct {
 	set   *Set
 	rules []*config.Rule
@@ -176,7 +176,7 @@
 	return &RuleSet{set, c.Rules}, nil
 }
 
-// For returns the policy of the first rule that fits and that rule's name; nil if none does.
+// For returns the policy and the name of the first rule that matches; nil if none does.
 func (s *RuleSet) For(kind, service string, priority int) (decide.Policy, string) {
 	for _, r := range s.rules {
 		if r.Fits(kind, service, priority) {
@@ -186,7 +186,7 @@
 	return nil, ""
 }
 
-// Check compiles a program and runs the operator's own cases.
+// Check compiles a program and runs the operator's own test cases.
 func Check(c *config.Policy) error {
 	if _, err := New(c.Name, c.Program); err != nil {
 		return err
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -50,11 +50,11 @@
 	}
 }
 
-func expectBad(t *testing.T, program, cases, want string) {
+func expectCheckError(t *testing.T, program, cases, want string) {
 	t.Helper()
 	err := Check(&config.Policy{Name: "p", Program: program, Cases: cases})
 	if err == nil || !strings.Contains(err.Error(), want) {
-		t.Errorf("expected an error with %q, got %v", want, err)
+		t.Errorf("expected an error containing %q, got %v", want, err)
 	}
 }
 
@@ -66,17 +66,17 @@
 `}); err != nil {
 		t.Errorf("expected the example to pass, got %v", err)
 	}
-	expectBad(t, "x = 1", "", "expected a function")
-	expectBad(t, "def admit(request): return run()", "", "takes 1 parameters, expected 2")
-	expectBad(t, "def admit(request, pool)\n  return run()", "", "p:2:1")
-	expectBad(t, "def admit(request, pool): return nothing()", "", "undefined: nothing")
-	expectBad(t, "while True: pass", "", "")
-	expectBad(t, example, `expect("wrong", admit(request(), pool()), refuse())`, `case "wrong": got run(), wanted refuse()`)
-	expectBad(t, example, `x = 1`, "expect nothing")
-	expectBad(t, example, `expect("typo", admit(request(promt_tokens = 1), pool()), run())`, "promt_tokens")
+	expectCheckError(t, "x = 1", "", "expected a function")
+	expectCheckError(t, "def admit(request): return run()", "", "takes 1 parameters, expected 2")
+	expectCheckError(t, "def admit(request, pool)\n  return run()", "", "p:2:1")
+	expectCheckError(t, "def admit(request, pool): return nothing()", "", "undefined: nothing")
+	expectCheckError(t, "while True: pass", "", "")
+	expectCheckError(t, example, `expect("wrong", admit(request(), pool()), refuse())`, `case "wrong": got run(), wanted refuse()`)
+	expectCheckError(t, example, `x = 1`, "expect nothing")
+	expectCheckError(t, example, `expect("typo", admit(request(promt_tokens = 1), pool()), run())`, "promt_tokens")
 }
 
-// A program that fails or runs too long leaves the decision to the built-in rules.
+// If a program fails or runs too long, the built-in rules decide.
 func TestFaults(t *testing.T) {
 	for _, program := range []string{
 		"def admit(request, pool): return 1 // 0",
@@ -88,7 +88,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for range 2 { // A fault must not spoil the calls after it.
+		for range 2 { // A fault must not affect later calls.
 			if v := p.Admit(&decide.Request{}, decide.View{}); v.Fault == "" || v.Refuse || v.Wait {
 				t.Errorf("%q: expected a fault, got %+v", program, v)
 			}
--- a/internal/policy/values.go
+++ b/internal/policy/values.go
@@ -9,18 +9,18 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// frozen gives a read-only value its dull methods.
-type frozen struct{}
+// readOnly implements the trivial starlark.Value methods of a read-only value.
+type readOnly struct{}
 
-func (frozen) Freeze()               {}
-func (frozen) Truth() starlark.Bool  { return starlark.True }
-func (frozen) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable") }
+func (readOnly) Freeze()               {}
+func (readOnly) Truth() starlark.Bool  { return starlark.True }
+func (readOnly) Hash() (uint32, error) { return 0, fmt.Errorf("unhashable") }
 
-func secs(d time.Duration) starlark.Value { return starlark.Float(d.Seconds()) }
+func secondsValue(d time.Duration) starlark.Value { return starlark.Float(d.Seconds()) }
 
-// requestValue is the request as a program sees it.
+// requestValue is a request as seen by a program.
 type requestValue struct {
-	frozen
+	readOnly
 	r *decide.Request
 }
 
@@ -38,7 +38,7 @@
 	case "expect_tokens":
 		return starlark.MakeInt(v.r.ExpectTokens), nil
 	case "first_token":
-		return secs(v.r.FirstToken), nil
+		return secondsValue(v.r.FirstToken), nil
 	case "kind":
 		return starlark.String(v.r.Kind), nil
 	case "max_tokens":
@@ -57,9 +57,9 @@
 	return nil, nil
 }
 
-// poolValue is the pool as a program sees it.
+// poolValue is a pool as seen by a program.
 type poolValue struct {
-	frozen
+	readOnly
 	v decide.View
 }
 
@@ -73,18 +73,18 @@
 	case "decode_free":
 		return starlark.MakeInt(v.v.DecodeFreeKV), nil
 	case "predicted":
-		return secs(v.v.PredictedTime), nil
+		return secondsValue(v.v.PredictedTime), nil
 	case "prefill_queue":
-		return secs(v.v.PrefillQueue), nil
+		return secondsValue(v.v.PrefillQueue), nil
 	case "waiting":
 		return starlark.MakeInt(v.v.Waiting), nil
 	}
 	return nil, nil
 }
 
-// pairValue is a candidate pair as a program sees it.
+// pairValue is a candidate pair as seen by a program.
 type pairValue struct {
-	frozen
+	readOnly
 	c *decide.Candidate
 }
 
@@ -100,26 +100,26 @@
 	case "decode":
 		return starlark.String(v.c.Decode), nil
 	case "first":
-		return secs(v.c.First), nil
+		return secondsValue(v.c.First), nil
 	case "free":
 		return starlark.MakeInt(v.c.FreeKV), nil
 	case "prefill":
 		return starlark.String(v.c.Prefill), nil
 	case "queue":
-		return secs(v.c.Queue), nil
+		return secondsValue(v.c.Queue), nil
 	case "read":
-		return secs(v.c.Read), nil
+		return secondsValue(v.c.Read), nil
 	case "same_hall":
 		return starlark.Bool(v.c.SameHall), nil
 	case "step":
-		return secs(v.c.Step), nil
+		return secondsValue(v.c.Step), nil
 	case "transfer":
-		return secs(v.c.Transfer), nil
+		return secondsValue(v.c.Transfer), nil
 	}
 	return nil, nil
 }
 
-// verdictKind is what admit decides.
+// verdictKind is a decision of admit.
 type verdictKind uint8
 
 const (
@@ -130,9 +130,9 @@
 
 var verdictNames = [...]string{"run", "wait", "refuse"}
 
-// verdictValue is what run(), wait() and refuse() return.
+// verdictValue is the result of run(), wait() and refuse().
 type verdictValue struct {
-	frozen
+	readOnly
 	kind verdictKind
 	text string
 }
@@ -145,7 +145,7 @@
 }
 func (v *verdictValue) Type() string { return "verdict" }
 
-// predeclared are the names every program has beside the language's own.
+// predeclared has the names that every program has in addition to Starlark's own.
 var predeclared = starlark.StringDict{
 	"run":    verdictBuiltin(run),
 	"wait":   verdictBuiltin(wait),
@@ -154,10 +154,10 @@
 
 func verdictBuiltin(kind verdictKind) *starlark.Builtin {
 	name := verdictNames[kind]
-	bare := &verdictValue{kind: kind}
+	withoutText := &verdictValue{kind: kind}
 	return starlark.NewBuiltin(name, func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, kwargs []starlark.Tuple) (starlark.Value, error) {
 		if len(args)+len(kwargs) == 0 {
-			return bare, nil
+			return withoutText, nil
 		}
 		v := &verdictValue{kind: kind}
 		err := starlark.UnpackArgs(name, args, kwargs, "text?", &v.text)
--- a/internal/record/explain.go
+++ b/internal/record/explain.go
@@ -9,26 +9,26 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// Explain says in plain sentences what became of the request and why.
+// Explain describes in plain sentences what happened to the request and why.
 func Explain(r *Record) []string {
-	out := []string{opening(r)}
+	out := []string{openingSentence(r)}
 	for _, s := range r.Steps {
-		out = append(out, at(s.After)+" "+sentence(&s))
-		out = append(out, figures(s.Choice)...)
+		out = append(out, offsetText(s.After)+" "+stepSentence(&s))
+		out = append(out, candidateLines(s.Choice)...)
 	}
-	return append(out, closing(r))
+	return append(out, closingSentence(r))
 }
 
-func at(d time.Duration) string { return fmt.Sprintf("+%s:", round(d)) }
+func offsetText(d time.Duration) string { return fmt.Sprintf("+%s:", roundDuration(d)) }
 
-func round(d time.Duration) time.Duration {
+func roundDuration(d time.Duration) time.Duration {
 	if d < 10*time.Millisecond {
 		return d.Round(10 * time.Microsecond)
 	}
 	return d.Round(time.Millisecond)
 }
 
-func opening(r *Record) string {
+func openingSentence(r *Record) string {
 	who := "A caller"
 	switch {
 	case r.Client != "":
@@ -56,7 +56,7 @@
 	return s + "."
 }
 
-func sentence(s *Step) string {
+func stepSentence(s *Step) string {
 	switch s.Kind {
 	case StepPolicy:
 		return fmt.Sprintf("The route's policy said: %s.", s.Text)
@@ -110,7 +110,7 @@
 		return ""
 	}
 	return fmt.Sprintf(", the best of %d: %d calls of this box in progress, answers after %s on average, %d failures in a row; the list was heard of %s ago",
-		s.Compared, s.Calls, round(s.Mean), s.Failures, round(s.ListAge))
+		s.Compared, s.Calls, roundDuration(s.Mean), s.Failures, roundDuration(s.ListAge))
 }
 
 func waitText(s *Step) string {
@@ -121,8 +121,8 @@
 	return fmt.Sprintf("%s, and %d requests were waiting", role, s.Tokens)
 }
 
-// figures lists the pairs compared, the chosen one first.
-func figures(ch *decide.Choice) []string {
+// candidateLines lists the compared pairs, the chosen one first.
+func candidateLines(ch *decide.Choice) []string {
 	if ch == nil {
 		return nil
 	}
@@ -134,18 +134,18 @@
 			verdict = "chosen, the lowest cost"
 		}
 		out = append(out, fmt.Sprintf("    %s -> %s: queue %s, read %s (%d cached), transfer %s, first token in %s, %s between tokens, %d tokens free, cost %.1f ms: %s.",
-			c.Prefill, c.Decode, round(c.Queue), round(c.Read), c.Cached, round(c.Transfer), round(c.First), round(c.Step), c.FreeKV, c.Cost*1000, verdict))
+			c.Prefill, c.Decode, roundDuration(c.Queue), roundDuration(c.Read), c.Cached, roundDuration(c.Transfer), roundDuration(c.First), roundDuration(c.Step), c.FreeKV, c.Cost*1000, verdict))
 	}
-	if more := ch.Compared - len(ch.Candidates); more > 0 {
-		out = append(out, fmt.Sprintf("    %d more pairs cost more.", more))
+	if omitted := ch.Compared - len(ch.Candidates); omitted > 0 {
+		out = append(out, fmt.Sprintf("    %d more pairs cost more.", omitted))
 	}
-	if text := passedText(ch.Passed); text != "" {
+	if text := passedOverText(ch.Passed); text != "" {
 		out = append(out, "    Engines left out: "+text+".")
 	}
 	return out
 }
 
-func passedText(p decide.PassedOver) string {
+func passedOverText(p decide.PassedOver) string {
 	var parts []string
 	add := func(n int, what string) {
 		if n > 0 {
@@ -161,24 +161,24 @@
 	return strings.Join(parts, ", ")
 }
 
-func closing(r *Record) string {
+func closingSentence(r *Record) string {
 	because := r.Reason.Sentence()
 	if r.Detail != "" {
 		because += ": " + r.Detail
 	}
 	switch r.Kind {
 	case outcome.Answered:
-		s := fmt.Sprintf("Answered whole after %s", round(r.Took))
+		s := fmt.Sprintf("Answered whole after %s", roundDuration(r.Took))
 		if r.Output > 0 {
-			s += fmt.Sprintf(": %d tokens, the first after %s, the longest gap %s", r.Output, round(r.FirstToken), round(r.LongestGap))
+			s += fmt.Sprintf(": %d tokens, the first after %s, the longest gap %s", r.Output, roundDuration(r.FirstToken), roundDuration(r.LongestGap))
 		}
 		return s + "."
 	case outcome.NotRun:
-		return fmt.Sprintf("Refused after %s, and it did not run: %s.", round(r.Took), because)
+		return fmt.Sprintf("Refused after %s, and it did not run: %s.", roundDuration(r.Took), because)
 	case outcome.MayHaveRun:
-		return fmt.Sprintf("Given up after %s, and it may have run: %s.", round(r.Took), because)
+		return fmt.Sprintf("Given up after %s, and it may have run: %s.", roundDuration(r.Took), because)
 	case outcome.CutOff:
-		return fmt.Sprintf("Cut off after %s and %d tokens; the caller was told that the answer is not whole: %s.", round(r.Took), r.Output, because)
+		return fmt.Sprintf("Cut off after %s and %d tokens; the caller was told that the answer is not whole: %s.", roundDuration(r.Took), r.Output, because)
 	}
-	return fmt.Sprintf("Cancelled after %s: %s.", round(r.Took), because)
+	return fmt.Sprintf("Cancelled after %s: %s.", roundDuration(r.Took), because)
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record keeps what was decided about each request and says it in plain
-// sentences. A record holds no prompt text and no key.
+// Package record stores the decisions about each request and explains them in plain sentences. A record contains no
+// prompt text and no key.
 package record
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// StepKind says what a step of a request was.
+// StepKind is the kind of a Step.
 type StepKind string
 
-// The kinds of steps.
+// Kinds of steps.
 const (
 	StepPolicy   StepKind = "policy"
 	StepWait     StepKind = "wait"
@@ -27,13 +27,13 @@
 	StepWaste    StepKind = "waste"
 	StepEndpoint StepKind = "endpoint" // A plain service's endpoint was called.
 	StepFailed   StepKind = "failed"   // A call to Decode failed; Text is the connection's error.
-	StepMigrate  StepKind = "migrate"  // A stream is to be moved to Decode, because of Text.
-	StepMigrated StepKind = "migrated" // It goes on at Decode.
-	StepStayed   StepKind = "stayed"   // It could not be moved.
-	StepNoRoom   StepKind = "no_room"  // A decode engine refused to set memory aside, or its home, named in Text, to grant it.
+	StepMigrate  StepKind = "migrate"  // A stream is to be migrated to Decode, because of Text.
+	StepMigrated StepKind = "migrated" // The stream continues at Decode.
+	StepStayed   StepKind = "stayed"   // The migration was aborted, and the stream continues where it was.
+	StepNoRoom   StepKind = "no_room"  // A decode engine refused to reserve memory, or its owner, named in Text, did not grant it.
 )
 
-// Step is one thing that happened to a request.
+// Step is one event in the processing of a request.
 type Step struct {
 	// After is the time since the request arrived.
 	After   time.Duration  `json:"after_ns"`
@@ -45,26 +45,25 @@
 	Text    string         `json:"text,omitempty"`
 	Tokens  int            `json:"tokens,omitempty"`
 	Choice  *decide.Choice `json:"choice,omitempty"`
-	// Seen is what was known of a plain service's endpoint when it was chosen.
+	// Seen is the state of a plain service's endpoint when it was selected.
 	Seen *Seen `json:"seen,omitempty"`
 }
 
-// Seen is what a box knew of an endpoint of a plain service.
+// Seen is the state of an endpoint of a plain service as observed by a box.
 type Seen struct {
-	// Compared is how many endpoints could have been chosen.
+	// Compared is the number of endpoints that could have been selected.
 	Compared int `json:"compared"`
-	// Calls is how many calls of this box it had in progress.
+	// Calls is the number of this box's calls to it that were in progress.
 	Calls int `json:"calls"`
-	// Mean is the moving mean of how long its answers took.
+	// Mean is the moving average of its response times.
 	Mean time.Duration `json:"mean_ns"`
-	// Failures is how many of its last calls failed in a row.
+	// Failures is the number of its latest calls that failed in a row.
 	Failures int `json:"failures"`
-	// ListAge is how long ago the list of endpoints was heard of last.
+	// ListAge is the time since the list of endpoints was last received.
 	ListAge time.Duration `json:"list_age_ns"`
 }
 
-// StepOf says an action of the decisions as a step; ok is false for an action that
-// the record does not show.
+// StepOf converts an action of package decide to a step; ok is false for an action that is not recorded.
 func StepOf(a decide.Action) (s Step, ok bool) {
 	switch a := a.(type) {
 	case decide.StartPrefill:
@@ -94,7 +93,7 @@
 	return Step{}, false
 }
 
-// Record is the whole account of one request.
+// Record is everything that is recorded about one request.
 type Record struct {
 	ID     string    `json:"id"`
 	Box    string    `json:"box"`
@@ -103,9 +102,9 @@
 	Model  string    `json:"model,omitempty"`
 	Path   string    `json:"path"`
 	At     time.Time `json:"at"`
-	// ConfigVersion is the configuration the decisions were made under.
+	// ConfigVersion is the version of the configuration that the decisions were based on.
 	ConfigVersion int64 `json:"config_version"`
-	// Rule names the rule whose policy was asked, as of PolicyVersion; empty if none was.
+	// Rule names the rule whose policy was applied, as of PolicyVersion; empty if there was none.
 	Rule          string         `json:"rule,omitempty"`
 	PolicyVersion int64          `json:"policy_version,omitempty"`
 	PromptTokens  int            `json:"prompt_tokens,omitempty"`
@@ -120,13 +119,13 @@
 	FirstToken    time.Duration  `json:"first_token_ns,omitempty"`
 	LongestGap    time.Duration  `json:"longest_gap_ns,omitempty"`
 	Output        int            `json:"output_tokens,omitempty"`
-	// Begun says that the caller was sent the head of an answer.
+	// Begun says that the caller was sent the header of a response.
 	Begun bool          `json:"begun,omitempty"`
 	Took  time.Duration `json:"took_ns"`
 }
 
-// LastEndpoint is the endpoint that answered the request last, or was called last for an answer; empty
-// if there was none.
+// LastEndpoint returns the endpoint that answered the request last, or was called last for an answer; empty if there
+// was none.
 func (r *Record) LastEndpoint() string {
 	for i := len(r.Steps) - 1; i >= 0; i-- {
 		switch s := &r.Steps[i]; s.Kind {
@@ -137,7 +136,7 @@
 	return ""
 }
 
-// Ring keeps the newest records of a box in memory.
+// Ring holds the newest records of a box in memory.
 type Ring struct {
 	mu   sync.Mutex
 	size int
@@ -151,7 +150,7 @@
 	return &Ring{size: size, byID: map[string]*Record{}}
 }
 
-// Add keeps a finished record; it must not be changed afterwards.
+// Add stores a finished record, which must not be changed afterwards.
 func (g *Ring) Add(r *Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -165,7 +164,7 @@
 	g.next = (g.next + 1) % g.size
 }
 
-// Get finds a record by request id; nil if it is not here.
+// Get returns the record of a request id; nil if it is not in the ring.
 func (g *Ring) Get(id string) *Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
