--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -98,7 +98,7 @@
 }
 
 // The model must reject a claim that runs although its write was not confirmed.
-func TestKeyHistoriesCatchABug(t *testing.T) {
+func TestKeyModelDetectsBug(t *testing.T) {
 	ignoresStoreDown := func(c *Claims, request string) (*Claim, outcome.Outcome) {
 		cl, o := acquire(c, request)
 		if o.Reason == outcome.StoreDown {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -243,7 +243,7 @@
 
 // The checks detect a holder that assumes a write without a reply took effect, and one that does not check
 // the clock again before it sends the order.
-func TestLeaseCheckers(t *testing.T) {
+func TestLeaseModelDetectsBugs(t *testing.T) {
 	trustsLostReply := func(k *Keeper) (Lease, error) {
 		l, err := k.Acquire(context.Background())
 		if err != nil && !errors.Is(err, ErrHeld) {
@@ -265,7 +265,7 @@
 }
 
 // The checks detect a holder that ignores eras, and one whose fences do not contain the era.
-func TestLeaseCheckersOfEras(t *testing.T) {
+func TestLeaseModelDetectsEraBugs(t *testing.T) {
 	ignoresEras := func(k *Keeper) (Lease, error) {
 		k.Observed = nil
 		return k.Acquire(context.Background())
--- a/internal/pacing/share_test.go
+++ b/internal/pacing/share_test.go
@@ -264,7 +264,7 @@
 	}},
 }
 
-// The sum over all boxes stays within the bound, whichever boxes they know of.
+// The sum over all boxes stays within the bound, whichever other boxes each of them knows.
 func TestLimitHoldsForTheSumOfAllBoxes(t *testing.T) {
 	for _, n := range []int{8, 60, 400} {
 		for _, limit := range []float64{0.5, 6, 60} {
@@ -275,7 +275,7 @@
 						s := newShareSim(selectedBoxes, n, limit, seed)
 						s.run(10, fault.apply)
 						if worst := s.worstWindow(); worst > 1 {
-							t.Errorf("seed %d: expected at most 1 times the bound in any 4 s, got %.2f times", seed, worst)
+							t.Errorf("seed %d: expected at most the bound in any 4 s, got %.2f times the bound", seed, worst)
 						}
 					}
 				})
@@ -294,7 +294,7 @@
 }
 
 // Every box gets a slot: one that never sends to an endpoint cannot get the response that lifts its limit.
-func TestEveryBoxHasATurn(t *testing.T) {
+func TestEveryBoxHasASlot(t *testing.T) {
 	list := (&shareSim{boxes: newShareSim(selectedBoxes, 60, 6, 1).boxes}).boxNames()
 	for _, box := range list {
 		s := ShareOf(box, list, simEndpoint, 6)
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -23,7 +23,7 @@
 	minCrashBits = 2
 	// Enough is the total at which a request is quarantined. Where endpoints crash 0.02, 0.05 and
 	// 0.1 times per second, a harmless 3 s request that is restarted after each crash is wrongly
-	// quarantined once in 100,000, 13,000 and 2,000 times (TestWronglyHeld).
+	// quarantined once in 100,000, 13,000 and 2,000 times (TestWrongQuarantineRate).
 	Enough = 13
 )
 
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -141,7 +141,7 @@
 }
 
 // While the store is unavailable each box acts on its own observations; afterwards all boxes agree.
-func TestStoreAway(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newFleet(ctx, 4, 1)
@@ -167,7 +167,7 @@
 }
 
 // A crash that a box removes disappears everywhere, even if its write was still in progress.
-func TestTakenBack(t *testing.T) {
+func TestRemovalDuringWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newFleet(ctx, 3, 1)
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -29,7 +29,7 @@
 }
 
 // Three crashes soon after a request began quarantine it, two never do, and a repeated report counts once.
-func TestHeldAfterThree(t *testing.T) {
+func TestQuarantineAfterThreeCrashes(t *testing.T) {
 	l := NewList()
 	callbacks := 0
 	l.Held = func(Fingerprint, Verdict) { callbacks++ }
@@ -51,7 +51,7 @@
 // and crashed; the box took that for the already recorded crash of the listed start. Seen in
 // TestRequestThatEndsEndpoints with engines that come back under their ids: 4 crashes instead of 3 in one
 // of three runs.
-func TestEndOfStartNotListedYet(t *testing.T) {
+func TestCrashOfStartNotYetListed(t *testing.T) {
 	l := NewList()
 	e := End{Request: fingerprintOf("deadly"), Endpoint: "i-5@a", Caller: "c", Ran: 50 * time.Millisecond}
 	e.Sent = clock.Now().Add(-e.Ran)
@@ -75,7 +75,7 @@
 // Guards against quarantining a harmless stream. It migrated from engine to engine within one try while
 // another request crashed these one after the other, a third of a second each. Seen in a soak test (seed
 // 673278674497): crashes after 100, 192 and 433 ms under one request id.
-func TestEndsWithinOneTry(t *testing.T) {
+func TestCrashesWithinOneTry(t *testing.T) {
 	l := NewList()
 	for n, ran := range []time.Duration{192 * time.Millisecond, 100 * time.Millisecond, 433 * time.Millisecond} {
 		l.Ended(End{Request: fingerprintOf("long"), Endpoint: fmt.Sprint("e", n), Caller: "c", Ran: ran, Try: Tag("id-1")})
@@ -94,7 +94,7 @@
 // was retried on another engine of that rack, over a connection that was lost after 0.7 ms, and four
 // seconds later it was present at a third crash. Seen in a recorded day of crashes, on which one request
 // was quarantined for crashes after 39 ms, 0.7 ms and 220 ms.
-func TestEndedBefore(t *testing.T) {
+func TestEndpointCrashedBeforeRequest(t *testing.T) {
 	l := NewList()
 	recordCrashes(l, "a", "c", 39*time.Millisecond, "e1")
 	l.Ended(End{Request: fingerprintOf("a"), Endpoint: "e2", Caller: "c", Ran: 700 * time.Microsecond, Doubt: true})
@@ -117,7 +117,7 @@
 
 // Measures how often a harmless request is quarantined if it is retried after each crash and endpoints
 // crash at a given rate per second. It takes three runs of at most half a second each.
-func TestWronglyHeld(t *testing.T) {
+func TestWrongQuarantineRate(t *testing.T) {
 	const tries = 200_000
 	rng := newRNG(1)
 	for crashesPerSecond, maxShare := range map[float64]float64{0.02: 1e-4, 0.05: 3e-4, 0.1: 1e-3} {
@@ -144,7 +144,7 @@
 }
 
 // A completed answer clears the evidence, and a request that was just answered is not suspected.
-func TestServedClears(t *testing.T) {
+func TestServedClearsEvidence(t *testing.T) {
 	l := NewList()
 	recordCrashes(l, "a", "c", 0, "e1", "e2")
 	l.Served(fingerprintOf("a"))
@@ -156,7 +156,7 @@
 }
 
 // A caller that fills the table on purpose displaces nobody else's crashes.
-func TestFillsNobodyElses(t *testing.T) {
+func TestFullTableDisplacesNoOtherCaller(t *testing.T) {
 	l := NewList()
 	recordCrashes(l, "deadly", "victim", 0, "e1", "e2", "e3")
 	for n := range maxCrashes + maxCrashesPerCaller {
@@ -219,7 +219,7 @@
 }
 
 // A quarantine expires after crashTTL, also if the box was suspended for a part of that time.
-func TestVerdictEnds(t *testing.T) {
+func TestQuarantineExpires(t *testing.T) {
 	var suspended time.Duration
 	defer clock.Set(func() time.Duration { return suspended })()
 	l := NewList()
@@ -268,7 +268,7 @@
 	}
 }
 
-func TestEndThatWasClearedDoesNotComeBackWithAnOlderTable(t *testing.T) {
+func TestClearedCrashStaysClearedAfterRestore(t *testing.T) {
 	l := NewList()
 	recordCrashes(l, "fine", "a", 100*time.Millisecond, "e1", "e2", "e3")
 	rows := tableRows(l)
@@ -287,7 +287,7 @@
 }
 
 // After a restore, crashes observed by a box that is gone are rewritten by only a few of the others.
-func TestEndsOfABoxThatIsGoneAreWrittenAgainByFew(t *testing.T) {
+func TestCrashesOfRemovedBoxAreRewrittenByFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		const boxes = 400
--- a/internal/quarantine/served.go
+++ b/internal/quarantine/served.go
@@ -4,7 +4,7 @@
 
 const (
 	// servedTTL is how long a completely answered request is not suspected, and maxServed bounds how many
-	// such requests are remembered. A request that is sent all the time runs on every endpoint that
+	// such requests are remembered. A request that is sent continually runs on every endpoint that
 	// crashes, and is answered by the others.
 	servedTTL = 10 * time.Second
 	maxServed = 1024
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -368,7 +368,7 @@
 }
 
 // An account that asks for more than four times its limit never gets more units from all boxes together than
-// the platform allows, whatever fails between the boxes. The strategies that were rejected fail here: boxes
+// the platform allows, whatever fails between the boxes. The rejected strategies did not achieve this: boxes
 // that only exchange usage counts admitted twice the bound while boxes were cut off, and so did an owner
 // with the whole limit while there were two owners.
 func TestSumOfAllBoxes(t *testing.T) {
@@ -378,7 +378,7 @@
 				t.Run(fmt.Sprintf("%d/%.0f/%s", n, rate, fault.name), func(t *testing.T) {
 					t.Parallel()
 					if worst, _ := runSim(t, lentShares, n, rate, simOverloadFactor, fault.apply); worst > 1 {
-						t.Errorf("expected at most 1 times what is allowed, got %.2f times", worst)
+						t.Errorf("expected at most what the platform allows, got %.2f times that", worst)
 					}
 				})
 			}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -33,8 +33,8 @@
 	return b.Overage*(l.Rate*b.Window.Seconds()+l.Burst) + b.Slack
 }
 
-// Limit is the limit of one account: Rate units per second, with bursts of Burst units. A rate of 0
-// grants nothing.
+// Limit is the limit of one account: Rate units per second, with bursts of Burst units. A rate of 0 means
+// no limit.
 type Limit struct {
 	Rate  float64
 	Burst float64
--- a/internal/quota/suspended_test.go
+++ b/internal/quota/suspended_test.go
@@ -18,7 +18,7 @@
 
 // Units granted before a suspension have expired when the box resumes: the owner has granted the same units
 // to other boxes since.
-func TestSuspendedPurse(t *testing.T) {
+func TestCachedGrantExpiresDuringSuspension(t *testing.T) {
 	var suspended time.Duration
 	defer clock.Set(func() time.Duration { return suspended })()
 	owner := &grantingOwner{}
@@ -36,7 +36,7 @@
 }
 
 // Shares that were lent to a suspended box belong to their lenders again when it resumes.
-func TestSuspendedHome(t *testing.T) {
+func TestLoanExpiresDuringSuspension(t *testing.T) {
 	var suspended time.Duration
 	defer clock.Set(func() time.Duration { return suspended })()
 	p := NewPool()
