--- a/internal/follow/feed.go
+++ b/internal/follow/feed.go
@@ -18,9 +18,9 @@
 	Version Version
 	// Since is the version that the rows are changes from; zero if they are the whole table.
 	Since Version
-	// Skips says that rows are missing which changed and changed back between the two.
-	Skips bool
-	Rows  []Row
+	// OmitsReverted says that rows are missing which changed and changed back between the two.
+	OmitsReverted bool
+	Rows          []Row
 	// Age is how long ago the store was heard of.
 	Age time.Duration
 	// Lost says that the store does not answer the box that tells this.
@@ -114,7 +114,7 @@
 // Away says that the store did not answer this box last, nor does another one tell of it; or
 // that the table is overdue. The age counts beside the answers, so that a box that fails to ask
 // is not followed by others for good, and follows one that does better.
-func (t *Table) Away() bool { return t.lost.Load() || t.Overdue() }
+func (t *Table) Unavailable() bool { return t.lost.Load() || t.Overdue() }
 
 // isBack notes that the store is heard of, from itself or by way of another box.
 func (t *Table) isBack() {
@@ -142,15 +142,15 @@
 
 // Tell says what changed since a version that another box has; zero if it has nothing. A box
 // that has read nothing itself has nothing to tell: then Version is zero.
-func (t *Table) Tell(since Version) Part {
+func (t *Table) PartSince(since Version) Part {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p := Part{Version: t.ver, Age: t.Fresh.Age(), Lost: t.Away()}
+	p := Part{Version: t.ver, Age: t.Fresh.Age(), Lost: t.Unavailable()}
 	if t.rows == nil {
 		return Part{Lost: true}
 	}
 	if t.changes.leadFrom(since) {
-		p.Since, p.Skips = since, t.changes.skipsAfter(since)
+		p.Since, p.OmitsReverted = since, t.changes.skipsAfter(since)
 		for key, ver := range t.changes.at {
 			if !since.Before(ver) {
 				continue
@@ -187,7 +187,7 @@
 	if p.Since.IsZero() {
 		t.replace(p.Rows, p.Version)
 	} else {
-		t.merge(p.Rows, p.Since, p.Version, p.Skips)
+		t.merge(p.Rows, p.Since, p.Version, p.OmitsReverted)
 	}
 	// A box that is behind in the same era will catch up; one in another era tells of what is undone.
 	has := t.Version()
@@ -209,7 +209,7 @@
 // for what it tells them to be fresh. The pace changes at once: where 20 boxes started together, the
 // one that all followed kept its slow pace for 5 s more, and the other 19 asked the store meanwhile:
 // 234 calls in the first ten seconds in place of 181, one run each.
-func (t *Table) Followed(yes bool) {
+func (t *Table) SetFollowed(yes bool) {
 	if t.followed.Swap(yes) || !yes || t.relieved() {
 		return
 	}
@@ -245,7 +245,7 @@
 }
 
 // Alone ends the relief: the box that told of the table does so no more.
-func (t *Table) Alone() {
+func (t *Table) EndDelegation() {
 	t.mu.Lock()
 	t.relief.until = time.Time{}
 	t.mu.Unlock()
--- a/internal/follow/feed_test.go
+++ b/internal/follow/feed_test.go
@@ -132,7 +132,7 @@
 				to := (i + rapid.IntRange(1, boxes-1).Draw(t, "to")) % boxes
 				// Also what is meant for a box that has more than this one.
 				since := rapid.SampledFrom([]Version{tables[to].Version(), tables[i].Version(), seen[rapid.IntRange(0, len(seen)-1).Draw(t, "since")]}).Draw(t, "of")
-				under = append(under, message{to, tables[i].Tell(since)})
+				under = append(under, message{to, tables[i].PartSince(since)})
 			case 4:
 				if len(under) > 0 {
 					n := rapid.IntRange(0, len(under)-1).Draw(t, "which")
@@ -194,7 +194,7 @@
 		}
 		calls("fresh word again", 5*time.Second, fresh, false)
 		before := s.calls.Load()
-		table.Alone()
+		table.EndDelegation()
 		synctest.Wait()
 		if s.calls.Load() == before {
 			t.Error("expected the store to be read at once when the other box is gone")
@@ -296,7 +296,7 @@
 			t.Errorf("told %t: expected %d calls at the most after its return, got %d", told, mostBack, got)
 		}
 		for i, table := range tables {
-			if table.Away() {
+			if table.Unavailable() {
 				t.Errorf("table %d: expected the store to be known to be back", i)
 			}
 		}
@@ -346,7 +346,7 @@
 	table.replace(all, at(1))
 	expectOne := func(since Version) {
 		t.Helper()
-		if p := table.Tell(since); p.Since != since || len(p.Rows) != 1 {
+		if p := table.PartSince(since); p.Since != since || len(p.Rows) != 1 {
 			t.Fatalf("expected one row that changed since %s, got %d since %s", since, len(p.Rows), p.Since)
 		}
 	}
@@ -363,10 +363,10 @@
 	table.replace(all, at(n+1))
 	expectOne(at(n))
 	table.replace(all[:rows-1], at(n+2))
-	if p := table.Tell(at(n + 1)); len(p.Rows) != 1 || !p.Rows[0].Gone {
+	if p := table.PartSince(at(n + 1)); len(p.Rows) != 1 || !p.Rows[0].Gone {
 		t.Errorf("expected the row that is gone, got %v", p.Rows)
 	}
-	if p := table.Tell(at(1)); !p.Since.IsZero() || len(p.Rows) != rows-1 {
+	if p := table.PartSince(at(1)); !p.Since.IsZero() || len(p.Rows) != rows-1 {
 		t.Errorf("expected a follower that is far behind to get the table whole, got %d rows since %s", len(p.Rows), p.Since)
 	}
 }
@@ -379,14 +379,14 @@
 	for _, p := range []Part{
 		{Version: Version{Era: 1, Number: 90}, Rows: []Row{{Key: "b"}}},
 		{Version: Version{Era: 1, Number: 90}, Since: Version{Era: 1, Number: 80}, Rows: []Row{{Key: "b"}}},
-		{Version: Version{Era: 3, Number: 1}, Since: Version{Era: 2, Number: 4}, Skips: true, Rows: []Row{{Key: "b"}}},
-		{Version: Version{Era: 2, Number: 9}, Since: Version{Era: 2, Number: 4}, Skips: true, Rows: []Row{{Key: "b"}}},
+		{Version: Version{Era: 3, Number: 1}, Since: Version{Era: 2, Number: 4}, OmitsReverted: true, Rows: []Row{{Key: "b"}}},
+		{Version: Version{Era: 2, Number: 9}, Since: Version{Era: 2, Number: 4}, OmitsReverted: true, Rows: []Row{{Key: "b"}}},
 	} {
 		if table.Hear(p, time.Minute) || table.relieved() || table.Version() != ver {
 			t.Errorf("part of %s since %s: expected it to be of no use, the table is at %s", p.Version, p.Since, table.Version())
 		}
 	}
-	if p := table.Tell(Version{Era: 3, Number: 1}); len(p.Rows) != 0 {
+	if p := table.PartSince(Version{Era: 3, Number: 1}); len(p.Rows) != 0 {
 		t.Errorf("expected nothing to be told to a box of a newer era, got %d rows", len(p.Rows))
 	}
 	if !table.Hear(Part{Version: Version{Era: 3, Number: 1}, Since: ver, Rows: []Row{{Key: "b"}}}, time.Minute) || !table.relieved() {
@@ -401,7 +401,7 @@
 	table.merge([]Row{{Key: "b"}}, Version{Era: 1, Number: 5}, Version{Era: 1, Number: 7}, false)
 	table.replace([]Row{{Key: "a"}}, Version{Era: 2, Number: 6})
 	for number, whole := range map[int64]bool{5: false, 7: false, 8: true} {
-		p := table.Tell(Version{Era: 1, Number: number})
+		p := table.PartSince(Version{Era: 1, Number: number})
 		if p.Since.IsZero() != whole {
 			t.Errorf("since %d: expected the whole table: %t, got changes since %s", number, whole, p.Since)
 		}
@@ -414,10 +414,10 @@
 	first.replace([]Row{{Key: "a"}}, at(5))
 	second.replace([]Row{{Key: "a"}}, at(5))
 	first.replace([]Row{{Key: "a"}}, at(9)) // A row came and went at 7 and 8.
-	second.Hear(first.Tell(at(5)), time.Minute)
+	second.Hear(first.PartSince(at(5)), time.Minute)
 	for name, table := range map[string]*Table{"the box that read": first, "one that was told": second} {
 		for number, whole := range map[int64]bool{5: false, 7: true, 9: false} {
-			if p := table.Tell(at(number)); p.Since.IsZero() != whole {
+			if p := table.PartSince(at(number)); p.Since.IsZero() != whole {
 				t.Errorf("%s, since %d: expected the whole table: %t, got changes since %s", name, number, whole, p.Since)
 			}
 		}
@@ -431,7 +431,7 @@
 	table.Restored = func(era int64) { told += fmt.Sprintf(" era %d", era) }
 	ver := Version{Era: 1, Number: 7}
 	table.replace([]Row{{Key: "a"}}, ver)
-	table.Hear(Part{Version: Version{Era: 2, Number: 3}, Since: ver, Skips: true}, 0)
+	table.Hear(Part{Version: Version{Era: 2, Number: 3}, Since: ver, OmitsReverted: true}, 0)
 	if told != " applied era 2 applied" {
 		t.Errorf("expected the return to be followed by its rows, got%s", told)
 	}
--- a/internal/follow/look_test.go
+++ b/internal/follow/look_test.go
@@ -163,12 +163,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := New(newScript(), Options{Wait: time.Second, Limit: time.Second, Stale: time.Second}, func(map[string][]byte) {})
 		table.Hear(Part{Version: Version{Number: 1}}, time.Second)
-		if table.Away() || table.Tell(Version{}).Lost {
+		if table.Unavailable() || table.PartSince(Version{}).Lost {
 			t.Error("expected a table that was just heard of to count as fresh")
 		}
 		time.Sleep(table.OverdueAfter() + time.Millisecond)
-		if !table.Away() || !table.Tell(Version{}).Lost {
-			t.Errorf("expected one of %s to be told as such, got %+v", table.Fresh.Age(), table.Tell(Version{}))
+		if !table.Unavailable() || !table.PartSince(Version{}).Lost {
+			t.Errorf("expected one of %s to be told as such, got %+v", table.Fresh.Age(), table.PartSince(Version{}))
 		}
 	})
 }
@@ -181,11 +181,11 @@
 		table.Hear(Part{Version: Version{Number: 1}}, time.Second)
 		table.note(errDown)
 		table.Hear(Part{Version: Version{Number: 1}, Since: Version{Number: 1}, Age: table.OverdueAfter() + time.Millisecond}, time.Second)
-		if !table.Away() {
+		if !table.Unavailable() {
 			t.Error("expected word that is overdue not to count as the store's return")
 		}
 		table.Hear(Part{Version: Version{Number: 1}, Since: Version{Number: 1}}, time.Second)
-		if table.Away() {
+		if table.Unavailable() {
 			t.Error("expected fresh word to count as the store's return")
 		}
 	})
--- a/internal/follow/quicken_test.go
+++ b/internal/follow/quicken_test.go
@@ -36,10 +36,10 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		go table.Run(ctx)
 		time.Sleep(after)
-		table.Followed(true)
+		table.SetFollowed(true)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if age := table.Tell(at(1)).Age; age > 2500*time.Millisecond {
+			if age := table.PartSince(at(1)).Age; age > 2500*time.Millisecond {
 				t.Fatalf("expected followers to be told what is at most 2.5 s old, got %s", age)
 			}
 		}
--- a/internal/follow/suspended_test.go
+++ b/internal/follow/suspended_test.go
@@ -18,7 +18,7 @@
 		t.Fatal("expected a fresh table that another box reads")
 	}
 	asleep = 7 * time.Second
-	if age := table.Fresh.Age(); age < asleep || !table.Overdue() || !table.Away() || table.relieved() {
+	if age := table.Fresh.Age(); age < asleep || !table.Overdue() || !table.Unavailable() || table.relieved() {
 		t.Errorf("expected an old table that this box reads, got the age %s, overdue %t, relieved %t", age, table.Overdue(), table.relieved())
 	}
 }
--- a/internal/overlay/accounts_test.go
+++ b/internal/overlay/accounts_test.go
@@ -11,8 +11,8 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// limitAll has the boxes keep accounts to a limit.
-func limitAll(all []*box, l quota.Limit, accounts ...string) {
+// setLimits sets the same limit for accounts on all boxes.
+func setLimits(all []*box, l quota.Limit, accounts ...string) {
 	limits := map[string]quota.Limit{}
 	for _, a := range accounts {
 		limits[a] = l
@@ -23,31 +23,31 @@
 	}
 }
 
-// partOf is the share of the boxes that has lent to an account's home.
-func (b *box) partOf(account string) float64 {
+// lentShare is the share of the boxes that has lent to an account's owner.
+func (b *box) lentShare(account string) float64 {
 	a, _ := b.Allow(context.Background(), account, 0, 0)
 	return a.Part
 }
 
-// All boxes lend to the same home of an account, which gives all of its limit out whichever box a
-// caller comes to and no more; once that home is gone the others lend to the next.
-func TestAccountHome(t *testing.T) {
+// All boxes lend to the same owner of an account, which grants all of its limit whichever box a
+// caller uses and no more; once that owner is gone the others lend to the next.
+func TestAccountOwner(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	const account = "lab"
-	limitAll(all, quota.Limit{Rate: 0.001, Burst: 100}, account)
-	home := all[0].accountHomes(quota.GroupOf(account))[0].Name
-	var homeBox *box
+	setLimits(all, quota.Limit{Rate: 0.001, Burst: 100}, account)
+	owner := all[0].accountOwners(quota.GroupOf(account))[0].Name
+	var ownerBox *box
 	for _, b := range all {
-		eventually(t, "all boxes have lent to the home", func() bool { return b.partOf(account) == 1 })
-		if b.o.Self.Name == home {
-			homeBox = b
+		eventually(t, "all boxes have lent to the owner", func() bool { return b.lentShare(account) == 1 })
+		if b.o.Self.Name == owner {
+			ownerBox = b
 		}
 	}
-	// The bucket is full after a tenth of a second at this rate, and stays so at the other.
-	limitAll(all, quota.Limit{Rate: 1000, Burst: 100}, account)
-	eventually(t, "the account has its burst", func() bool { return homeBox.o.Limits.Levels(time.Now(), 2)[account] == 1 })
-	limitAll(all, quota.Limit{Rate: 0.001, Burst: 100}, account)
+	// The bucket is full after a tenth of a second at this rate, and stays full at the other.
+	setLimits(all, quota.Limit{Rate: 1000, Burst: 100}, account)
+	eventually(t, "the account has its burst", func() bool { return ownerBox.o.Limits.Levels(time.Now(), 2)[account] == 1 })
+	setLimits(all, quota.Limit{Rate: 0.001, Burst: 100}, account)
 	granted := 0.0
 	for range 40 {
 		for _, b := range all {
@@ -56,35 +56,35 @@
 		}
 	}
 	if granted > 100 || granted < 35 {
-		t.Errorf("expected at most the burst of 100 and at least the half that is not given ahead, got %.0f", granted)
+		t.Errorf("expected at most the burst of 100 and at least the half that is not granted ahead, got %.0f", granted)
 	}
-	homeBox.kill()
+	ownerBox.kill()
 	for _, b := range all {
-		if b != homeBox {
-			eventually(t, "the next box is the home", func() bool { return b.partOf(account) >= 0.8 })
+		if b != ownerBox {
+			eventually(t, "the next box is the owner", func() bool { return b.lentShare(account) >= 0.8 })
 		}
 	}
 }
 
-// A box that hears of no other has its own part, and says that no home answered.
-func TestAccountAlone(t *testing.T) {
+// A box without any other grants from its own part, and reports that no owner answered.
+func TestAccountWithoutOtherBoxes(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
-	limitAll(all, quota.Limit{Rate: 100, Burst: 100}, "a0")
+	setLimits(all, quota.Limit{Rate: 100, Burst: 100}, "a0")
 	for _, b := range all[1:] {
 		b.kill()
 	}
 	eventually(t, "the box has its part back", func() bool {
-		part := all[0].partOf("a0")
+		part := all[0].lentShare("a0")
 		return part > 0 && part < 0.5
 	})
 }
 
-// Units that cannot be are refused, and so is a box without the key or that is not listed.
-func TestAccountBadCalls(t *testing.T) {
+// Units out of bounds are refused, and so are boxes without the key or not listed.
+func TestAccountInvalidCalls(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
-	limitAll(all, quota.Limit{Rate: 1, Burst: 1}, "lab")
+	setLimits(all, quota.Limit{Rate: 1, Burst: 1}, "lab")
 	expectCode := func(want connect.Code, call func(c *box, key string) error, key string) {
 		t.Helper()
 		if err := call(all[0], key); connect.CodeOf(err) != want {
@@ -99,7 +99,7 @@
 			return err
 		}
 	}
-	key := all[0].members.secret()
+	key := all[0].members.sharedKey()
 	expectCode(connect.CodeUnauthenticated, allow(1), "wrong")
 	expectCode(connect.CodeInvalidArgument, allow(-1), key)
 	expectCode(connect.CodeInvalidArgument, allow(1e300), key)
--- a/internal/overlay/bench_test.go
+++ b/internal/overlay/bench_test.go
@@ -12,16 +12,16 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// BenchmarkFact is what a fact costs a box that others follow: to take it, to queue it for
-// each of them, and to make their messages of ten facts each. It tells the bytes of a fact
-// that is sent.
+// BenchmarkFact measures what a message costs a box with followers: receiving it, queuing it for
+// each of them, and encoding their updates of ten messages each. It reports the bytes per message
+// sent.
 func BenchmarkFact(b *testing.B) {
 	for _, followers := range []int{0, 8, 64} {
 		b.Run(fmt.Sprint(followers, "followers"), func(b *testing.B) {
 			n := New(Options{Metrics: metrics.NewSet(), Believed: func(string, ...zap.Field) {}, Heard: func(Fact) {}, Register: nil})
 			n.SetMembers(map[string][]byte{"box": []byte(`{"address":"10.0.0.1:1"}`)})
 			for i := range followers {
-				n.admit(&follower{name: fmt.Sprint(i), queue: newQueue()})
+				n.admit(&follower{name: fmt.Sprint(i), queue: newMessageQueue()})
 			}
 			load := &Load{Engine: "i-0123456789", Writes: true, KVUsed: 40000, KVTotal: 63346, Running: 6}
 			for range 6 {
@@ -30,24 +30,24 @@
 			f := Fact{At: time.Now(), Load: load}
 			m := f.encode(time.Now())
 			m.Box, m.Incarnation = "box", time.Now().UnixNano()
-			sent, facts := 0, 0
+			sent, messages := 0, 0
 			b.ReportAllocs()
 			for i := range b.N {
 				m := &v1.Fact{Box: m.Box, Incarnation: m.Incarnation, Seq: uint64(i + 1), AgeMs: m.AgeMs, Kind: m.Kind}
-				n.heard(m, nil, nil)
+				n.receive(m, nil, nil)
 				if i%10 != 9 {
 					continue
 				}
 				for f := range n.followers {
-					text, err := proto.Marshal(n.update(f))
+					text, err := proto.Marshal(n.nextUpdate(f))
 					if err != nil {
 						b.Fatal(err)
 					}
-					sent, facts = sent+len(text), facts+10
+					sent, messages = sent+len(text), messages+10
 				}
 			}
-			if facts > 0 {
-				b.ReportMetric(float64(sent)/float64(facts), "B/fact")
+			if messages > 0 {
+				b.ReportMetric(float64(sent)/float64(messages), "B/fact")
 			}
 		})
 	}
--- a/internal/overlay/fact.go
+++ b/internal/overlay/fact.go
@@ -6,12 +6,13 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// Fact is something that one box learned and the others gain by. Exactly one of the fields
-// after At is set. Facts may be lost, late or twice on the way; no promise rests on them.
+// Fact is a gossip message: something that one box observed and that is of use to the others.
+// Exactly one of the fields after Box is set. Facts may be lost, delayed or duplicated; no
+// guarantee depends on them.
 type Fact struct {
-	// At is when it was so, by this box's steady clock.
+	// At is when it was observed, by this box's monotonic clock.
 	At time.Time
-	// Box learned it; empty for this one.
+	// Box is the box that observed it; empty for this one.
 	Box string
 
 	Load    *Load
@@ -20,92 +21,92 @@
 	Ended   *Ended
 	Took    *Took
 	Notice  *Notice
-	// Waiting is set where the streams that wait on a box are told of.
+	// Waiting is the number of streams that wait on a box.
 	Waiting *Waiting
-	// Streams is only heard: it stands for facts that were left out.
-	Streams *Streams
+	// Streams is only received: it replaces messages that were left out.
+	Streams *OmittedStreams
 }
 
-// Streams says how many streams of a service other boxes have placed at engines that this one does not
-// deal with.
-type Streams struct {
+// OmittedStreams counts the streams of a service that other boxes placed at engines which this box
+// does not deal with.
+type OmittedStreams struct {
 	Service string
 	Placed  int
 }
 
-// Notice is what an endpoint said of itself in an answer to a request that was sent at the fact's time.
+// Notice is what an endpoint reported about itself in an answer to a request that was sent at Fact.At.
 type Notice struct {
 	Endpoint string
-	// Limit is how many requests a second it takes from all boxes together; 0 if it names none.
+	// Limit is how many requests a second it accepts from all boxes together; 0 if it names none.
 	Limit   float64
 	Leaving bool
-	// Ran says that the answer was to a request that ran to a good end.
+	// Ran means that the answer was to a request that completed successfully.
 	Ran bool
 }
 
-// Ended says that an engine does not write a stream any more.
+// Ended reports that an engine no longer generates a stream.
 type Ended struct {
 	Engine string
-	Tokens int // Of memory that it had in the end.
+	Tokens int // KV cache that the stream used at its end.
 }
 
-// Took says how long a stream took at the engines of a pool. What was not seen is 0.
+// Took reports how long a stream took at the engines of a pool. What was not observed is 0.
 type Took struct {
 	Pool string
-	// ReadTokens were read in Read, those of other prompts in front included.
+	// ReadTokens were prefilled in Read, those of prompts queued before it included.
 	ReadTokens int
 	Read       time.Duration
-	// Begin passed from when the writing engine was asked until the first event, and Step is
-	// the mean time of a token, among so many Streams at the engine.
+	// Begin is the time from the request to the decode engine until the first event, and Step
+	// the mean time per token, while the engine ran Streams streams.
 	Begin   time.Duration
 	Step    time.Duration
 	Streams int
 }
 
-// Waiting says how many streams wait for engines on a box.
+// Waiting reports how many streams wait for engines on a box.
 type Waiting struct{ Streams int }
 
-// Load is an engine's own account of itself.
+// Load is the load that an engine reports.
 type Load struct {
 	Engine string
-	// Silent says that the engine did not answer; then the rest is zero.
+	// Silent means that the engine did not answer; then the rest is zero.
 	Silent  bool
-	Writes  bool // Its role: decode and not prefill.
+	Writes  bool // Its role is decode and not prefill.
 	Leaving bool
-	Busy    bool // It carries out an order.
+	Busy    bool // It executes an order.
 	Queued  int
 	Running int
 	KVUsed  int // Tokens.
 	KVTotal int // Tokens.
 	Orders  int64
-	// Runs are its streams.
+	// Runs are the streams that it runs.
 	Runs []Run
 }
 
 // Run is one stream that an engine runs.
 type Run struct {
-	Tokens int // Of memory.
-	Events int // Made so far.
+	Tokens int // Of KV cache.
+	Events int // Generated so far.
 }
 
-// Refused says that an engine turned a prompt away.
+// Refused reports that an engine rejected a prompt.
 type Refused struct{ Engine string }
 
-// Placed says that a box sends a stream to engines.
+// Placed reports that a box sends a stream to engines.
 type Placed struct {
-	Reader     string // Empty where the writer reads the prompt itself.
+	Reader     string // Empty if the writer prefills the prompt itself.
 	ReadTokens int
 	Writer     string
-	KVTokens   int // Of memory that it is expected to take,
-	Prompt     int // and of these, for the prompt.
-	Ahead      int // What is set aside beside the prompt until it is written.
-	// Home is the box that granted the room and has booked the stream; empty if none did.
+	KVTokens   int // KV cache that the stream is expected to use,
+	Prompt     int // and the part of it that is for the prompt.
+	Ahead      int // Reserved beside the prompt until it is generated.
+	// Home is the owner that granted the room and has reserved it for the stream; empty if none did.
 	Home string
 	// Service is the one that the engines belong to.
 	Service string
 }
 
-// encode says a fact as it is sent at a time; the rest of the message is the node's.
+// encode encodes a message that is sent at a time; the node fills in the sender's fields.
 func (f *Fact) encode(now time.Time) *v1.Fact {
 	out := &v1.Fact{AgeMs: max(0, now.Sub(f.At).Milliseconds())}
 	switch {
@@ -148,24 +149,24 @@
 	return out
 }
 
-// Bounds of what another box may claim: a lie must not upset the arithmetic.
+// Bounds of what another box may report: a wrong value must not upset the arithmetic.
 const (
-	mostAge    = time.Minute
-	mostTokens = 1 << 26
-	mostRuns   = 1024
-	// mostWaiting bounds the streams that wait on a box.
-	mostWaiting = 1 << 20
-	// mostLimit bounds an endpoint's limit, in requests a second.
-	mostLimit = 1e6
-	// mostTook bounds what a stream took, in microseconds.
-	mostTook = int64(time.Minute / time.Microsecond)
+	maxMessageAge = time.Minute
+	maxTokens     = 1 << 26
+	maxRuns       = 1024
+	// maxWaiting bounds the streams that wait on a box.
+	maxWaiting = 1 << 20
+	// maxRequestRate bounds an endpoint's limit, in requests a second.
+	maxRequestRate = 1e6
+	// maxDurationUs bounds the durations of Took, in microseconds.
+	maxDurationUs = int64(time.Minute / time.Microsecond)
 )
 
-// decode reads a fact that came at a time; ok is false for one that says nothing known, or
-// nothing that can be.
+// decode decodes a message that arrived at a time; ok is false for one of an unknown kind, or with
+// values out of bounds.
 func decode(m *v1.Fact, now time.Time) (f Fact, ok bool) {
 	age := time.Duration(m.AgeMs) * time.Millisecond
-	if age < 0 || age > mostAge {
+	if age < 0 || age > maxMessageAge {
 		return f, false
 	}
 	f.At, f.Box = now.Add(-age), m.Box
@@ -176,31 +177,31 @@
 		f.Refused, ok = &Refused{k.Refused.GetEngine()}, k.Refused.GetEngine() != ""
 	case *v1.Fact_Placed:
 		p := k.Placed
-		ok = p.GetWriter() != "" && tokens(p.GetReadTokens()) && tokens(p.GetKvTokens()) && tokens(p.GetPromptTokens()) && tokens(p.GetAheadTokens())
+		ok = p.GetWriter() != "" && validTokens(p.GetReadTokens()) && validTokens(p.GetKvTokens()) && validTokens(p.GetPromptTokens()) && validTokens(p.GetAheadTokens())
 		f.Placed = &Placed{Reader: p.GetReader(), ReadTokens: int(p.GetReadTokens()), Writer: p.GetWriter(), KVTokens: int(p.GetKvTokens()), Prompt: int(p.GetPromptTokens()), Ahead: int(p.GetAheadTokens()), Home: p.GetHome(), Service: p.GetService()}
 	case *v1.Fact_Ended:
-		f.Ended, ok = &Ended{k.Ended.GetEngine(), int(k.Ended.GetTokens())}, k.Ended.GetEngine() != "" && tokens(k.Ended.GetTokens())
+		f.Ended, ok = &Ended{k.Ended.GetEngine(), int(k.Ended.GetTokens())}, k.Ended.GetEngine() != "" && validTokens(k.Ended.GetTokens())
 	case *v1.Fact_Took:
 		f.Took, ok = decodeTook(k.Took)
 	case *v1.Fact_Notice:
 		n := k.Notice
-		ok = n.GetEndpoint() != "" && n.GetLimit() >= 0 && n.GetLimit() <= mostLimit // Not a number is neither.
+		ok = n.GetEndpoint() != "" && n.GetLimit() >= 0 && n.GetLimit() <= maxRequestRate // NaN fails both comparisons.
 		f.Notice = &Notice{Endpoint: n.GetEndpoint(), Limit: n.GetLimit(), Leaving: n.GetLeaving(), Ran: n.GetRan()}
 	case *v1.Fact_Waiting:
-		f.Waiting, ok = &Waiting{int(k.Waiting.GetN())}, k.Waiting.GetN() >= 0 && k.Waiting.GetN() < mostWaiting
+		f.Waiting, ok = &Waiting{int(k.Waiting.GetN())}, k.Waiting.GetN() >= 0 && k.Waiting.GetN() < maxWaiting
 	}
 	return f, ok
 }
 
-func tokens(n int32) bool { return n >= 0 && n < mostTokens }
+func validTokens(n int32) bool { return n >= 0 && n < maxTokens }
 
 func decodeTook(m *v1.StreamTook) (*Took, bool) {
 	for _, us := range []int64{m.GetReadUs(), m.GetBeginUs(), m.GetStepUs()} {
-		if us < 0 || us > mostTook {
+		if us < 0 || us > maxDurationUs {
 			return nil, false
 		}
 	}
-	if m.GetPool() == "" || !tokens(m.ReadTokens) || m.Streams < 0 || m.Streams > mostRuns {
+	if m.GetPool() == "" || !validTokens(m.ReadTokens) || m.Streams < 0 || m.Streams > maxRuns {
 		return nil, false
 	}
 	micros := func(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
@@ -211,7 +212,7 @@
 }
 
 func decodeLoad(m *v1.EngineLoad) (*Load, bool) {
-	if m.GetEngine() == "" || !tokens(m.KvUsed) || !tokens(m.KvTotal) || len(m.Runs) > 2*mostRuns || len(m.Runs)%2 != 0 {
+	if m.GetEngine() == "" || !validTokens(m.KvUsed) || !validTokens(m.KvTotal) || len(m.Runs) > 2*maxRuns || len(m.Runs)%2 != 0 {
 		return nil, false
 	}
 	l := &Load{
@@ -219,7 +220,7 @@
 		Running: int(m.Running), KVUsed: int(m.KvUsed), KVTotal: int(m.KvTotal), Orders: m.Orders,
 	}
 	for i := 0; i < len(m.Runs); i += 2 {
-		if !tokens(m.Runs[i]) || !tokens(m.Runs[i+1]) {
+		if !validTokens(m.Runs[i]) || !validTokens(m.Runs[i+1]) {
 			return nil, false
 		}
 		l.Runs = append(l.Runs, Run{int(m.Runs[i]), int(m.Runs[i+1])})
--- a/internal/overlay/fact_test.go
+++ b/internal/overlay/fact_test.go
@@ -7,8 +7,8 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// What a stream took reaches the other boxes as it was, to the microsecond.
-func TestTookIsTold(t *testing.T) {
+// The timings of a stream reach other boxes unchanged, to the microsecond.
+func TestTookRoundTrip(t *testing.T) {
 	now := time.Now()
 	sent := Took{Pool: "p", ReadTokens: 3200, Read: 150 * time.Millisecond, Begin: 19 * time.Millisecond, Step: 5100 * time.Microsecond, Streams: 8}
 	f := Fact{At: now, Took: &sent}
@@ -18,17 +18,17 @@
 	}
 }
 
-func expectTookDropped(t *testing.T, m *v1.StreamTook) {
+func expectTookRejected(t *testing.T, m *v1.StreamTook) {
 	t.Helper()
 	if _, ok := decode(&v1.Fact{Kind: &v1.Fact_Took{Took: m}}, time.Now()); ok {
-		t.Errorf("expected %v to be dropped", m)
+		t.Errorf("expected %v to be rejected", m)
 	}
 }
 
 func TestTookBounds(t *testing.T) {
-	expectTookDropped(t, &v1.StreamTook{})
-	expectTookDropped(t, &v1.StreamTook{Pool: "p", ReadUs: -1})
-	expectTookDropped(t, &v1.StreamTook{Pool: "p", StepUs: mostTook + 1})
-	expectTookDropped(t, &v1.StreamTook{Pool: "p", ReadTokens: -1})
-	expectTookDropped(t, &v1.StreamTook{Pool: "p", Streams: mostRuns + 1})
+	expectTookRejected(t, &v1.StreamTook{})
+	expectTookRejected(t, &v1.StreamTook{Pool: "p", ReadUs: -1})
+	expectTookRejected(t, &v1.StreamTook{Pool: "p", StepUs: maxDurationUs + 1})
+	expectTookRejected(t, &v1.StreamTook{Pool: "p", ReadTokens: -1})
+	expectTookRejected(t, &v1.StreamTook{Pool: "p", Streams: maxRuns + 1})
 }
--- a/internal/overlay/home_test.go
+++ b/internal/overlay/home_test.go
@@ -11,59 +11,59 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// homeAt is the box that a box takes for the home of an engine; empty if none.
-func (b *box) homeAt(hall, engine string) string {
-	m, _ := b.homeOf(hall, engine, time.Now())
+// ownerAt returns the box that a box considers the owner of an engine; empty if none.
+func (b *box) ownerAt(hall, engine string) string {
+	m, _ := b.ownerOf(hall, engine, time.Now())
 	return m.Name
 }
 
-// askAgain has the box ask homes again that did not answer it in time, and returns how many it passed
-// over. The time is 40 ms, which a machine that is too busy exceeds.
-func (b *box) askAgain() int {
-	b.homes.mu.Lock()
-	defer b.homes.mu.Unlock()
-	n := len(b.homes.silent)
-	b.homes.silent = nil
+// resetUnresponsive has the box ask owners again that did not answer it in time, and returns how many
+// it skipped. The timeout is 40 ms, which a machine that is too busy exceeds.
+func (b *box) resetUnresponsive() int {
+	b.unresponsive.mu.Lock()
+	defer b.unresponsive.mu.Unlock()
+	n := len(b.unresponsive.retryAt)
+	b.unresponsive.retryAt = nil
 	return n
 }
 
-// All boxes take the same one for an engine's home, one of its hall; and when it is gone they
-// agree on another as soon as they have asked it in vain.
-func TestHome(t *testing.T) {
+// All boxes agree on the owner of an engine, a box of its hall; and when it is gone they
+// agree on another as soon as a request to it has failed.
+func TestEngineOwner(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	for _, b := range all {
 		b.o.Room = func(r Room) bool { return r.Prompt < 100 }
 	}
 	ctx := context.Background()
-	homes := map[string]bool{}
+	owners := map[string]bool{}
 	for n := range 20 {
 		engine := fmt.Sprint("engine-", n)
-		home := all[0].homeAt("h2", engine)
-		homes[home] = true
+		owner := all[0].ownerAt("h2", engine)
+		owners[owner] = true
 		for i, b := range all {
-			b.askAgain()
-			if got := b.homeAt("h2", engine); got != home {
-				t.Fatalf("box %d takes %s for the home of %s, the first one %s", i, got, engine, home)
+			b.resetUnresponsive()
+			if got := b.ownerAt("h2", engine); got != owner {
+				t.Fatalf("box %d considers %s the owner of %s, the first one %s", i, got, engine, owner)
 			}
 			for _, prompt := range []int{50, 500} {
 				granted, by := b.AskRoom(ctx, "h2", Room{Engine: engine, Prompt: prompt})
-				if n := b.askAgain(); n > 0 && by != "" {
-					t.Errorf("box %d: expected no home that answered to be passed over, got %d", i, n)
+				if n := b.resetUnresponsive(); n > 0 && by != "" {
+					t.Errorf("box %d: expected no owner that answered to be skipped, got %d", i, n)
 				}
-				if want := prompt == 50 || by == ""; granted != want || by != home && by != "" {
-					t.Errorf("box %d, prompt of %d: expected %t of %s, got %t of %q", i, prompt, want, home, granted, by)
+				if want := prompt == 50 || by == ""; granted != want || by != owner && by != "" {
+					t.Errorf("box %d, prompt of %d: expected %t of %s, got %t of %q", i, prompt, want, owner, granted, by)
 				}
 			}
 		}
 	}
-	if len(homes) != 2 || !homes["d"] || !homes["e"] {
-		t.Errorf("expected both boxes of the hall to be homes, got %v", homes)
+	if len(owners) != 2 || !owners["d"] || !owners["e"] {
+		t.Errorf("expected both boxes of the hall to be owners, got %v", owners)
 	}
 	all[3].kill()
 	for n := range 20 {
 		engine := fmt.Sprint("engine-", n)
-		eventually(t, "the other box of the hall is the home of "+engine, func() bool {
+		eventually(t, "the other box of the hall is the owner of "+engine, func() bool {
 			granted, by := all[0].AskRoom(ctx, "h2", Room{Engine: engine, Prompt: 50})
 			if !granted {
 				t.Error("expected a box that gets no answer to decide alone")
@@ -73,7 +73,7 @@
 	}
 }
 
-// Room is told to boxes alone, and sizes that cannot be are refused.
+// Requests for room without the key are refused, and so are sizes out of bounds.
 func TestRoomStrangers(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -88,12 +88,12 @@
 		}
 	}
 	expect("guess", 1, connect.CodeUnauthenticated)
-	expect(all[0].members.secret(), -1, connect.CodeInvalidArgument)
-	expect(all[0].members.secret(), mostTokens, connect.CodeInvalidArgument)
+	expect(all[0].members.sharedKey(), -1, connect.CodeInvalidArgument)
+	expect(all[0].members.sharedKey(), maxTokens, connect.CodeInvalidArgument)
 }
 
-// Losing a box moves the engines that it was the home of, and no others.
-func TestHomeMovesFew(t *testing.T) {
+// Losing a box reassigns the engines that it owned, and no others.
+func TestOwnerReassignsFew(t *testing.T) {
 	n := &Node{o: Options{Self: Member{Name: "box-0", Region: "r"}}}
 	n.members.all = map[string]Member{}
 	for _, m := range hallOf(59) {
@@ -104,19 +104,19 @@
 	count := map[string]int{}
 	for i := range 600 {
 		engine := fmt.Sprint("engine-", i)
-		m, _ := n.homeOf("h", engine, time.Now())
+		m, _ := n.ownerOf("h", engine, time.Now())
 		before[engine] = m.Name
 		count[m.Name]++
 	}
 	delete(n.members.all, "box-7")
-	for engine, home := range before {
-		if m, _ := n.homeOf("h", engine, time.Now()); m.Name != home && home != "box-7" {
-			t.Errorf("%s moved from %s to %s", engine, home, m.Name)
+	for engine, owner := range before {
+		if m, _ := n.ownerOf("h", engine, time.Now()); m.Name != owner && owner != "box-7" {
+			t.Errorf("%s moved from %s to %s", engine, owner, m.Name)
 		}
 	}
 	for name, k := range count {
 		if k > 25 {
-			t.Errorf("%s is the home of %d of 600 engines, expected about 10", name, k)
+			t.Errorf("%s is the owner of %d of 600 engines, expected about 10", name, k)
 		}
 	}
 }
--- a/internal/overlay/interest.go
+++ b/internal/overlay/interest.go
@@ -11,27 +11,29 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// This file leaves facts out that a follower has no use for. Where a service has thousands of engines
-// each box deals with some of them, and a fact about any other is of no use to it. A box that nobody
-// follows tells the one that it follows which engines it deals with; one that is followed is told all,
-// since it passes facts on. So what most boxes hear does not grow with the streams of the fleet.
+// This file filters out messages that a follower has no use for. Where a service has thousands of
+// engines each box deals with some of them, and a message about any other is of no use to it. A box
+// without followers sends its upstream the engines that it deals with; one with followers is sent
+// all messages, since it forwards them. So what most boxes receive does not grow with the streams of
+// the fleet.
 //
-// Weighed against telling an engine's home alone, which passes facts on to those that asked it: that
-// spares the boxes between too, and costs each box a subscription at each home.
+// The alternative was to publish messages to an engine's owner alone, which forwards them to the
+// boxes that subscribed: that also spares the boxes between, and costs each box a subscription at
+// each owner.
 
-// interest is of which engines a box has a use for facts. The zero value is of all.
+// interest is the set of engines whose messages a box has a use for. The zero value is all engines.
 type interest struct {
-	// engines are hashes of their names; nil for all engines.
+	// engines holds hashes of engine names; nil for all engines.
 	engines map[uint32]bool
 }
 
-// hashOf is how an engine is named in an interest.
-func hashOf(engine string) uint32 { return uint32(xxhash.Sum64String(engine)) }
+// engineHash identifies an engine in an interest.
+func engineHash(engine string) uint32 { return uint32(xxhash.Sum64String(engine)) }
 
-func interestIn(engines []string) interest {
+func newInterest(engines []string) interest {
 	in := interest{engines: make(map[uint32]bool, len(engines))}
 	for _, e := range engines {
-		in.engines[hashOf(e)] = true
+		in.engines[engineHash(e)] = true
 	}
 	return in
 }
@@ -44,11 +46,11 @@
 	return &v1.Interest{All: in.engines == nil, Engines: slices.Sorted(maps.Keys(in.engines))}
 }
 
-// mostInterest bounds the engines that a follower may name; beyond it is told all.
-const mostInterest = 4096
+// maxInterestEngines bounds the engines that a follower may name; with more it is sent all messages.
+const maxInterestEngines = 4096
 
 func decodeInterest(m *v1.Interest) (in interest) {
-	if m.All || len(m.Engines) > mostInterest {
+	if m.All || len(m.Engines) > maxInterestEngines {
 		return in
 	}
 	in.engines = make(map[uint32]bool, len(m.Engines))
@@ -58,116 +60,117 @@
 	return in
 }
 
-// wants says whether a fact is of use. One that is not about engines always is.
+// wants reports whether a message is of use. One that is not about engines always is.
 func (in interest) wants(f *v1.Fact) bool {
 	if in.engines == nil {
 		return true
 	}
 	switch k := f.Kind.(type) {
 	case *v1.Fact_Load:
-		return in.engines[hashOf(k.Load.GetEngine())]
+		return in.engines[engineHash(k.Load.GetEngine())]
 	case *v1.Fact_Refused:
-		return in.engines[hashOf(k.Refused.GetEngine())]
+		return in.engines[engineHash(k.Refused.GetEngine())]
 	case *v1.Fact_Ended:
-		return in.engines[hashOf(k.Ended.GetEngine())]
+		return in.engines[engineHash(k.Ended.GetEngine())]
 	case *v1.Fact_Placed:
 		p := k.Placed
-		return in.engines[hashOf(p.GetWriter())] || p.GetReader() != "" && in.engines[hashOf(p.GetReader())]
+		return in.engines[engineHash(p.GetWriter())] || p.GetReader() != "" && in.engines[engineHash(p.GetReader())]
 	}
 	return true
 }
 
-// interests is what a box has a use for and what it has said of it. The zero value has a use for all.
-type interests struct {
-	mu  sync.Mutex
-	own interest
-	// told is what the box followed takes it for: all until it is told. lost says that it may not have heard.
-	told interest
-	lost bool
+// interestState is a box's interest and what its upstream was sent of it. The zero value is all engines.
+type interestState struct {
+	mu      sync.Mutex
+	current interest
+	// sent is the interest as the upstream knows it: all engines until it is sent one. unconfirmed
+	// means that the last one sent may not have arrived.
+	sent        interest
+	unconfirmed bool
 }
 
-// set changes the interest.
-func (i *interests) set(in interest) {
+// set replaces the interest.
+func (i *interestState) set(in interest) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.own = in
+	i.current = in
 }
 
-// begin forgets what another box that was followed before had been told.
-func (i *interests) begin() {
+// reset discards what a previous upstream was sent.
+func (i *interestState) reset() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.told, i.lost = interest{}, false
+	i.sent, i.unconfirmed = interest{}, false
 }
 
-// news is what the box followed is to be told; nil if it knows. A box that others follow has a use for
-// all.
-func (i *interests) news(followed bool) *v1.Interest {
+// takeChange returns the interest to send to the upstream, and marks it as sent; nil if the upstream
+// has it. A box with followers has a use for all messages.
+func (i *interestState) takeChange(followed bool) *v1.Interest {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	now := i.own
+	now := i.current
 	if followed {
 		now = interest{}
 	}
-	if i.told.equal(now) && !i.lost {
+	if i.sent.equal(now) && !i.unconfirmed {
 		return nil
 	}
-	i.told, i.lost = now, false
+	i.sent, i.unconfirmed = now, false
 	return now.encode()
 }
 
-// unsaid has the interest told again: it may not have arrived.
-func (i *interests) unsaid() {
+// markUnconfirmed has the interest sent again, as it may not have arrived.
+func (i *interestState) markUnconfirmed() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lost = true
+	i.unconfirmed = true
 }
 
-// WantFacts says of which engines this box has a use for facts; nil for all.
+// WantFacts sets the engines whose messages this box has a use for; nil for all.
 func (n *Node) WantFacts(engines []string) {
 	in := interest{}
 	if engines != nil {
-		in = interestIn(engines)
+		in = newInterest(engines)
 	}
 	n.interests.set(in)
-	n.sayInterest()
+	n.signalInterest()
 }
 
-// sayInterest has the box that is followed told of the interest, if it has changed.
-func (n *Node) sayInterest() {
+// signalInterest wakes the sender to the upstream, which sends the interest if it has changed.
+func (n *Node) signalInterest() {
 	n.mu.Lock()
-	up := n.up
+	up := n.upstream
 	n.mu.Unlock()
 	if up != nil {
-		up.queue.poke()
+		up.queue.signal()
 	}
 }
 
-// setInterest takes of which engines a follower wants to hear.
+// setInterest sets the engines whose messages a follower is sent.
 func (n *Node) setInterest(f *follower, in interest) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f.interest = in
 }
 
-// leaveOut counts a fact that the follower is not sent. The node's lock is held.
-func (f *follower) leaveOut(m *v1.Fact) {
+// countOmitted counts a message that the follower is not sent. The node's lock is held.
+func (f *follower) countOmitted(m *v1.Fact) {
 	p := m.GetPlaced()
 	if p == nil {
 		return
 	}
-	if f.placed == nil {
-		f.placed = map[string]int32{}
+	if f.omittedPlaced == nil {
+		f.omittedPlaced = map[string]int32{}
 	}
-	f.placed[p.Service]++
+	f.omittedPlaced[p.Service]++
 }
 
-// heardPlaced takes how many streams were placed of which this box was sent no facts.
-func (n *Node) heardPlaced(m *v1.StreamsPlaced) {
-	if m.N > 0 && m.N < mostPlaced {
-		n.o.Heard(Fact{At: clock.Now(), Streams: &Streams{Service: m.Service, Placed: int(m.N)}})
+// receivePlaced processes the count of streams whose messages this box was not sent.
+func (n *Node) receivePlaced(m *v1.StreamsPlaced) {
+	if m.N > 0 && m.N < maxPlacedStreams {
+		n.o.Heard(Fact{At: clock.Now(), Streams: &OmittedStreams{Service: m.Service, Placed: int(m.N)}})
 	}
 }
 
-// mostPlaced bounds the streams that are placed between two messages.
-const mostPlaced = 1 << 16
+// maxPlacedStreams bounds the streams placed between two updates.
+const maxPlacedStreams = 1 << 16
--- a/internal/overlay/interest_test.go
+++ b/internal/overlay/interest_test.go
@@ -12,18 +12,18 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// toldUntil has a box tell of streams at an engine until another one has heard of one.
-func (b *box) toldUntil(t *testing.T, to *box, engine string) {
+// publishUntilReceived has a box publish messages about an engine until another one has received one.
+func (b *box) publishUntilReceived(t *testing.T, to *box, engine string) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("%s hears of %s", to.o.Self.Name, engine), func() bool {
+	eventually(t, fmt.Sprintf("%s receives a message about %s", to.o.Self.Name, engine), func() bool {
 		b.Tell(Fact{At: time.Now(), Refused: &Refused{Engine: engine}})
 		time.Sleep(100 * time.Millisecond)
-		return to.heardOf(engine) > 0
+		return to.receivedCount(engine) > 0
 	})
 }
 
-// interestOf is the interest that a box has been told of by a follower.
-func (b *box) interestOf(name string) (in interest, follows bool) {
+// interestOfFollower returns the interest that a follower sent to a box.
+func (b *box) interestOfFollower(name string) (in interest, follows bool) {
 	b.Node.mu.Lock()
 	defer b.Node.mu.Unlock()
 	for f := range b.followers {
@@ -34,33 +34,33 @@
 	return in, false
 }
 
-// A box that deals with few of many engines hears of these, and of the others only how many streams
-// were placed. One that is followed hears of all, since it passes facts on. Each box heard each fact: at
-// 36 streams a second some 220 of them, of which it had a use for two.
+// A box that deals with few of many engines receives the messages about these, and of the others only the
+// number of streams placed. One with followers receives all, since it forwards them. Without interests
+// each box received each message: at 36 streams a second some 220 a second, of which it had a use for two.
 func TestInterest(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	a, c := all[0], all[2]
 	c.WantFacts([]string{"mine"})
-	eventually(t, "what c wants is known", func() bool {
-		in, ok := c.upOf(all).interestOf("c")
+	eventually(t, "the interest of c is known", func() bool {
+		in, ok := c.upstreamOf(all).interestOfFollower("c")
 		return ok && in.engines != nil
 	})
 	for range 20 {
 		a.Tell(Fact{At: time.Now(), Refused: &Refused{Engine: "other"}})
 		a.Tell(Fact{At: time.Now(), Placed: &Placed{Writer: "other", Service: "llm"}})
 	}
-	a.toldUntil(t, c, "mine")
-	if n := c.heardOf("other"); n > 0 {
-		t.Errorf("expected nothing of an engine that the box does not deal with, got %d facts", n)
+	a.publishUntilReceived(t, c, "mine")
+	if n := c.receivedCount("other"); n > 0 {
+		t.Errorf("expected nothing of an engine that the box does not deal with, got %d messages", n)
 	}
-	eventually(t, "the streams are counted", func() bool { return c.streams("llm") == 20 })
+	eventually(t, "the streams are counted", func() bool { return c.omittedStreams("llm") == 20 })
 	c.WantFacts(nil)
-	a.toldUntil(t, c, "other")
+	a.publishUntilReceived(t, c, "other")
 }
 
-// upOf is the box that this one follows.
-func (b *box) upOf(all []*box) *box {
+// upstreamOf returns the box that this one follows.
+func (b *box) upstreamOf(all []*box) *box {
 	for _, up := range all {
 		if b.follows(up.o.Self.Name) {
 			return up
@@ -69,67 +69,67 @@
 	return all[0]
 }
 
-func (b *box) streams(service string) int {
+func (b *box) omittedStreams(service string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.placed[service]
+	return b.omitted[service]
 }
 
-// A box that begins to be followed has all facts again: otherwise those that follow it would miss
-// what it has no use for itself.
-func TestInterestOfFollowed(t *testing.T) {
-	var i interests
-	i.set(interestIn([]string{"mine"}))
-	if m := i.news(false); m == nil || m.All || len(m.Engines) != 1 {
-		t.Errorf("expected the one engine to be told, got %v", m)
+// A box that gains followers is sent all messages again: otherwise its followers would miss
+// those that it has no use for itself.
+func TestInterestWithFollowers(t *testing.T) {
+	var i interestState
+	i.set(newInterest([]string{"mine"}))
+	if m := i.takeChange(false); m == nil || m.All || len(m.Engines) != 1 {
+		t.Errorf("expected the one engine to be sent, got %v", m)
 	}
-	if m := i.news(false); m != nil {
+	if m := i.takeChange(false); m != nil {
 		t.Errorf("expected nothing new, got %v", m)
 	}
-	i.unsaid()
-	if m := i.news(false); m == nil {
-		t.Error("expected what was lost to be told again")
+	i.markUnconfirmed()
+	if m := i.takeChange(false); m == nil {
+		t.Error("expected what was lost to be sent again")
 	}
-	if m := i.news(true); m == nil || !m.All {
-		t.Errorf("expected a box that is followed to want all, got %v", m)
+	if m := i.takeChange(true); m == nil || !m.All {
+		t.Errorf("expected a box with followers to want all messages, got %v", m)
 	}
-	i.begin()
-	if m := i.news(true); m != nil {
-		t.Errorf("expected nothing to be told to another box, which takes it for all, got %v", m)
+	i.reset()
+	if m := i.takeChange(true); m != nil {
+		t.Errorf("expected nothing to be sent to a new upstream, which assumes all engines, got %v", m)
 	}
 }
 
-// TestInterestBounds: what a follower claims is bounded, and what it claims too much of is all.
+// TestInterestBounds: what a follower sends is bounded; too many engines mean all engines.
 func TestInterestBounds(t *testing.T) {
-	m := &v1.Interest{Engines: make([]uint32, mostInterest+1)}
+	m := &v1.Interest{Engines: make([]uint32, maxInterestEngines+1)}
 	if in := decodeInterest(m); in.engines != nil {
 		t.Errorf("expected all, got %d engines", len(in.engines))
 	}
 	b := newStore().start(t, "a", "h", 1)
-	for _, n := range []int32{-1, 0, mostPlaced} {
-		b.heardPlaced(&v1.StreamsPlaced{Service: "llm", N: n})
+	for _, n := range []int32{-1, 0, maxPlacedStreams} {
+		b.receivePlaced(&v1.StreamsPlaced{Service: "llm", N: n})
 	}
-	if n := b.streams("llm"); n != 0 {
+	if n := b.omittedStreams("llm"); n != 0 {
 		t.Errorf("expected no streams, got %d", n)
 	}
 }
 
-// BenchmarkInterest is what a box of a large fleet sends to one follower of 36 streams a second, as bytes
-// a second: placed, ended and 4 loads each, at 8,650 engines. 8.9 KB/s while each was told all, and 0.23
-// with what it deals with, 96 of the engines (one run each).
+// BenchmarkInterest measures the bytes a second that a box of a large fleet sends to one follower at 36
+// streams a second: placed, ended and 4 loads each, at 8,650 engines. 8.9 KB/s when the follower is sent
+// all messages, and 0.23 KB/s for an interest of 96 engines (one run each).
 func BenchmarkInterest(b *testing.B) {
 	const engines, known, streams = 8650, 96, 36
 	for _, all := range []bool{true, false} {
 		b.Run(fmt.Sprintf("all=%t", all), func(b *testing.B) {
 			n := New(Options{Metrics: metrics.NewSet(), Believed: func(string, ...zap.Field) {}, Heard: func(Fact) {}})
-			f := &follower{name: "f", queue: newQueue()}
+			f := &follower{name: "f", queue: newMessageQueue()}
 			n.admit(f)
 			if !all {
 				var names []string
 				for i := range known {
 					names = append(names, engineName(i*engines/known))
 				}
-				f.interest = interestIn(names)
+				f.interest = newInterest(names)
 			}
 			sent, second := 0, 0
 			for b.Loop() {
@@ -144,7 +144,7 @@
 					if i%6 != 5 {
 						continue
 					}
-					text, err := proto.Marshal(n.update(f))
+					text, err := proto.Marshal(n.nextUpdate(f))
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/overlay/link.go
+++ b/internal/overlay/link.go
@@ -15,34 +15,34 @@
 	"github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1/stoatrampv1connect"
 )
 
-// mostMessage bounds a message, in bytes: the largest configuration fits.
-const mostMessage = 16 << 20
+// maxMessageBytes bounds a message between boxes: the largest configuration fits.
+const maxMessageBytes = 16 << 20
 
-// link is the way to a box that is followed.
+// link is the connection to the upstream.
 type link struct {
 	n      *Node
-	m      Member
+	member Member
 	client stoatrampv1connect.OverlayClient
 	key    string
-	queue  queue
-	// worked is set once the other box has sent something.
-	worked bool
-	// lostAt is since when it tells that the store does not answer it; zero if it does.
-	lostAt time.Time
+	queue  messageQueue
+	// established is set once the upstream has sent something.
+	established bool
+	// storeLostSince is since when the upstream reports that the store does not answer it; zero if it does.
+	storeLostSince time.Time
 }
 
 func newLink(n *Node, m Member) *link {
-	return &link{n: n, m: m, client: n.client(m.Address), key: n.members.secret(), queue: newQueue()}
+	return &link{n: n, member: m, client: n.client(m.Address), key: n.members.sharedKey(), queue: newMessageQueue()}
 }
 
-// client speaks to another box.
+// client returns a client for another box.
 func (n *Node) client(address string) stoatrampv1connect.OverlayClient {
 	return stoatrampv1connect.NewOverlayClient(n.hc, "http://"+address,
-		connect.WithReadMaxBytes(mostMessage))
+		connect.WithReadMaxBytes(maxMessageBytes))
 }
 
-// tables asks a box for its tables, once.
-func (n *Node) tables(ctx context.Context, address string) (*v1.Update, error) {
+// fetchTables requests the open tables of a box once.
+func (n *Node) fetchTables(ctx context.Context, address string) (*v1.Update, error) {
 	resp, err := n.client(address).Tables(ctx, connect.NewRequest(&v1.TablesRequest{Packed: true}))
 	if err != nil {
 		return nil, err
@@ -50,17 +50,17 @@
 	return resp.Msg, nil
 }
 
-var errSilent = errors.New("it said nothing for too long")
+var errSilentUpstream = errors.New("no update received within the silence timeout")
 
-// follow hears from the box until it falls silent, ends the stream, or better says that
-// another one should be followed.
+// follow receives updates until the upstream falls silent or ends the stream, or better reports
+// that another one should be followed.
 func (l *link) follow(ctx context.Context, better func() bool) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(silence, func() { cancel(errSilent) })
+	watchdog := time.AfterFunc(silenceTimeout, func() { cancel(errSilentUpstream) })
 	defer watchdog.Stop()
 	req := connect.NewRequest(&v1.FollowRequest{
-		Box: l.n.o.Self.Name, Incarnation: l.n.o.Self.Incarnation, Protocol: protocol, Packed: true,
+		Box: l.n.o.Self.Name, Incarnation: l.n.o.Self.Incarnation, Protocol: protocolVersion, Packed: true,
 	})
 	for name, t := range l.n.o.Tables {
 		ver := t.Version()
@@ -69,123 +69,123 @@
 	authorize(req.Header(), l.key)
 	stream, err := l.client.Follow(ctx, req)
 	if err != nil {
-		return fmt.Errorf("follow: %w", err)
+		return fmt.Errorf("open stream: %w", err)
 	}
 	defer func() {
 		cancel(nil)
 		_ = stream.Close()
 	}()
 	for stream.Receive() {
-		watchdog.Reset(silence)
-		if !l.worked {
-			l.begin(ctx)
+		watchdog.Reset(silenceTimeout)
+		if !l.established {
+			l.onEstablished(ctx)
 		}
-		l.worked = true
-		if err := l.take(stream.Msg()); err != nil {
+		l.established = true
+		if err := l.apply(stream.Msg()); err != nil {
 			return err
 		}
 		if better() {
-			return errBetter
+			return errBetterUpstream
 		}
 	}
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
-	return fmt.Errorf("followed: %w", errors.Join(stream.Err(), errEnded))
+	return fmt.Errorf("receive updates: %w", errors.Join(stream.Err(), errStreamEnded))
 }
 
-var errEnded = errors.New("it ended the stream")
+var errStreamEnded = errors.New("the upstream ended the stream")
 
-// begin is called once the box is known to work.
-func (l *link) begin(ctx context.Context) {
+// onEstablished is called when the first update arrives.
+func (l *link) onEstablished(ctx context.Context) {
 	l.n.count.switches.Inc()
-	l.n.interests.begin()
-	l.n.setUp(l)
-	l.queue.poke() // It is to be told of which engines this box wants to hear.
-	l.n.o.Believed("box followed", zap.String("box", l.m.Name), zap.String("hall", l.m.Hall))
-	go l.tellAll(ctx)
+	l.n.interests.reset()
+	l.n.setUpstream(l)
+	l.queue.signal() // Sends the interest of this box.
+	l.n.o.Believed("following another box", zap.String("box", l.member.Name), zap.String("hall", l.member.Hall))
+	go l.publishLoop(ctx)
 }
 
 var (
-	errLost   = errors.New("the store does not answer it")
-	errCircle = errors.New("what it tells came from this box")
+	errUpstreamStoreLost = errors.New("the store does not answer the upstream")
+	errCycle             = errors.New("the updates of the upstream pass through this box")
 )
 
-// take applies a message. An error says that the box should not be followed now.
-func (l *link) take(msg *v1.Update) error {
+// apply applies an update. An error means that the upstream should not be followed now.
+func (l *link) apply(msg *v1.Update) error {
 	for _, f := range msg.Facts {
-		l.n.heard(f, l, nil)
+		l.n.receive(f, l, nil)
 	}
 	for _, p := range msg.Placed {
-		l.n.heardPlaced(p)
+		l.n.receivePlaced(p)
 	}
 	if slices.Contains(msg.Path, l.n.o.Self.Name) {
-		return errCircle
+		return errCycle
 	}
-	l.n.setPath(msg.Path)
+	l.n.setUpstreamPath(msg.Path)
 	lost := false
 	for _, p := range msg.Tables {
 		if t := l.n.o.Tables[p.Name]; t != nil {
-			part, err := partOf(p)
+			part, err := decodePart(p)
 			if err != nil {
 				return err
 			}
-			t.Hear(part, silence)
+			t.Hear(part, silenceTimeout)
 			lost = lost || p.AgeMs < 0
 		}
 	}
-	return l.judge(lost, clock.Now())
+	return l.checkStoreLost(lost, clock.Now())
 }
 
-// judge says whether a box that the store may not answer should still be followed.
-func (l *link) judge(lost bool, now time.Time) error {
+// checkStoreLost returns an error once the upstream has been without the store for too long.
+func (l *link) checkStoreLost(lost bool, now time.Time) error {
 	if !lost {
-		l.lostAt = time.Time{}
+		l.storeLostSince = time.Time{}
 		return nil
 	}
-	if l.lostAt.IsZero() {
-		l.lostAt = now
+	if l.storeLostSince.IsZero() {
+		l.storeLostSince = now
 	}
-	limit := lostFor
-	if l.n.lost() {
-		limit = bothLostFor
+	grace := storeLostGrace
+	if l.n.storeLost() {
+		grace = bothStoreLostGrace
 	}
-	if now.Sub(l.lostAt) > limit {
-		return errLost
+	if now.Sub(l.storeLostSince) > grace {
+		return errUpstreamStoreLost
 	}
 	return nil
 }
 
-// tellAll passes on what this box and its followers learn.
-func (l *link) tellAll(ctx context.Context) {
+// publishLoop sends the messages of this box and its followers to the upstream.
+func (l *link) publishLoop(ctx context.Context) {
 	for {
 		select {
 		case <-l.queue.wake:
 		case <-ctx.Done():
 			return
 		}
-		l.tell(ctx, l.queue.take(clock.Now()))
-		sleep(ctx, spacing)
+		l.publish(ctx, l.queue.drain(clock.Now()))
+		sleep(ctx, minSendInterval)
 	}
 }
 
-func (l *link) tell(ctx context.Context, facts []*v1.Fact) {
+func (l *link) publish(ctx context.Context, messages []*v1.Fact) {
 	if ctx.Err() != nil {
 		return
 	}
-	interest := l.n.interests.news(l.n.Followers() > 0)
-	if len(facts) == 0 && interest == nil {
+	interest := l.n.interests.takeChange(l.n.Followers() > 0)
+	if len(messages) == 0 && interest == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req := connect.NewRequest(&v1.TellRequest{Box: l.n.o.Self.Name, Incarnation: l.n.o.Self.Incarnation, Facts: facts, Interest: interest})
+	req := connect.NewRequest(&v1.TellRequest{Box: l.n.o.Self.Name, Incarnation: l.n.o.Self.Incarnation, Facts: messages, Interest: interest})
 	authorize(req.Header(), l.key)
 	if _, err := l.client.Tell(ctx, req); err != nil {
-		l.n.count.dropped.Add(len(facts))
+		l.n.count.dropped.Add(len(messages))
 		if interest != nil {
-			l.n.interests.unsaid()
-			l.queue.poke()
+			l.n.interests.markUnconfirmed()
+			l.queue.signal()
 		}
 	}
 }
--- a/internal/overlay/locks_test.go
+++ b/internal/overlay/locks_test.go
@@ -7,34 +7,34 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// askingTable asks the node, as what has a use for its rows does while the table's lock is held.
-type askingTable struct {
+// reentrantTable calls the node, as a user of its rows does while the table's lock is held.
+type reentrantTable struct {
 	Table
 	ask func()
 }
 
-func (t *askingTable) Followed(bool) { t.ask() }
+func (t *reentrantTable) SetFollowed(bool) { t.ask() }
 
-// A box stood still for good that took a follower in while a table of its handed on its rows.
+// A box deadlocked when it admitted a follower while one of its tables was applying its rows.
 func TestTableMayAskTheNodeWhileItIsToldOfFollowers(t *testing.T) {
-	table := &askingTable{}
+	table := &reentrantTable{}
 	n := New(Options{Tables: map[string]Table{"t": table}, Metrics: metrics.NewSet()})
 	table.ask = func() {
 		n.Connected()
 		n.WantFacts([]string{"e"})
 	}
-	f := &follower{queue: newQueue()}
+	f := &follower{queue: newMessageQueue()}
 	done := make(chan bool)
 	go func() {
 		done <- n.admit(f)
-		n.drop(f)
+		n.removeFollower(f)
 		close(done)
 	}()
 	for range 2 {
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
-			t.Fatal("expected the follower to be taken in and dropped, the node stands still")
+			t.Fatal("expected the follower to be admitted and removed, the node is deadlocked")
 		}
 	}
 }
--- a/internal/overlay/members.go
+++ b/internal/overlay/members.go
@@ -11,82 +11,82 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// Member is one start of a box, as it lists itself in the platform's store.
+// Member is one start of a box, as it registers itself in the platform's store.
 type Member struct {
 	Name string `json:"-"` // The row's key.
-	// Region and Hall say where it stands. Boxes follow only others of their region.
+	// Region and Hall are its location. Boxes follow only others of their region.
 	Region string `json:"region"`
 	Hall   string `json:"hall"`
 	// Address is where it serves other boxes, ip:port.
 	Address string `json:"address"`
-	// Incarnation tells the starts of a box apart and grows with each. It is the time of its
-	// start in nanoseconds; clocks need only agree roughly, since it is but an order.
+	// Incarnation identifies a start of a box and grows with each. It is the time of the start in
+	// nanoseconds; clocks need to agree only roughly, since it is used only as an order.
 	Incarnation int64 `json:"incarnation"`
 }
 
-// keyRow is the row beside the members that holds the key of all boxes' connections. A box's
-// name has no slash.
+// keyRow is the row of the members table with the key that authenticates all boxes' connections. No
+// box's name contains a slash.
 const keyRow = "/key"
 
-func (m *Member) row() []byte {
+func (m *Member) encode() []byte {
 	b, _ := json.Marshal(m) // Strings and numbers always encode.
 	return b
 }
 
 const (
-	// A member that could not be followed is left alone for firstPause, and for twice as
-	// long after each further try, up to longestPause.
-	firstPause   = 700 * time.Millisecond
-	longestPause = 20 * time.Second
+	// A member that could not be followed is skipped for minFollowBackoff, and for twice as long
+	// after each further failure, up to maxFollowBackoff.
+	minFollowBackoff = 700 * time.Millisecond
+	maxFollowBackoff = 20 * time.Second
 )
 
-// members is what a box knows of the others.
+// members is a box's copy of the list of members.
 type members struct {
 	// changes counts how often the list was set.
 	changes atomic.Int64
 
 	mu  sync.Mutex
 	key string
-	// keyListed says that the table has the key. A table of an older copy may not.
+	// keyListed means that the table has the key. A table of an older copy may lack it.
 	keyListed bool
 	all       map[string]Member
-	// missing are members among all that the table lacks since it came back from an older copy. They are kept
-	// until keptUntil, by when they have listed themselves again: how many there are bounds what each may spend.
-	missing   map[string]bool
-	restored  bool // The table that is set next is of an older copy.
-	keptUntil time.Time
-	// bad are those that could not be followed lately.
-	bad map[string]badMember
+	// missing are members among all that the table lacks since it was restored from an older copy. They are kept
+	// until retainUntil, by when they have registered again: the number of members determines how much each may spend.
+	missing     map[string]bool
+	restored    bool // The next table that is set is of an older copy.
+	retainUntil time.Time
+	// failures are the members that recently could not be followed.
+	failures map[string]memberFailure
 }
 
-type badMember struct {
+type memberFailure struct {
 	incarnation int64
 	tries       int
 	until       time.Time
 }
 
-// MissingKept is for how long members are kept that an older copy of the table lacks.
-const MissingKept = 3 * registerPause
+// MissingKept is for how long members are kept that a restored table lacks.
+const MissingKept = 3 * registerInterval
 
-// setRestored says that the table that is set next is of an older copy.
+// setRestored announces that the next table is of an older copy.
 func (s *members) setRestored() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.restored = true
 }
 
-// set takes the rows of the table of members. A row that says nothing of use is passed over.
+// set replaces the table of members. Rows that cannot be decoded or have no address are skipped.
 func (s *members) set(rows map[string][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.changes.Add(1)
 	now := clock.Now()
 	if s.restored {
-		s.restored, s.keptUntil = false, now.Add(MissingKept)
+		s.restored, s.retainUntil = false, now.Add(MissingKept)
 	}
 	before := s.all
 	s.all, s.missing = make(map[string]Member, len(rows)), map[string]bool{}
-	defer s.keepMissing(before, now)
+	defer s.retainMissing(before, now)
 	_, s.keyListed = rows[keyRow]
 	for name, text := range rows {
 		if name == keyRow {
@@ -100,10 +100,10 @@
 	}
 }
 
-// keepMissing keeps members that the table lacks, for some time after it came back from an older copy. The lock
-// is held.
-func (s *members) keepMissing(before map[string]Member, now time.Time) {
-	if !now.Before(s.keptUntil) {
+// retainMissing keeps members that the table lacks, for some time after it was restored from an older copy. The
+// lock is held.
+func (s *members) retainMissing(before map[string]Member, now time.Time) {
+	if !now.Before(s.retainUntil) {
 		return
 	}
 	for name, m := range before {
@@ -113,20 +113,20 @@
 	}
 }
 
-func (s *members) secret() string {
+func (s *members) sharedKey() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.key
 }
 
-// keyMissing says whether the table has no key, and the one that it is to have; empty if any will do.
+// keyMissing reports whether the table has no key, and the one to restore; empty if any will do.
 func (s *members) keyMissing() (key string, missing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.key, !s.keyListed
 }
 
-// get finds a member, and says whether the table has it.
+// get returns a member, and whether the table has it.
 func (s *members) get(name string) (m Member, listed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,27 +134,27 @@
 	return m, ok && !s.missing[name]
 }
 
-// older orders members by age: the oldest has shown that it lasts, and while it lives
-// nothing changes.
-func older(a, b Member) int {
+// compareAge orders members by age, oldest first: the oldest has proved stable, and while it runs
+// the tree keeps its root.
+func compareAge(a, b Member) int {
 	if n := cmp.Compare(a.Incarnation, b.Incarnation); n != 0 {
 		return n
 	}
 	return cmp.Compare(a.Name, b.Name)
 }
 
-// usable lists the members of a region that may be followed now, oldest first.
-func (s *members) usable(region string, now time.Time) []Member {
+// followable lists the members of a region that may be followed now, oldest first.
+func (s *members) followable(region string, now time.Time) []Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Member
 	for _, m := range s.all {
-		b := s.bad[m.Name]
+		b := s.failures[m.Name]
 		if m.Region == region && (b.incarnation != m.Incarnation || !now.Before(b.until)) {
 			out = append(out, m)
 		}
 	}
-	slices.SortFunc(out, older)
+	slices.SortFunc(out, compareAge)
 	return out
 }
 
@@ -170,38 +170,38 @@
 	return out
 }
 
-// failed notes that a member could not be followed.
-func (s *members) failed(m Member, now time.Time) {
+// recordFailure records that a member could not be followed.
+func (s *members) recordFailure(m Member, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.bad == nil {
-		s.bad = map[string]badMember{}
+	if s.failures == nil {
+		s.failures = map[string]memberFailure{}
 	}
-	b := s.bad[m.Name]
+	b := s.failures[m.Name]
 	if b.incarnation != m.Incarnation {
-		b = badMember{incarnation: m.Incarnation}
+		b = memberFailure{incarnation: m.Incarnation}
 	}
-	b.until = now.Add(min(longestPause, firstPause<<min(b.tries, 6)))
+	b.until = now.Add(min(maxFollowBackoff, minFollowBackoff<<min(b.tries, 6)))
 	b.tries++
-	s.bad[m.Name] = b
+	s.failures[m.Name] = b
 }
 
-// worked notes that a member was followed well.
-func (s *members) worked(m Member) {
+// recordSuccess clears the failures of a member that was followed.
+func (s *members) recordSuccess(m Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.bad, m.Name)
+	delete(s.failures, m.Name)
 }
 
-// size is how many members are listed.
+// size returns how many members are listed.
 func (s *members) size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.all)
 }
 
-// known says whether the table of members was read at all.
-func (s *members) known() bool {
+// loaded reports whether the table of members has been read.
+func (s *members) loaded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.all != nil
--- a/internal/overlay/members_test.go
+++ b/internal/overlay/members_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-func TestMembersThatAnOlderCopyLacksCountUntilTheyAreListedAgain(t *testing.T) {
+func TestMembersMissingAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var s members
 		row := func(name string) []byte {
 			m := Member{Name: name, Region: "r", Address: "127.0.0.1:1"}
-			return m.row()
+			return m.encode()
 		}
 		expect := func(what string, size int, listed bool) {
 			t.Helper()
@@ -28,7 +28,7 @@
 		s.set(whole)
 		s.setRestored()
 		s.set(older)
-		expect("at the return", 2, false)
+		expect("restored from an older copy", 2, false)
 		s.set(older)
 		expect("after another change", 2, false)
 		s.set(whole)
--- a/internal/overlay/node.go
+++ b/internal/overlay/node.go
@@ -1,16 +1,16 @@
-// Package overlay has the boxes of a platform tell each other what one of them learned, with
-// no coordinator and no fixed list.
+// Package overlay distributes the platform's tables and gossip messages among the boxes of a
+// platform, with no coordinator and no fixed list of members.
 //
 //	platform's store ─► oldest box of all ─┬► the others of its hall
 //	                                       ├► oldest box of another hall ─► the others of that
 //	                                       └► …
 //
-// Each box lists itself in a table of the store. It follows an older box of its hall (see
-// parent); the oldest of a hall follows the oldest of all; and a box that has nobody to follow
-// reads the store itself. So one box reads for all, and who that is needs no agreement: two
-// that believe it of themselves cost some calls. What comes down are the platform's tables
-// (package follow sees to it that they never step back and are fresh enough) and facts; facts
-// also go up, and once through the whole tree.
+// Each box registers itself in a table of the store. It follows an older box of its hall (see
+// parent), its upstream; the oldest of a hall follows the oldest of all; and a box without an
+// upstream reads the store itself. So one box reads for all, and electing it takes no agreement:
+// two boxes that both act as the root only cost some extra calls to the store. Tables flow down
+// the tree (package follow ensures that they never go back to an older version and are fresh
+// enough). Gossip messages also flow up, and reach each box of the tree once.
 package overlay
 
 import (
@@ -36,82 +36,83 @@
 )
 
 const (
-	// heartbeat is how often a follower hears something, and silence how long it waits for
-	// that before it reads the store itself.
-	heartbeat = 200 * time.Millisecond
-	silence   = 600 * time.Millisecond
-	// spacing is the least time between two messages to one follower, or to the box followed:
-	// what comes meanwhile goes together.
-	spacing = 60 * time.Millisecond
-	// followerRate is how many bytes a second one follower is sent while messages are long, and
-	// longestSpacing the longest pause that comes of it, shorter than silence. The smallest boxes have
-	// links of 20 Mbit/s, 2.5 MB/s, and fourteen followers in a hall of 200: a third is for tables.
-	followerRate   = 50e3
-	longestSpacing = 400 * time.Millisecond
-	// reconsider is how long a box is followed while a better one could be, or nobody need be,
-	// and reconsiderLost the same where it is followed because the store did not answer.
-	reconsider     = 2 * time.Second
-	reconsiderLost = 6 * time.Second
-	// lookAgain paces looks at the list of members while there is nobody to follow.
-	lookAgain = 500 * time.Millisecond
-	// callLimit bounds a call to another box, and dialLimit the connection to it.
-	callLimit = 500 * time.Millisecond
-	dialLimit = 300 * time.Millisecond
-	// mostFollowers bounds the boxes that follow one: more follow one of those.
-	mostFollowers = 64
-	// mostQueued bounds the facts that wait to be sent to one box.
-	mostQueued = 512
-	// registerPause paces the tries to list this box, and registerSpread keeps boxes that
-	// start together from writing together.
-	registerPause = 2 * time.Second
-	// A box that tells that the store does not answer it is followed no more after lostFor if
-	// the store answers this one, and otherwise after bothLostFor.
-	lostFor        = 400 * time.Millisecond
-	bothLostFor    = 2500 * time.Millisecond
-	registerSpread = 300 * time.Millisecond
-	// keyWait is how long the oldest box has to make the key.
-	keyWait = 2 * registerPause
-	// protocol is raised when boxes of the version before would misread a message.
-	protocol = 1
+	// heartbeatInterval is the longest pause between two updates to a follower, and silenceTimeout
+	// how long a follower waits for one before it reads the store itself.
+	heartbeatInterval = 200 * time.Millisecond
+	silenceTimeout    = 600 * time.Millisecond
+	// minSendInterval is the minimum time between two sends to one follower, or to the upstream:
+	// what is queued meanwhile is sent together.
+	minSendInterval = 60 * time.Millisecond
+	// followerBytesPerSecond limits the rate at which one follower is sent long updates, and
+	// maxSendInterval bounds the pause that results; it is shorter than silenceTimeout. The smallest
+	// boxes have links of 20 Mbit/s, 2.5 MB/s, and fourteen followers in a hall of 200: a third of
+	// the link is for tables.
+	followerBytesPerSecond = 50e3
+	maxSendInterval        = 400 * time.Millisecond
+	// minFollowTime is how long an upstream is kept although a better one is available, or none is
+	// needed, and minFollowTimeStoreLost the same where it was chosen because the store did not answer.
+	minFollowTime          = 2 * time.Second
+	minFollowTimeStoreLost = 6 * time.Second
+	// upstreamRetryInterval is the pause between attempts to select an upstream while there is none.
+	upstreamRetryInterval = 500 * time.Millisecond
+	// callTimeout bounds a call to another box, and dialTimeout the connection to it.
+	callTimeout = 500 * time.Millisecond
+	dialTimeout = 300 * time.Millisecond
+	// maxFollowers bounds the followers of one box; further boxes follow one of those.
+	maxFollowers = 64
+	// maxQueuedMessages bounds the gossip messages that are queued for one box.
+	maxQueuedMessages = 512
+	// registerInterval is the mean pause between attempts to register this box, and registerJitter
+	// keeps boxes that start together from writing at the same time.
+	registerInterval = 2 * time.Second
+	// An upstream that reports that the store does not answer it is dropped after storeLostGrace if
+	// the store answers this box, and otherwise after bothStoreLostGrace.
+	storeLostGrace     = 400 * time.Millisecond
+	bothStoreLostGrace = 2500 * time.Millisecond
+	registerJitter     = 300 * time.Millisecond
+	// keyCreationTimeout is how long the oldest box has to create the shared key.
+	keyCreationTimeout = 2 * registerInterval
+	// protocolVersion is raised when boxes of the previous version would misread a message.
+	protocolVersion = 1
 )
 
-// Table is a table that boxes pass on; package follow has it.
+// Table is a table that boxes replicate to each other; package follow implements it.
 type Table interface {
-	Tell(since follow.Version) follow.Part
+	PartSince(since follow.Version) follow.Part
 	Hear(p follow.Part, relief time.Duration) bool
-	Alone()
-	Followed(yes bool)
+	EndDelegation()
+	SetFollowed(yes bool)
 	Changed() <-chan struct{}
 	Version() follow.Version
-	Away() bool
+	Unavailable() bool
 }
 
 // Register is the table of members in the platform's store.
 type Register interface {
-	// Put lists a row, whatever it was before.
+	// Put adds or replaces a row.
 	Put(ctx context.Context, key string, value []byte) error
-	// Create adds a row unless there is one.
+	// Create adds a row unless one exists.
 	Create(ctx context.Context, key string, value []byte) error
 	Remove(ctx context.Context, key string) error
 }
 
-// Options are what a Node is made from.
+// Options configure a Node.
 type Options struct {
 	Self     Member
 	Register Register
-	// Tables are passed on, by names that all boxes share. Open are those that a box which
-	// starts while the store is away is told without a key.
+	// Tables are replicated, by names that all boxes share. Open are those that a box which
+	// starts while the store is unavailable may fetch without a key.
 	Tables map[string]Table
 	Open   []string
-	// Seeds are addresses of boxes, ip:port, that may be stale.
+	// Seeds are addresses of boxes, ip:port, which may be stale.
 	Seeds []string
-	// Room answers for this box where it is the home of an engine, and must not block.
+	// Room answers for engines that this box owns, and must not block.
 	Room func(Room) bool
-	// Limits is what this box gives out as the home of client accounts.
+	// Limits holds the parts of account limits that this box grants from as owner of client accounts.
 	Limits *quota.Pool
-	// Heard takes what another box learned, and must not block.
+	// Heard receives the gossip messages of other boxes, and must not block.
 	Heard func(Fact)
-	// Believed is told what changes in the box's view of the others, and must not block.
+	// Believed reports changes of the observed state of other boxes, and must not block.
 	Believed func(change string, fields ...zap.Field)
 	Metrics  *metrics.Set
 }
@@ -122,126 +123,126 @@
 	hc      *http.Client
 	members members
 	count   counters
-	// changed is poked when the list of members changes.
-	changed chan struct{}
-	// stopped ends when the box begins a planned stop: its followers go elsewhere.
-	stopped context.Context
-	stop    context.CancelFunc
-	open    bucket
-	homes   homes
-	order   homeOrder
-	lender  quota.Lender
-	// interests are the engines that this box deals with, as the box followed is told of them.
-	interests interests
+	// membersChanged is signalled when the list of members changes.
+	membersChanged chan struct{}
+	// stopped is cancelled when the box begins a planned stop: its followers select another upstream.
+	stopped      context.Context
+	stop         context.CancelFunc
+	seedLimiter  bucket
+	unresponsive unresponsiveOwners
+	ownerOrder   ownerRankings
+	lender       quota.Lender
+	// interests tracks the engines that this box deals with, as the upstream knows them.
+	interests interestState
 	packer    packer
-	began     time.Time
-	// keyless is since when the list has no key. Only register uses it.
-	keyless time.Time
-	// putAt is when this box last listed itself. Only register uses it.
-	putAt time.Time
+	startedAt time.Time
+	// keyMissingSince is when the list was first seen without a key. Only register uses it.
+	keyMissingSince time.Time
+	// lastPut is when this box last registered itself. Only register uses it.
+	lastPut time.Time
 
-	// telling orders the calls to tables about followers; it is taken before mu.
-	telling sync.Mutex
+	// followedMu serializes the calls of Table.SetFollowed; it is locked before mu.
+	followedMu sync.Mutex
 
 	mu        sync.Mutex
 	followers map[*follower]struct{}
-	up        *link // To the box followed; nil if none is.
-	// path names the boxes that this one's tables come through; empty if it reads the store.
-	path []string
-	seq  uint64
-	// seen is the last fact heard of each box.
-	seen map[string]seenFact
+	upstream  *link // nil if this box follows none.
+	// upstreamPath names the boxes that this box's tables pass through; empty if it reads the store.
+	upstreamPath []string
+	seq          uint64
+	// lastReceived is the position of the last gossip message received from each box.
+	lastReceived map[string]messagePosition
 }
 
-type seenFact struct {
+type messagePosition struct {
 	incarnation int64
 	seq         uint64
 }
 
 type counters struct {
-	told, heard, dropped, refused, switches *metrics.Counter
-	granted, denied, alone                  *metrics.Counter
-	lent, lendLost, asked, unasked          *metrics.Counter
+	published, received, dropped, refused, switches  *metrics.Counter
+	roomGranted, roomDenied, roomUnanswered          *metrics.Counter
+	lent, lendFailed, allowAnswered, allowUnanswered *metrics.Counter
 }
 
-// New returns a node that knows nobody.
+// New returns a node that knows no other box yet.
 func New(o Options) *Node {
 	n := &Node{
-		o: o, changed: make(chan struct{}, 1), followers: map[*follower]struct{}{}, seen: map[string]seenFact{},
-		open: bucket{rate: openRate, most: openRate}, began: clock.Now(),
+		o: o, membersChanged: make(chan struct{}, 1), followers: map[*follower]struct{}{}, lastReceived: map[string]messagePosition{},
+		seedLimiter: bucket{rate: seedCallsPerSecond, burst: seedCallsPerSecond}, startedAt: clock.Now(),
 	}
 	n.stopped, n.stop = context.WithCancel(context.Background())
-	dialer := net.Dialer{Timeout: dialLimit, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
 	n.hc = &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute, DisableCompression: true}}
 	n.count = counters{
-		told:     o.Metrics.NewCounter("stoatramp_overlay_facts_told_total"),
-		heard:    o.Metrics.NewCounter("stoatramp_overlay_facts_heard_total"),
-		dropped:  o.Metrics.NewCounter("stoatramp_overlay_facts_dropped_total"),
-		refused:  o.Metrics.NewCounter("stoatramp_overlay_refused_total"),
-		switches: o.Metrics.NewCounter("stoatramp_overlay_switches_total"),
-		granted:  o.Metrics.NewCounter(`stoatramp_overlay_rooms_total{answer="granted"}`),
-		denied:   o.Metrics.NewCounter(`stoatramp_overlay_rooms_total{answer="denied"}`),
-		alone:    o.Metrics.NewCounter(`stoatramp_overlay_rooms_total{answer="none"}`),
-		lent:     o.Metrics.NewCounter(`stoatramp_overlay_lends_total{answer="yes"}`),
-		lendLost: o.Metrics.NewCounter(`stoatramp_overlay_lends_total{answer="none"}`),
-		asked:    o.Metrics.NewCounter(`stoatramp_overlay_limits_total{answer="yes"}`),
-		unasked:  o.Metrics.NewCounter(`stoatramp_overlay_limits_total{answer="none"}`),
+		published:       o.Metrics.NewCounter("stoatramp_overlay_facts_told_total"),
+		received:        o.Metrics.NewCounter("stoatramp_overlay_facts_heard_total"),
+		dropped:         o.Metrics.NewCounter("stoatramp_overlay_facts_dropped_total"),
+		refused:         o.Metrics.NewCounter("stoatramp_overlay_refused_total"),
+		switches:        o.Metrics.NewCounter("stoatramp_overlay_switches_total"),
+		roomGranted:     o.Metrics.NewCounter(`stoatramp_overlay_rooms_total{answer="granted"}`),
+		roomDenied:      o.Metrics.NewCounter(`stoatramp_overlay_rooms_total{answer="denied"}`),
+		roomUnanswered:  o.Metrics.NewCounter(`stoatramp_overlay_rooms_total{answer="none"}`),
+		lent:            o.Metrics.NewCounter(`stoatramp_overlay_lends_total{answer="yes"}`),
+		lendFailed:      o.Metrics.NewCounter(`stoatramp_overlay_lends_total{answer="none"}`),
+		allowAnswered:   o.Metrics.NewCounter(`stoatramp_overlay_limits_total{answer="yes"}`),
+		allowUnanswered: o.Metrics.NewCounter(`stoatramp_overlay_limits_total{answer="none"}`),
 	}
 	o.Metrics.NewGauge("stoatramp_overlay_members", func() float64 { return float64(n.members.size()) })
 	o.Metrics.NewGauge("stoatramp_overlay_followers", func() float64 { return float64(n.Followers()) })
 	return n
 }
 
-// SetAddress says where this box serves the others. It is for before Run.
+// SetAddress sets the address at which this box serves others. It must be called before Run.
 func (n *Node) SetAddress(address string) { n.o.Self.Address = address }
 
-// SetMembers takes the table of members.
+// SetMembers replaces the table of members.
 func (n *Node) SetMembers(rows map[string][]byte) {
 	n.members.set(rows)
 	select {
-	case n.changed <- struct{}{}:
+	case n.membersChanged <- struct{}{}:
 	default:
 	}
 }
 
-// MembersRestored says that the table of members that is set next is of an older copy. It is to be set once
-// more after MissingKept.
+// MembersRestored announces that the next table of members comes from a restored, older copy. The
+// table must be set once more after MissingKept.
 func (n *Node) MembersRestored() { n.members.setRestored() }
 
-// Followers counts the boxes that follow this one.
+// Followers returns the number of boxes that follow this one.
 func (n *Node) Followers() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.followers)
 }
 
-// Connected says whether facts of others reach this box: it follows one or is followed.
+// Connected reports whether gossip messages of others reach this box: it follows one or is followed.
 func (n *Node) Connected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.up != nil || len(n.followers) > 0
+	return n.upstream != nil || len(n.followers) > 0
 }
 
-// Follows says whether this box follows another one.
+// Follows reports whether this box follows another one.
 func (n *Node) Follows() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.up != nil
+	return n.upstream != nil
 }
 
-// Oldest says that this box is the oldest listed of its region: it follows nobody.
+// Oldest reports whether this box is the oldest one listed of its region, and so follows nobody.
 func (n *Node) Oldest() bool {
 	all := n.members.list(n.o.Self.Region)
 	return len(all) > 0 && !slices.ContainsFunc(all, func(m Member) bool {
-		return m.Name != n.o.Self.Name && older(m, n.o.Self) < 0
+		return m.Name != n.o.Self.Name && compareAge(m, n.o.Self) < 0
 	})
 }
 
-// Members is how many boxes are listed, this one included.
+// Members returns how many boxes are listed, this one included.
 func (n *Node) Members() int { return n.members.size() }
 
-// Neighbours is how many boxes of this one's region are listed, this one included. They tell each
-// other what they learn.
+// Neighbours returns how many boxes of this one's region are listed, this one included. They
+// exchange gossip messages.
 func (n *Node) Neighbours() int { return len(n.members.list(n.o.Self.Region)) }
 
 // Boxes lists the names of the boxes of a region, with a number that changes with the list.
@@ -253,89 +254,89 @@
 	return names, version
 }
 
-// Run takes part until ctx ends.
+// Run takes part in the overlay until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	for _, t := range n.o.Tables {
-		go n.watch(ctx, t)
+		go n.watchTable(ctx, t)
 	}
 	go n.register(ctx)
-	go n.askSeeds(ctx)
+	go n.fetchFromSeeds(ctx)
 	n.follow(ctx)
 }
 
-// Leave is for a planned stop: those that follow this box go elsewhere, and the list loses it.
+// Leave prepares a planned stop: it disconnects the followers and removes this box from the list.
 func (n *Node) Leave(ctx context.Context) {
 	n.stop()
 	_ = n.o.Register.Remove(ctx, n.o.Self.Name) // Otherwise the next start replaces the row.
 }
 
-// watch wakes the followers when a table changes.
-func (n *Node) watch(ctx context.Context, t Table) {
+// watchTable wakes the followers when a table changes.
+func (n *Node) watchTable(ctx context.Context, t Table) {
 	for {
 		select {
 		case <-t.Changed():
-			n.wakeAll()
+			n.wakeFollowers()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (n *Node) wakeAll() {
+func (n *Node) wakeFollowers() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for f := range n.followers {
-		f.poke()
+		f.signal()
 	}
 }
 
-// register keeps this box listed, and has the first box of all make the key.
+// register keeps this box listed, and creates the shared key where that is up to this box.
 func (n *Node) register(ctx context.Context) {
-	sleep(ctx, time.Duration(mrand.Int64N(int64(registerSpread))))
+	sleep(ctx, time.Duration(mrand.Int64N(int64(registerJitter))))
 	for ctx.Err() == nil && n.stopped.Err() == nil {
-		if !n.members.known() {
-			sleep(ctx, registerSpread/3)
+		if !n.members.loaded() {
+			sleep(ctx, registerJitter/3)
 			continue
 		}
 		n.registerOnce(ctx)
-		pause := registerPause
-		if n.members.secret() == "" {
-			pause = registerSpread // No box can follow another before there is a key.
+		pause := registerInterval
+		if n.members.sharedKey() == "" {
+			pause = registerJitter // No box can follow another before there is a key.
 		}
 		sleep(ctx, pause/2+time.Duration(mrand.Int64N(int64(pause))))
 	}
 }
 
 func (n *Node) registerOnce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	m, listed := n.members.get(n.o.Self.Name)
-	if listed = listed && m == n.o.Self; !listed && clock.Since(n.putAt) > registerPause {
-		n.putAt = clock.Now() // The list shows it some time later.
-		_ = n.o.Register.Put(ctx, n.o.Self.Name, n.o.Self.row())
+	if listed = listed && m == n.o.Self; !listed && clock.Since(n.lastPut) > registerInterval {
+		n.lastPut = clock.Now() // The list shows the row with some delay.
+		_ = n.o.Register.Put(ctx, n.o.Self.Name, n.o.Self.encode())
 	}
 	key, missing := n.members.keyMissing()
 	if !missing {
-		n.keyless = time.Time{}
+		n.keyMissingSince = time.Time{}
 		return
 	}
-	if n.makesKey(listed, clock.Now()) {
-		_ = n.o.Register.Create(ctx, keyRow, []byte(cmp.Or(key, rand.Text()))) // The table shows whose it was.
+	if n.shouldCreateKey(listed, clock.Now()) {
+		_ = n.o.Register.Create(ctx, keyRow, []byte(cmp.Or(key, rand.Text()))) // If two boxes create it, the table shows which row was stored.
 	}
 }
 
-// makesKey says whether this box makes the key: the oldest that is listed does at once, and
-// any other one where it has not for keyWait. A call of each box would cost a large fleet as
-// much as all that it asks the store for in a minute.
-func (n *Node) makesKey(listed bool, now time.Time) bool {
-	if n.keyless.IsZero() {
-		n.keyless = now
+// shouldCreateKey reports whether this box creates the shared key: the oldest listed box does so at
+// once, and any other one if the key is still missing after keyCreationTimeout. If each box made
+// this call, it would cost a large fleet as much as all that it asks the store for in a minute.
+func (n *Node) shouldCreateKey(listed bool, now time.Time) bool {
+	if n.keyMissingSince.IsZero() {
+		n.keyMissingSince = now
 	}
-	if now.Sub(n.keyless) > keyWait {
+	if now.Sub(n.keyMissingSince) > keyCreationTimeout {
 		return true
 	}
 	list := n.members.list(n.o.Self.Region)
-	return listed && !slices.ContainsFunc(list, func(m Member) bool { return older(m, n.o.Self) < 0 })
+	return listed && !slices.ContainsFunc(list, func(m Member) bool { return compareAge(m, n.o.Self) < 0 })
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -345,144 +346,144 @@
 	}
 }
 
-// follow follows the box to be followed, for as long as there is one.
+// follow follows the selected upstream, and selects again when that ends.
 func (n *Node) follow(ctx context.Context) {
 	for ctx.Err() == nil && n.stopped.Err() == nil {
-		if m, ok := n.next(); ok {
-			n.followOne(ctx, m)
+		if m, ok := n.selectUpstream(); ok {
+			n.followMember(ctx, m)
 			continue
 		}
 		select {
-		case <-n.changed:
-		case <-time.After(lookAgain):
+		case <-n.membersChanged:
+		case <-time.After(upstreamRetryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// next is the member to follow now: one of the hall, or, if this box is the oldest there, the
-// oldest of all. A box that the store does not answer follows any other; a circle that closes
-// so is seen by the path of what comes round.
-func (n *Node) next() (Member, bool) {
-	if n.members.secret() == "" {
+// selectUpstream returns the member to follow now: one of the hall, or, if this box is the oldest
+// there, the oldest of all. A box that the store does not answer follows any other; a cycle that
+// results is detected by the path of the updates.
+func (n *Node) selectUpstream() (Member, bool) {
+	if n.members.sharedKey() == "" {
 		return Member{}, false
 	}
 	self := n.o.Self
-	// The row of an earlier start of this box may still stand.
-	list := slices.DeleteFunc(n.members.usable(self.Region, clock.Now()), func(m Member) bool { return m.Name == self.Name })
+	// The row of a previous start of this box may still exist.
+	list := slices.DeleteFunc(n.members.followable(self.Region, clock.Now()), func(m Member) bool { return m.Name == self.Name })
 	hall := slices.DeleteFunc(slices.Clone(list), func(m Member) bool { return m.Hall != self.Hall })
 	if m, ok := parent(hall, self); ok {
 		return m, true
 	}
-	if len(list) > 0 && (older(list[0], self) < 0 || n.lost()) {
+	if len(list) > 0 && (compareAge(list[0], self) < 0 || n.storeLost()) {
 		return list[0], true
 	}
 	return Member{}, false
 }
 
-// lost says that the store does not answer this box, nor does one that is followed.
-func (n *Node) lost() bool {
+// storeLost reports whether a table is unavailable: neither the store nor an upstream provides it.
+func (n *Node) storeLost() bool {
 	for _, t := range n.o.Tables {
-		if t.Away() {
+		if t.Unavailable() {
 			return true
 		}
 	}
 	return false
 }
 
-// followOne follows a member until it fails, or a better one could be followed instead.
-func (n *Node) followOne(ctx context.Context, m Member) {
+// followMember follows a member until that fails or another upstream should be used instead.
+func (n *Node) followMember(ctx context.Context, m Member) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	began, least := clock.Now(), reconsider
-	if older(m, n.o.Self) > 0 {
-		least = reconsiderLost
+	began, minTime := clock.Now(), minFollowTime
+	if compareAge(m, n.o.Self) > 0 {
+		minTime = minFollowTimeStoreLost
 	}
 	l := newLink(n, m)
 	err := l.follow(ctx, func() bool {
-		// Its row may have shown an earlier start, and nobody is older than this box.
-		best, ok := n.next()
-		return (!ok || best != m) && clock.Since(began) > least
+		// The member's row may have been that of an earlier start, while no box is older than this one.
+		best, ok := n.selectUpstream()
+		return (!ok || best != m) && clock.Since(began) > minTime
 	})
-	n.setUp(nil)
+	n.setUpstream(nil)
 	if ctx.Err() != nil {
 		return
 	}
 	switch {
-	case errors.Is(err, errBetter):
-		n.members.worked(m)
+	case errors.Is(err, errBetterUpstream):
+		n.members.recordSuccess(m)
 		return
-	case errors.Is(err, errLost), errors.Is(err, errCircle):
-		n.members.worked(m) // It may be as good as any in a moment.
+	case errors.Is(err, errUpstreamStoreLost), errors.Is(err, errCycle):
+		n.members.recordSuccess(m) // It may work again in a moment.
 	}
-	if l.worked {
-		n.members.worked(m)
-		n.o.Believed("box followed lost", zap.String("box", m.Name), zap.Error(err))
+	if l.established {
+		n.members.recordSuccess(m)
+		n.o.Believed("followed box failed", zap.String("box", m.Name), zap.Error(err))
 	}
-	n.members.failed(m, clock.Now())
+	n.members.recordFailure(m, clock.Now())
 	for _, t := range n.o.Tables {
-		t.Alone()
+		t.EndDelegation()
 	}
 }
 
-var errBetter = errors.New("a better box can be followed")
+var errBetterUpstream = errors.New("a better upstream is available")
 
-// setUp says which box is followed; nil if none is.
-func (n *Node) setUp(l *link) {
+// setUpstream sets the link to the upstream; nil if there is none.
+func (n *Node) setUpstream(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.up, n.path = l, nil
+	n.upstream, n.upstreamPath = l, nil
 }
 
-// setPath says through which boxes the tables come.
-func (n *Node) setPath(path []string) {
+// setUpstreamPath sets the boxes that the tables pass through.
+func (n *Node) setUpstreamPath(path []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.path = path
+	n.upstreamPath = path
 }
 
-// askSeeds has a box that starts while the store is away take the tables that others have:
-// old ones serve callers better than none.
-func (n *Node) askSeeds(ctx context.Context) {
-	sleep(ctx, silence)
-	for ctx.Err() == nil && n.members.secret() == "" {
+// fetchFromSeeds fetches the open tables of other boxes for a box that starts while the store is
+// unavailable: it serves callers better with old tables than with none.
+func (n *Node) fetchFromSeeds(ctx context.Context) {
+	sleep(ctx, silenceTimeout)
+	for ctx.Err() == nil && n.members.sharedKey() == "" {
 		for _, address := range n.o.Seeds {
 			if address != n.o.Self.Address {
-				n.askSeed(ctx, address)
+				n.fetchFromSeed(ctx, address)
 			}
 		}
-		sleep(ctx, silence/2+time.Duration(mrand.Int64N(int64(silence))))
+		sleep(ctx, silenceTimeout/2+time.Duration(mrand.Int64N(int64(silenceTimeout))))
 	}
 }
 
-func (n *Node) askSeed(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+func (n *Node) fetchFromSeed(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	msg, err := n.tables(ctx, address)
+	msg, err := n.fetchTables(ctx, address)
 	if err != nil {
 		return
 	}
 	for _, p := range msg.Tables {
 		t := n.o.Tables[p.Name]
-		if t == nil || !t.Version().Before(versionOf(p)) {
+		if t == nil || !t.Version().Before(tableVersion(p)) {
 			continue
 		}
-		n.o.Believed("table taken from a box", zap.String("table", p.Name), zap.String("from", address), zap.Stringer("version", versionOf(p)), zap.Int64("age_ms", p.AgeMs))
-		part, err := partOf(p)
+		n.o.Believed("table fetched from a seed box", zap.String("table", p.Name), zap.String("from", address), zap.Stringer("version", tableVersion(p)), zap.Int64("age_ms", p.AgeMs))
+		part, err := decodePart(p)
 		if err != nil {
-			n.o.Believed("table not taken", zap.String("table", p.Name), zap.String("from", address), zap.Error(err))
+			n.o.Believed("table from a seed box could not be decoded", zap.String("table", p.Name), zap.String("from", address), zap.Error(err))
 			continue
 		}
-		t.Hear(part, silence)
+		t.Hear(part, silenceTimeout)
 	}
 }
 
-// versionOf is the version of a table that a message tells of. Boxes that know no eras leave theirs at 0.
-func versionOf(p *v1.Table) follow.Version { return follow.Version{Era: p.Era, Number: p.Version} }
+// tableVersion is the version of a table in a message. Boxes that know no eras leave theirs at 0.
+func tableVersion(p *v1.Table) follow.Version { return follow.Version{Era: p.Era, Number: p.Version} }
 
-// partOf reads a part of a table.
-func partOf(p *v1.Table) (follow.Part, error) {
-	out := follow.Part{Version: versionOf(p), Since: follow.Version{Era: p.SinceEra, Number: p.Since}, Skips: p.Skips, Age: time.Duration(p.AgeMs) * time.Millisecond, Lost: p.AgeMs < 0}
+// decodePart decodes a part of a table.
+func decodePart(p *v1.Table) (follow.Part, error) {
+	out := follow.Part{Version: tableVersion(p), Since: follow.Version{Era: p.SinceEra, Number: p.Since}, OmitsReverted: p.Skips, Age: time.Duration(p.AgeMs) * time.Millisecond, Lost: p.AgeMs < 0}
 	rows := p.Rows
 	if len(p.Packed) > 0 {
 		var err error
@@ -496,10 +497,10 @@
 	return out, nil
 }
 
-// tableOf says a part of a table, with long rows packed for a box that reads that.
-func (n *Node) tableOf(name string, p follow.Part, packed bool) *v1.Table {
+// encodePart encodes a part of a table, with long rows packed if the receiver can read that.
+func (n *Node) encodePart(name string, p follow.Part, packed bool) *v1.Table {
 	out := &v1.Table{
-		Name: name, Version: p.Version.Number, Era: p.Version.Era, Since: p.Since.Number, SinceEra: p.Since.Era, Skips: p.Skips, AgeMs: p.Age.Milliseconds(),
+		Name: name, Version: p.Version.Number, Era: p.Version.Era, Since: p.Since.Number, SinceEra: p.Since.Era, Skips: p.OmitsReverted, AgeMs: p.Age.Milliseconds(),
 	}
 	if p.Lost {
 		out.AgeMs = -1
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -21,23 +21,23 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// store is the platform's store with a table of members and one of the operator's.
-type store struct {
-	mu      sync.Mutex
-	down    bool
-	ver     int64
-	rows    map[string]map[string]follow.Row // By table and key.
-	vers    map[string]int64                 // Of the rows, by table and key.
-	changed chan struct{}
-	calls   map[string]int // By box.
-	held    string         // The row that is not put; empty if all are.
+// fakeStore is the platform's store with a table of members and one of the operator's.
+type fakeStore struct {
+	mu         sync.Mutex
+	down       bool
+	ver        int64
+	rows       map[string]map[string]follow.Row // By table and key.
+	vers       map[string]int64                 // Of the rows, by table and key.
+	changed    chan struct{}
+	calls      map[string]int // By box.
+	blockedRow string         // The row whose writes fail; empty if none.
 }
 
-func newStore() *store {
-	return &store{ver: 1, rows: map[string]map[string]follow.Row{}, vers: map[string]int64{}, changed: make(chan struct{}), calls: map[string]int{}}
+func newStore() *fakeStore {
+	return &fakeStore{ver: 1, rows: map[string]map[string]follow.Row{}, vers: map[string]int64{}, changed: make(chan struct{}), calls: map[string]int{}}
 }
 
-func (s *store) set(table string, r follow.Row) {
+func (s *fakeStore) set(table string, r follow.Row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ver++
@@ -49,15 +49,15 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *store) setDown(down bool) {
+func (s *fakeStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// source is one box's way to a table.
+// source is one box's access to a table.
 type source struct {
-	s     *store
+	s     *fakeStore
 	table string
 	box   string
 }
@@ -107,27 +107,27 @@
 	}
 }
 
-func (s *store) Put(_ context.Context, key string, value []byte) error {
-	if s.isDown() || s.isHeld(key) {
+func (s *fakeStore) Put(_ context.Context, key string, value []byte) error {
+	if s.isDown() || s.isBlocked(key) {
 		return errDown
 	}
 	s.set("members", follow.Row{Key: key, Value: value})
 	return nil
 }
 
-func (s *store) isHeld(key string) bool {
+func (s *fakeStore) isBlocked(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held == key
+	return s.blockedRow == key
 }
 
-func (s *store) isDown() bool {
+func (s *fakeStore) isDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.down
 }
 
-func (s *store) Create(ctx context.Context, key string, value []byte) error {
+func (s *fakeStore) Create(ctx context.Context, key string, value []byte) error {
 	s.mu.Lock()
 	r, there := s.rows["members"][key]
 	s.mu.Unlock()
@@ -137,35 +137,35 @@
 	return s.Put(ctx, key, value)
 }
 
-func (s *store) Remove(_ context.Context, key string) error {
+func (s *fakeStore) Remove(_ context.Context, key string) error {
 	s.set("members", follow.Row{Key: key, Gone: true})
 	return nil
 }
 
-// box is a box with its part in the overlay.
+// box is a box with its node of the overlay.
 type box struct {
 	*Node
 	srv    *httptest.Server
 	config *follow.Table
 	cancel context.CancelFunc
 
-	mu    sync.Mutex
-	heard map[string]int // Facts, by the engine that they are about.
-	// placed counts streams of which no facts came, by service.
-	placed map[string]int
+	mu       sync.Mutex
+	received map[string]int // Messages received, by the engine that they are about.
+	// omitted counts the streams whose messages were left out, by service.
+	omitted map[string]int
 }
 
 // start starts a box; older ones have lower incarnations.
-func (s *store) start(t *testing.T, name, hall string, incarnation int64, seeds ...string) *box {
+func (s *fakeStore) start(t *testing.T, name, hall string, incarnation int64, seeds ...string) *box {
 	t.Helper()
-	b := &box{heard: map[string]int{}, placed: map[string]int{}}
+	b := &box{received: map[string]int{}, omitted: map[string]int{}}
 	o := follow.Options{Wait: 300 * time.Millisecond, Limit: 300 * time.Millisecond, FollowedWait: 300 * time.Millisecond, Stale: time.Second}
 	b.config = follow.New(source{s, "config", name}, o, func(map[string][]byte) {})
 	members := follow.New(source{s, "members", name}, o, func(rows map[string][]byte) { b.Node.SetMembers(rows) })
 	b.Node = New(Options{
 		Self:     Member{Name: name, Region: "r", Hall: hall, Incarnation: incarnation},
 		Register: s, Tables: map[string]Table{"config": b.config, "members": members}, Open: []string{"config"}, Seeds: seeds,
-		Heard:    b.hear,
+		Heard:    b.onMessage,
 		Limits:   quota.NewPool(),
 		Believed: func(string, ...zap.Field) {},
 		Metrics:  metrics.NewSet(),
@@ -182,21 +182,21 @@
 	return b
 }
 
-func (b *box) hear(f Fact) {
+func (b *box) onMessage(f Fact) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if f.Refused != nil {
-		b.heard[f.Refused.Engine]++
+		b.received[f.Refused.Engine]++
 	}
 	if f.Streams != nil {
-		b.placed[f.Streams.Service] += f.Streams.Placed
+		b.omitted[f.Streams.Service] += f.Streams.Placed
 	}
 }
 
-func (b *box) heardOf(engine string) int {
+func (b *box) receivedCount(engine string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.heard[engine]
+	return b.received[engine]
 }
 
 func (b *box) kill() {
@@ -205,20 +205,20 @@
 	b.srv.Close()
 }
 
-// value is the configuration as the box knows it.
+// value is the configuration in the box's copy.
 func (b *box) value() string {
-	for _, r := range b.config.Tell(follow.Version{}).Rows {
+	for _, r := range b.config.PartSince(follow.Version{}).Rows {
 		return string(r.Value)
 	}
 	return ""
 }
 
-// eventually waits until it is so.
-func eventually(t *testing.T, what string, so func() bool) {
+// eventually waits until the condition holds.
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !so(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("expected in the end: %s", what)
+			t.Fatalf("expected eventually: %s", what)
 		}
 	}
 }
@@ -229,21 +229,21 @@
 	b.Node.mu.Lock()
 	defer b.Node.mu.Unlock()
 	if name == "" {
-		return b.up == nil
+		return b.upstream == nil
 	}
-	return b.up != nil && b.up.m.Name == name
+	return b.upstream != nil && b.upstream.member.Name == name
 }
 
 // fleet starts boxes a to e in two halls, the oldest first, and waits for the tree:
 // a ─► b, c and a ─► d ─► e.
-func (s *store) fleet(t *testing.T) (all []*box) {
+func (s *fakeStore) fleet(t *testing.T) (all []*box) {
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
 		all = append(all, s.start(t, name, []string{"h1", "h1", "h1", "h2", "h2"}[i], int64(i+1)))
 	}
 	for i, up := range []string{"", "a", "a", "a", "d"} {
 		eventually(t, fmt.Sprintf("box %d follows %q", i, up), func() bool { return all[i].follows(up) })
 	}
-	eventually(t, "all know all", func() bool {
+	eventually(t, "all boxes list all boxes", func() bool {
 		return !slices.ContainsFunc(all, func(b *box) bool { return b.Members() != len(all) })
 	})
 	return all
@@ -256,7 +256,7 @@
 }
 
 // One box reads the store for all, and each change reaches all.
-func TestOneReadsForAll(t *testing.T) {
+func TestOneBoxReadsStore(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	callsOf := func() map[string]int {
@@ -285,9 +285,9 @@
 	}
 }
 
-// When a box that others follow is gone, they go on with the next oldest, and read the
-// store themselves meanwhile.
-func TestFollowedIsGone(t *testing.T) {
+// When a box with followers is gone, they follow the next oldest, and read the store
+// themselves meanwhile.
+func TestUpstreamGone(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	all[0].kill()
@@ -300,9 +300,9 @@
 	eventually(t, "the last one has the change", allHave(all[4:], "again"))
 }
 
-// A box that starts again is the youngest, whatever the list still says of it, and nobody
-// follows in a circle.
-func TestStartsAgain(t *testing.T) {
+// A box that restarts is the youngest, although the list may still show its previous start, and
+// no cycle forms.
+func TestRestart(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	all[0].kill()
@@ -312,32 +312,32 @@
 	eventually(t, "all have the change", allHave(all, "after"))
 }
 
-// A box that follows another by the row of its earlier start leaves it when the list shows
-// that it is the older one itself. Otherwise it would follow a box that takes turns to follow
-// it: all are told the same, and one tries in vain each second.
-func TestOldRow(t *testing.T) {
+// A box that follows another by the row of its earlier start drops it when the list shows that it
+// is itself the older one. Otherwise the two would try to follow each other: all boxes get the same
+// updates, and one of the two fails to connect each second.
+func TestStaleMemberRow(t *testing.T) {
 	s := newStore()
 	s.set("members", follow.Row{Key: keyRow, Value: []byte("of the start before")})
-	s.held = "y"
+	s.blockedRow = "y"
 	y := s.start(t, "y", "h1", 20)
 	old := y.o.Self
 	old.Incarnation = 5
-	s.set("members", follow.Row{Key: "y", Value: old.row()})
+	s.set("members", follow.Row{Key: "y", Value: old.encode()})
 	x := s.start(t, "x", "h1", 10)
 	eventually(t, "x follows y by its old row", func() bool { return x.follows("y") })
 	s.mu.Lock()
-	s.held = ""
+	s.blockedRow = ""
 	s.mu.Unlock()
-	so := func() bool { return x.follows("") && y.follows("x") }
-	eventually(t, "x follows nobody, and y follows x, for some time", func() bool {
-		first := so()
+	settled := func() bool { return x.follows("") && y.follows("x") }
+	eventually(t, "x follows nobody and y follows x, and both stay so", func() bool {
+		first := settled()
 		time.Sleep(300 * time.Millisecond)
-		return first && so()
+		return first && settled()
 	})
 }
 
-// A box that stops as planned leaves the list, and nobody follows it any more.
-func TestLeaves(t *testing.T) {
+// A box that stops as planned is removed from the list, and has no followers any more.
+func TestLeave(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	all[0].Leave(context.Background())
@@ -345,19 +345,19 @@
 	eventually(t, "the list has lost it", func() bool { _, listed := all[1].members.get("a"); return !listed })
 }
 
-// What one box learns all others hear, wherever it stands in the tree, and none twice. A fact
-// may be lost, so it is told anew under another name until all have heard of one.
-func TestFactsReachAll(t *testing.T) {
+// A message of one box reaches all others, wherever it is in the tree, and none twice. A message
+// may be lost, so another with a new engine name is published until all have received one.
+func TestMessagesReachAll(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	for i, from := range all {
-		told := 0
-		eventually(t, fmt.Sprintf("all hear of box %d", i), func() bool {
-			engine := fmt.Sprintf("engine-%d-%d", i, told)
-			told++
+		attempt := 0
+		eventually(t, fmt.Sprintf("all receive a message of box %d", i), func() bool {
+			engine := fmt.Sprintf("engine-%d-%d", i, attempt)
+			attempt++
 			from.Tell(Fact{At: time.Now(), Refused: &Refused{Engine: engine}})
 			for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-				if !slices.ContainsFunc(all, func(b *box) bool { return b != from && b.heardOf(engine) == 0 }) {
+				if !slices.ContainsFunc(all, func(b *box) bool { return b != from && b.receivedCount(engine) == 0 }) {
 					return true
 				}
 			}
@@ -366,18 +366,18 @@
 	}
 	for j, to := range all {
 		to.mu.Lock()
-		for engine, n := range to.heard {
+		for engine, n := range to.received {
 			if n > 1 || strings.HasPrefix(engine, fmt.Sprintf("engine-%d-", j)) {
-				t.Errorf("box %d heard of %s %d times", j, engine, n)
+				t.Errorf("box %d received the message about %s %d times", j, engine, n)
 			}
 		}
 		to.mu.Unlock()
 	}
 }
 
-// A box that starts while the store is away takes the configuration from a seed; what needs
-// the key it is not told.
-func TestStartsInOutage(t *testing.T) {
+// A box that starts while the store is unavailable fetches the configuration from a seed, but not
+// the tables that require the key.
+func TestStartDuringOutage(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	s.set("config", follow.Row{Key: "k", Value: []byte("kept")})
@@ -385,56 +385,56 @@
 	s.setDown(true)
 	late := s.start(t, "late", "h1", 9, "127.0.0.1:1", all[1].srv.Listener.Addr().String())
 	eventually(t, "the new box has the configuration", allHave([]*box{late}, "kept"))
-	if late.Members() != 0 || late.members.secret() != "" {
-		t.Error("expected the list and the key to be told to nobody without the key")
+	if late.Members() != 0 || late.members.sharedKey() != "" {
+		t.Error("expected the list and the key not to be sent to a box without the key")
 	}
 	s.setDown(false)
 	eventually(t, "the new box follows when the store is back", func() bool { return late.follows("a") })
 }
 
-func TestKeyIsTheSameAfterTheStoreCameBackWithoutIt(t *testing.T) {
+func TestKeyKeptAfterRestoreWithoutIt(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
 	eventually(t, "all have the key", func() bool {
-		return !slices.ContainsFunc(all, func(b *box) bool { return b.members.secret() == "" })
+		return !slices.ContainsFunc(all, func(b *box) bool { return b.members.sharedKey() == "" })
 	})
-	key := all[0].members.secret()
+	key := all[0].members.sharedKey()
 	s.set("members", follow.Row{Key: keyRow, Gone: true})
-	eventually(t, "a box has heard so", func() bool { _, missing := all[0].members.keyMissing(); return missing })
-	eventually(t, "it is listed again", func() bool { _, missing := all[0].members.keyMissing(); return !missing })
+	eventually(t, "a box knows that the key is missing", func() bool { _, missing := all[0].members.keyMissing(); return missing })
+	eventually(t, "the key is listed again", func() bool { _, missing := all[0].members.keyMissing(); return !missing })
 	for _, b := range all {
-		if got := b.members.secret(); got != key {
+		if got := b.members.sharedKey(); got != key {
 			t.Errorf("%s: expected the key to be %q, got %q", b.o.Self.Name, key, got)
 		}
 	}
 }
 
-// Boxes that know no eras say and read plain versions.
-func TestBoxThatKnowsNoErasIsToldTheWholeTableOnce(t *testing.T) {
+// Boxes that know no eras send and read plain versions.
+func TestFollowerWithoutErasIsSentTableOnce(t *testing.T) {
 	table := follow.New(nil, follow.Options{}, func(map[string][]byte) {})
 	now := follow.Version{Era: 2, Number: 5}
 	table.Hear(follow.Part{Version: now, Rows: []follow.Row{{Key: "k", Value: []byte("v")}}}, 0)
 	n := New(Options{Tables: map[string]Table{"config": table}, Metrics: metrics.NewSet()})
-	f := &follower{queue: newQueue(), versions: map[string]follow.Version{"config": versionOf(&v1.Table{Version: 7})}}
-	first, second := n.update(f).Tables[0], n.update(f).Tables[0]
+	f := &follower{queue: newMessageQueue(), versions: map[string]follow.Version{"config": tableVersion(&v1.Table{Version: 7})}}
+	first, second := n.nextUpdate(f).Tables[0], n.nextUpdate(f).Tables[0]
 	if first.Version != now.Number || first.Since != 0 || len(first.Rows) != 1 {
 		t.Errorf("expected the whole table by its plain version, got %v", first)
 	}
 	if second.Since != now.Number || len(second.Rows) != 0 {
 		t.Errorf("expected nothing more, got %v", second)
 	}
-	old := &v1.Table{Version: 90, Since: 80} // As such a box tells of the state before the return.
-	part, err := partOf(old)
+	old := &v1.Table{Version: 90, Since: 80} // As such a box sends it of the state before the restore.
+	part, err := decodePart(old)
 	if err != nil || table.Hear(part, time.Minute) || table.Version() != now {
-		t.Errorf("expected the word of a box without eras to change nothing, got %s, %v", table.Version(), err)
+		t.Errorf("expected the part of a box without eras to change nothing, got %s, %v", table.Version(), err)
 	}
 }
 
-// A stranger, and a box that speaks another version, are refused and counted, and do no harm.
+// Calls without the key or with another protocol version are refused and counted, and have no effect.
 func TestStrangers(t *testing.T) {
 	s := newStore()
 	b := s.start(t, "a", "h1", 1)
-	eventually(t, "there is a key", func() bool { return b.members.secret() != "" })
+	eventually(t, "there is a key", func() bool { return b.members.sharedKey() != "" })
 	client := b.client(b.srv.Listener.Addr().String())
 	try := func(key string, protocol int32) connect.Code {
 		req := connect.NewRequest(&v1.FollowRequest{Box: "x", Protocol: protocol})
@@ -453,55 +453,55 @@
 		key      string
 		protocol int32
 		want     connect.Code
-	}{{"", protocol, connect.CodeUnauthenticated}, {"guess", protocol, connect.CodeUnauthenticated}, {b.members.secret(), protocol + 1, connect.CodeFailedPrecondition}, {b.members.secret(), protocol, 0}} {
+	}{{"", protocolVersion, connect.CodeUnauthenticated}, {"guess", protocolVersion, connect.CodeUnauthenticated}, {b.members.sharedKey(), protocolVersion + 1, connect.CodeFailedPrecondition}, {b.members.sharedKey(), protocolVersion, 0}} {
 		if got := try(c.key, c.protocol); got != c.want {
 			t.Errorf("key %q, version %d: expected %v, got %v", c.key, c.protocol, c.want, got)
 		}
 	}
 	tell := connect.NewRequest(&v1.TellRequest{Box: "x", Facts: []*v1.Fact{{Box: "x", Seq: 1, Kind: &v1.Fact_Refused{Refused: &v1.EngineRefused{Engine: "e"}}}}})
 	if _, err := client.Tell(context.Background(), tell); connect.CodeOf(err) != connect.CodeUnauthenticated {
-		t.Errorf("expected facts of a stranger to be refused, got %v", err)
+		t.Errorf("expected messages without the key to be refused, got %v", err)
 	}
-	authorize(tell.Header(), b.members.secret())
-	if _, err := client.Tell(context.Background(), tell); err != nil || b.heardOf("e") != 0 {
-		t.Errorf("expected facts of a box that is not listed to be dropped, got %v, %d", err, b.heardOf("e"))
+	authorize(tell.Header(), b.members.sharedKey())
+	if _, err := client.Tell(context.Background(), tell); err != nil || b.receivedCount("e") != 0 {
+		t.Errorf("expected messages of a box that is not listed to be dropped, got %v, %d", err, b.receivedCount("e"))
 	}
 	if got := b.count.refused.Get(); got != 4 {
 		t.Errorf("expected 4 refusals to be counted, got %d", got)
 	}
 }
 
-// Only so many boxes follow one, and only so many ask for tables without a key.
+// The number of followers is bounded, and so is the rate of calls for tables without a key.
 func TestBounds(t *testing.T) {
 	n := New(Options{Metrics: metrics.NewSet(), Believed: func(string, ...zap.Field) {}})
-	for i := range mostFollowers {
-		if !n.admit(&follower{name: fmt.Sprint(i), queue: newQueue()}) {
-			t.Fatalf("expected follower %d to be taken in", i)
+	for i := range maxFollowers {
+		if !n.admit(&follower{name: fmt.Sprint(i), queue: newMessageQueue()}) {
+			t.Fatalf("expected follower %d to be admitted", i)
 		}
 	}
-	if n.admit(&follower{queue: newQueue()}) {
+	if n.admit(&follower{queue: newMessageQueue()}) {
 		t.Error("expected one more follower to be refused")
 	}
-	for range 3 * mostQueued {
+	for range 3 * maxQueuedMessages {
 		n.Tell(Fact{Waiting: &Waiting{Streams: 1}})
 	}
 	for f := range n.followers {
-		if got := len(f.queue.take(time.Now())); got != mostQueued {
-			t.Fatalf("expected %d facts to wait for a follower that does not read, got %d", mostQueued, got)
+		if got := len(f.queue.drain(time.Now())); got != maxQueuedMessages {
+			t.Fatalf("expected %d messages to be queued for a follower that does not read, got %d", maxQueuedMessages, got)
 		}
 	}
 	taken, now := 0, time.Now()
-	for range 10 * openRate {
-		if n.open.take(now) {
+	for range 10 * seedCallsPerSecond {
+		if n.seedLimiter.take(now) {
 			taken++
 		}
 	}
-	if taken != openRate {
-		t.Errorf("expected %d calls at once to be let through, got %d", openRate, taken)
+	if taken != seedCallsPerSecond {
+		t.Errorf("expected %d calls at once to be let through, got %d", seedCallsPerSecond, taken)
 	}
 }
 
-// Whatever another box sends, no fact is taken that cannot be, and nothing ends the process.
+// Whatever another box sends, no message with values out of bounds is accepted, and the process does not crash.
 func FuzzFact(f *testing.F) {
 	seed := Fact{At: time.Now(), Load: &Load{Engine: "e", KVUsed: 1, KVTotal: 2, Runs: []Run{{1, 2}}}}
 	b, _ := proto.Marshal(seed.encode(time.Now()))
@@ -516,12 +516,12 @@
 		if !ok {
 			return
 		}
-		if got.At.After(now) || now.Sub(got.At) > mostAge {
-			t.Errorf("a fact of %s is taken", got.At)
+		if got.At.After(now) || now.Sub(got.At) > maxMessageAge {
+			t.Errorf("a message of %s is accepted", got.At)
 		}
 		again, ok := decode(got.encode(now), now)
 		if !ok || !proto.Equal(again.encode(now), got.encode(now)) {
-			t.Errorf("%+v does not come through again: %+v", got, again)
+			t.Errorf("%+v differs after another round trip: %+v", got, again)
 		}
 	})
 }
--- a/internal/overlay/pack.go
+++ b/internal/overlay/pack.go
@@ -12,35 +12,35 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// This file compresses the rows of long parts of tables, once for all followers that are told the same.
-// Rows of the list are 230 B of text that repeats itself: 10,000 of them are 2.3 MB for each follower, and
-// a box of 20 Mbit/s has fourteen.
+// This file compresses the rows of long parts of tables, once for all followers that are sent the same.
+// Rows of the list are 230 B of repetitive text: 10,000 of them are 2.3 MB for each follower, and
+// a box with a link of 20 Mbit/s has fourteen.
 
-// packFrom is the size from which rows are compressed, in bytes. Heartbeats and single changes are
+// minPackBytes is the size from which rows are compressed. Heartbeats and single changes are
 // shorter, and not worth the time.
-const packFrom = 8 << 10
+const minPackBytes = 8 << 10
 
-// pack is a part of a table as it is sent.
-type pack struct {
+// packedPart is a compressed part of a table.
+type packedPart struct {
 	since, version int64
 	bytes          []byte
 }
 
-// packer keeps the last long part of each table. The zero value is ready.
+// packer caches the last compressed part of each table. The zero value is ready to use.
 type packer struct {
 	mu   sync.Mutex
-	last map[string]pack
-	// w is kept for the next part: a compressor takes more than half a megabyte.
+	last map[string]packedPart
+	// w is reused for the next part: a compressor takes more than half a megabyte.
 	w *flate.Writer
 }
 
-// pack returns the rows of a part, compressed; nil where they are too short for it.
+// pack returns the rows of a part, compressed; nil if they are too short for it.
 func (p *packer) pack(t *v1.Table) []byte {
 	size := 0
 	for _, r := range t.Rows {
 		size += len(r.Key) + len(r.Value)
 	}
-	if size < packFrom {
+	if size < minPackBytes {
 		return nil
 	}
 	p.mu.Lock()
@@ -50,30 +50,30 @@
 	}
 	text, err := proto.Marshal(&v1.Rows{Rows: t.Rows})
 	if err != nil {
-		return nil // The rows go as they are.
+		return nil // The rows are sent uncompressed.
 	}
 	var out bytes.Buffer
 	if p.w == nil {
-		p.w, _ = flate.NewWriter(&out, flate.BestSpeed) // The level is a valid one.
+		p.w, _ = flate.NewWriter(&out, flate.BestSpeed) // The level is valid.
 	}
 	p.w.Reset(&out)
-	_, _ = p.w.Write(text) // A buffer takes all.
+	_, _ = p.w.Write(text) // Writes to a buffer do not fail.
 	_ = p.w.Close()
 	if p.last == nil {
-		p.last = map[string]pack{}
+		p.last = map[string]packedPart{}
 	}
-	p.last[t.Name] = pack{t.Since, t.Version, out.Bytes()}
+	p.last[t.Name] = packedPart{t.Since, t.Version, out.Bytes()}
 	return out.Bytes()
 }
 
-// unpack reads rows that were compressed.
+// unpack decompresses rows.
 func unpack(packed []byte) ([]*v1.Row, error) {
-	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), mostMessage+1))
+	text, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxMessageBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("unpack rows: %w", err)
 	}
-	if len(text) > mostMessage {
-		return nil, fmt.Errorf("unpack rows: more than %d bytes", mostMessage)
+	if len(text) > maxMessageBytes {
+		return nil, fmt.Errorf("unpack rows: more than %d bytes", maxMessageBytes)
 	}
 	var rows v1.Rows
 	if err := proto.Unmarshal(text, &rows); err != nil {
--- a/internal/overlay/pack_test.go
+++ b/internal/overlay/pack_test.go
@@ -12,7 +12,7 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// listPart is a part of a list of endpoints, as the platform's entries are written.
+// listPart returns a part of a list of endpoints, in the format of the platform's entries.
 func listPart(rows int) *v1.Table {
 	t := &v1.Table{Name: "endpoints", Version: 7}
 	for i := range rows {
@@ -23,8 +23,8 @@
 	return t
 }
 
-// What is long is compressed once for all followers that are told the same, and read as it was.
-func TestPackedOnce(t *testing.T) {
+// A long part is compressed once for all followers that are sent the same, and decodes to the same rows.
+func TestPackCachesPart(t *testing.T) {
 	var p packer
 	part := listPart(500)
 	packed := p.pack(part)
@@ -44,17 +44,17 @@
 	}
 }
 
-// What cannot be read is no table: a box must not take it for an empty one.
-func TestPackedBroken(t *testing.T) {
+// Rows that cannot be decoded are an error: a box must not take them for an empty table.
+func TestUnpackCorrupt(t *testing.T) {
 	packed := (&packer{}).pack(listPart(500))
 	for name, b := range map[string][]byte{"cut short": packed[:len(packed)/2], "not packed": []byte("rows")} {
-		if part, err := partOf(&v1.Table{Name: "endpoints", Version: 7, Packed: b}); err == nil {
+		if part, err := decodePart(&v1.Table{Name: "endpoints", Version: 7, Packed: b}); err == nil {
 			t.Errorf("%s: expected an error, got %d rows", name, len(part.Rows))
 		}
 	}
 }
 
-// A box of the version before, which does not read packed rows, is told them as they are.
+// A box of the previous version, which does not read packed rows, is sent plain ones.
 func TestTablesUnpacked(t *testing.T) {
 	s := newStore()
 	a := s.start(t, "a", "h1", 1)
@@ -64,7 +64,7 @@
 			eventually(t, "there is a configuration", func() bool { return a.value() != "" })
 		}
 	}
-	eventually(t, "the configuration is whole", func() bool { return len(a.config.Tell(follow.Version{}).Rows) == 500 })
+	eventually(t, "the configuration is whole", func() bool { return len(a.config.PartSince(follow.Version{}).Rows) == 500 })
 	client := a.client(a.srv.Listener.Addr().String())
 	for _, packed := range []bool{false, true} {
 		resp, err := client.Tables(context.Background(), connect.NewRequest(&v1.TablesRequest{Packed: packed}))
@@ -77,8 +77,8 @@
 	}
 }
 
-// BenchmarkPack is what 500 rows of the list cost to pack, and how long they are then. 14 followers were
-// sent 97 KB each, and are sent 9.5 (one run).
+// BenchmarkPack measures the time to pack 500 rows of the list, and their packed size. 14 followers were
+// sent 97 KB each without packing, and are sent 9.5 KB with it (one run).
 func BenchmarkPack(b *testing.B) {
 	part := listPart(500)
 	b.ReportAllocs()
--- a/internal/overlay/serve.go
+++ b/internal/overlay/serve.go
@@ -21,34 +21,34 @@
 // follower is a box that follows this one.
 type follower struct {
 	name  string
-	queue queue
-	// versions are those of the tables that it has.
+	queue messageQueue
+	// versions are the versions of the tables that it has.
 	versions map[string]follow.Version
-	// packed says that it reads packed rows.
+	// packed means that it reads packed rows.
 	packed bool
-	// interest is of which engines it is sent facts, and placed counts the streams of each service
-	// whose facts it was not sent since the last message. The node's lock guards both.
-	interest interest
-	placed   map[string]int32
+	// interest selects the engines whose messages it is sent, and omittedPlaced counts the streams of
+	// each service whose messages were left out since the last update. The node's lock guards both.
+	interest      interest
+	omittedPlaced map[string]int32
 }
 
-func (f *follower) poke() { f.queue.poke() }
+func (f *follower) signal() { f.queue.signal() }
 
 const (
-	// mostTold bounds a message of facts, in bytes.
-	mostTold = 256 << 10
-	// writeLimit bounds a message to a follower that does not read.
-	writeLimit = time.Second
-	// openRate bounds the boxes that are told tables without a key, a second.
-	openRate = 20
-	bearer   = "Bearer "
+	// maxRequestBytes bounds a request from another box, in bytes.
+	maxRequestBytes = 256 << 10
+	// writeTimeout bounds the sending of an update to a follower that does not read.
+	writeTimeout = time.Second
+	// seedCallsPerSecond bounds the calls that fetch tables without a key.
+	seedCallsPerSecond = 20
+	bearer             = "Bearer "
 )
 
 func authorize(h http.Header, key string) { h.Set("Authorization", bearer+key) }
 
-// allowed says whether a call comes from a box that knows the key of the platform's store.
+// allowed returns an error unless a call comes from a box that knows the key of the platform's store.
 func (n *Node) allowed(h http.Header) error {
-	key := n.members.secret()
+	key := n.members.sharedKey()
 	if key == "" || subtle.ConstantTimeCompare([]byte(h.Get("Authorization")), []byte(bearer+key)) != 1 {
 		n.count.refused.Inc()
 		return connect.NewError(connect.CodeUnauthenticated, errors.New("the key is not that of the boxes of this platform"))
@@ -56,15 +56,16 @@
 	return nil
 }
 
-// notCompressed leaves it to packer which messages are compressed. The library makes compressors of about
-// a megabyte faster than a box that is short of processor time collects them: boxes that are followed by
-// many grew from 20 MB to 118 MB while heartbeats and facts were compressed too.
-var notCompressed = connect.WithCompression("gzip", nil, nil)
+// withoutCompression disables the library's compression; packer decides which messages are compressed.
+// The library allocates compressors of about a megabyte faster than a box that is short of processor time
+// collects them: boxes with many followers grew from 20 MB to 118 MB while heartbeats and gossip messages
+// were compressed too.
+var withoutCompression = connect.WithCompression("gzip", nil, nil)
 
 // Handler serves the other boxes.
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
-	path, h := stoatrampv1connect.NewOverlayHandler(&server{n}, connect.WithReadMaxBytes(mostTold), notCompressed)
+	path, h := stoatrampv1connect.NewOverlayHandler(&server{n}, connect.WithReadMaxBytes(maxRequestBytes), withoutCompression)
 	mux.Handle(path, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), controllerKey{}, http.NewResponseController(w))))
 	}))
@@ -78,82 +79,83 @@
 
 var _ stoatrampv1connect.OverlayHandler = (*server)(nil)
 
-// Follow sends the tables as they change and what is learned.
+// Follow sends a follower the tables as they change and the gossip messages.
 func (s *server) Follow(ctx context.Context, r *connect.Request[v1.FollowRequest], stream *connect.ServerStream[v1.Update]) error {
 	if err := s.n.allowed(r.Header()); err != nil {
 		return err
 	}
-	if r.Msg.Protocol != protocol {
+	if r.Msg.Protocol != protocolVersion {
 		s.n.count.refused.Inc()
 		return connect.NewError(connect.CodeFailedPrecondition, errors.New("the box speaks another version of the overlay's messages"))
 	}
-	f := &follower{name: r.Msg.Box, queue: newQueue(), versions: map[string]follow.Version{}, packed: r.Msg.Packed}
+	f := &follower{name: r.Msg.Box, queue: newMessageQueue(), versions: map[string]follow.Version{}, packed: r.Msg.Packed}
 	for _, t := range r.Msg.Known {
 		if s.n.o.Tables[t.Name] != nil {
-			f.versions[t.Name] = versionOf(t)
+			f.versions[t.Name] = tableVersion(t)
 		}
 	}
 	if !s.n.admit(f) {
 		s.n.count.refused.Inc()
 		return connect.NewError(connect.CodeResourceExhausted, errors.New("enough boxes follow this one, or it stops"))
 	}
-	defer s.n.drop(f)
-	return s.n.feed(ctx, f, stream)
+	defer s.n.removeFollower(f)
+	return s.n.sendUpdates(ctx, f, stream)
 }
 
-// admit takes a follower in, if there is room.
+// admit adds a follower if there is room.
 func (n *Node) admit(f *follower) bool {
 	if !n.addFollower(f) {
 		return false
 	}
-	n.sayFollowed()
-	n.sayInterest() // A box that is followed passes facts on.
+	n.reportFollowed()
+	n.signalInterest() // A box with followers forwards all messages.
 	return true
 }
 
 func (n *Node) addFollower(f *follower) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.followers) >= mostFollowers || n.stopped.Err() != nil {
+	if len(n.followers) >= maxFollowers || n.stopped.Err() != nil {
 		return false
 	}
 	n.followers[f] = struct{}{}
 	return true
 }
 
-func (n *Node) drop(f *follower) {
+func (n *Node) removeFollower(f *follower) {
 	n.mu.Lock()
 	delete(n.followers, f)
 	n.mu.Unlock()
-	n.sayFollowed()
-	n.sayInterest()
+	n.reportFollowed()
+	n.signalInterest()
 }
 
-// sayFollowed reports to the tables whether others depend on them. The node's lock is not held meanwhile:
-// a table hands its rows on with its own lock held, and whoever takes them asks the node.
-func (n *Node) sayFollowed() {
-	n.telling.Lock()
-	defer n.telling.Unlock()
+// reportFollowed tells the tables whether other boxes depend on them. The node's lock is not held
+// meanwhile: a table applies its rows with its own lock held, and the callback that receives them calls
+// the node.
+func (n *Node) reportFollowed() {
+	n.followedMu.Lock()
+	defer n.followedMu.Unlock()
 	followed := n.Followers() > 0
 	for _, t := range n.o.Tables {
-		t.Followed(followed)
+		t.SetFollowed(followed)
 	}
 }
 
-// feed sends until the follower is gone or this box stops.
-func (n *Node) feed(ctx context.Context, f *follower, stream *connect.ServerStream[v1.Update]) error {
+// sendUpdates sends updates until the follower is gone or this box stops.
+func (n *Node) sendUpdates(ctx context.Context, f *follower, stream *connect.ServerStream[v1.Update]) error {
 	rc, _ := ctx.Value(controllerKey{}).(*http.ResponseController)
-	beat := time.NewTicker(heartbeat)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	for {
 		if rc != nil {
-			_ = rc.SetWriteDeadline(time.Now().Add(writeLimit))
+			_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 		}
-		msg := n.update(f)
+		msg := n.nextUpdate(f)
 		if err := stream.Send(msg); err != nil {
 			return err
 		}
-		sleep(ctx, spacingAfter(proto.Size(msg)))
+		sleep(ctx, sendIntervalAfter(proto.Size(msg)))
 		select {
 		case <-f.queue.wake:
 		case <-beat.C:
@@ -165,54 +167,54 @@
 	}
 }
 
-// spacingAfter is the least time between a message of so many bytes and the next one to the same follower.
-// The first of a long change goes at once; what comes in pieces is gathered. Where 10,000 endpoints started
-// within 3 s a box sent each of 14 followers some 50 rows each 60 ms, which each of them applied to the whole
-// list: it had no time for heartbeats, and was taken for dead.
+// sendIntervalAfter is the minimum time between an update of a size in bytes and the next one to the same
+// follower. The first update of a long change is sent at once; further pieces are batched. When 10,000
+// endpoints started within 3 s, a box sent each of 14 followers some 50 rows every 60 ms, each of which the
+// follower applied to the whole list: the box had no time for heartbeats, and was assumed dead.
 //
-// Example: after a message of 10 KB, 500 packed rows of the list, the next one comes 200 ms later.
-func spacingAfter(bytes int) time.Duration {
-	byRate := time.Duration(float64(bytes) / followerRate * float64(time.Second))
-	return max(spacing, min(byRate, longestSpacing))
+// Example: after an update of 10 KB, 500 packed rows of the list, the next one is sent 200 ms later.
+func sendIntervalAfter(bytes int) time.Duration {
+	byRate := time.Duration(float64(bytes) / followerBytesPerSecond * float64(time.Second))
+	return max(minSendInterval, min(byRate, maxSendInterval))
 }
 
-// update is the next message to a follower.
-func (n *Node) update(f *follower) *v1.Update {
+// nextUpdate returns the next update for a follower.
+func (n *Node) nextUpdate(f *follower) *v1.Update {
 	n.mu.Lock()
-	path := append(slices.Clone(n.path), n.o.Self.Name)
-	placed := f.placed
-	f.placed = nil
+	path := append(slices.Clone(n.upstreamPath), n.o.Self.Name)
+	placed := f.omittedPlaced
+	f.omittedPlaced = nil
 	n.mu.Unlock()
-	msg := &v1.Update{Facts: f.queue.take(clock.Now()), Path: path}
+	msg := &v1.Update{Facts: f.queue.drain(clock.Now()), Path: path}
 	for service, streams := range placed {
 		msg.Placed = append(msg.Placed, &v1.StreamsPlaced{Service: service, N: streams})
 	}
 	for name, t := range n.o.Tables {
-		p := t.Tell(f.versions[name])
+		p := t.PartSince(f.versions[name])
 		if f.versions[name].Before(p.Version) {
 			f.versions[name] = p.Version
 		}
-		msg.Tables = append(msg.Tables, n.tableOf(name, p, f.packed))
+		msg.Tables = append(msg.Tables, n.encodePart(name, p, f.packed))
 	}
 	return msg
 }
 
-// Tell takes what a follower learned.
+// Tell receives the messages of a follower.
 func (s *server) Tell(_ context.Context, r *connect.Request[v1.TellRequest]) (*connect.Response[v1.TellResponse], error) {
 	if err := s.n.allowed(r.Header()); err != nil {
 		return nil, err
 	}
-	from := s.n.followerOf(r.Msg.Box)
+	from := s.n.followerNamed(r.Msg.Box)
 	if from != nil && r.Msg.Interest != nil {
 		s.n.setInterest(from, decodeInterest(r.Msg.Interest))
 	}
 	for _, m := range r.Msg.Facts {
-		s.n.heard(m, nil, from)
+		s.n.receive(m, nil, from)
 	}
 	return connect.NewResponse(&v1.TellResponse{}), nil
 }
 
-func (n *Node) followerOf(box string) *follower {
+func (n *Node) followerNamed(box string) *follower {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for f := range n.followers {
@@ -223,40 +225,40 @@
 	return nil
 }
 
-// Tables tells the open tables to a box that cannot read the store, so many a second.
+// Tables returns the open tables to a box that cannot read the store, at a limited rate.
 func (s *server) Tables(_ context.Context, r *connect.Request[v1.TablesRequest]) (*connect.Response[v1.Update], error) {
-	if !s.n.open.take(clock.Now()) {
+	if !s.n.seedLimiter.take(clock.Now()) {
 		s.n.count.refused.Inc()
 		return nil, connect.NewError(connect.CodeResourceExhausted, errors.New("too many boxes ask at once"))
 	}
 	msg := &v1.Update{}
 	for _, name := range s.n.o.Open {
-		msg.Tables = append(msg.Tables, s.n.tableOf(name, s.n.o.Tables[name].Tell(follow.Version{}), r.Msg.Packed))
+		msg.Tables = append(msg.Tables, s.n.encodePart(name, s.n.o.Tables[name].PartSince(follow.Version{}), r.Msg.Packed))
 	}
 	return connect.NewResponse(msg), nil
 }
 
-// bucket bounds a rate.
+// bucket is a token bucket.
 type bucket struct {
-	rate, most float64 // A second, and at once.
+	rate, burst float64 // Tokens a second, and the most at once.
 
-	mu   sync.Mutex
-	left float64
-	at   time.Time
+	mu        sync.Mutex
+	tokens    float64
+	updatedAt time.Time
 }
 
 func (b *bucket) take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.at.IsZero() {
-		b.left = b.most
+	if b.updatedAt.IsZero() {
+		b.tokens = b.burst
 	} else {
-		b.left = min(b.most, b.left+b.rate*now.Sub(b.at).Seconds())
+		b.tokens = min(b.burst, b.tokens+b.rate*now.Sub(b.updatedAt).Seconds())
 	}
-	b.at = now
-	if b.left < 1 {
+	b.updatedAt = now
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
