--- a/internal/follow/feed_test.go
+++ b/internal/follow/feed_test.go
@@ -257,7 +257,7 @@
 //
 // A box that probes between the recovery and the next update finds the store back by itself, and
 // reads all tables: with updates 100 ms after the recovery that happened in 66 of 1,000 runs.
-func expectOutageCalls(t *testing.T, updated bool, mostDown, mostBack int32) {
+func expectOutageCalls(t *testing.T, updated bool, maxDown, maxBack int32) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -286,14 +286,14 @@
 		before := totalCalls(tables)
 		update(6200*time.Millisecond, 15*time.Second, true)
 		sleepUntil(15*time.Second - time.Nanosecond)
-		if got := totalCalls(tables) - before; got > mostDown {
-			t.Errorf("updated %t: expected %d calls at most while the store is down, got %d", updated, mostDown, got)
+		if got := totalCalls(tables) - before; got > maxDown {
+			t.Errorf("updated %t: expected %d calls at most while the store is down, got %d", updated, maxDown, got)
 		}
 		before = totalCalls(tables)
 		update(15*time.Second, 17*time.Second, false)
 		sleepUntil(17 * time.Second)
-		if got := totalCalls(tables) - before; got > mostBack {
-			t.Errorf("updated %t: expected %d calls at most after its recovery, got %d", updated, mostBack, got)
+		if got := totalCalls(tables) - before; got > maxBack {
+			t.Errorf("updated %t: expected %d calls at most after its recovery, got %d", updated, maxBack, got)
 		}
 		for i, table := range tables {
 			if table.Unavailable() {
--- a/internal/overlay/node.go
+++ b/internal/overlay/node.go
@@ -36,8 +36,8 @@
 )
 
 const (
-	// heartbeatInterval is the longest pause between two updates to a follower, and silenceTimeout
-	// how long a follower waits for one before it reads the store itself.
+	// heartbeatInterval is how often a follower is sent an update even without changes, and
+	// silenceTimeout how long a follower waits for one before it reads the store itself.
 	heartbeatInterval = 200 * time.Millisecond
 	silenceTimeout    = 600 * time.Millisecond
 	// minSendInterval is the minimum time between two sends to one follower, or to the upstream:
@@ -79,7 +79,7 @@
 // Table is a table that boxes replicate to each other; package follow implements it.
 type Table interface {
 	PartSince(since follow.Version) follow.Part
-	Hear(p follow.Part, relief time.Duration) bool
+	Hear(p follow.Part, duration time.Duration) bool
 	EndDelegation()
 	SetFollowed(yes bool)
 	Changed() <-chan struct{}
@@ -326,8 +326,8 @@
 }
 
 // shouldCreateKey reports whether this box creates the shared key: the oldest listed box does so at
-// once, and any other one if the key is still missing after keyCreationTimeout. If each box made
-// this call, it would cost a large fleet as much as all that it asks the store for in a minute.
+// once, and any other one if the key is still missing after keyCreationTimeout. If every box
+// tried, that would cost a large fleet as much as all that it asks the store for in a minute.
 func (n *Node) shouldCreateKey(listed bool, now time.Time) bool {
 	if n.keyMissingSince.IsZero() {
 		n.keyMissingSince = now
@@ -401,7 +401,7 @@
 	}
 	l := newLink(n, m)
 	err := l.follow(ctx, func() bool {
-		// The member's row may have been that of an earlier start, while no box is older than this one.
+		// The member's row may have been that of an earlier start: then no box is older than this one.
 		best, ok := n.selectUpstream()
 		return (!ok || best != m) && clock.Since(began) > minTime
 	})
