--- a/internal/config/box.go
+++ b/internal/config/box.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Box holds the settings of one box, read once at start.
+// Box holds the settings of one box. They are read once at start.
 type Box struct {
-	// Name is unique among the live boxes; it begins every request id of this box.
+	// Name is unique among the running boxes; every request id of this box starts with it.
 	Name   string
 	Region string
 	Hall   string
 
-	// Callers is the address callers reach; Operators serves operators and
-	// metrics only. Both are "ip:port"; port 0 takes any free one.
+	// Callers is the listen address for callers; Operators is the one for operators and
+	// metrics only. Both are "ip:port"; port 0 selects any free one.
 	Callers   string
 	Operators string
 	// OperatorKeySHA256 is the hex SHA-256 of the operators' key.
@@ -24,30 +24,30 @@
 	CallerTLS   TLSFiles
 	OperatorTLS TLSFiles
 
-	// Platform is the base URL of the table and object services.
-	// PeerKey is what boxes show each other; empty means that the box has no peers.
+	// PeerKey authenticates boxes to each other; empty means that the box has no peers.
 	PeerKey string
 
+	// Platform is the base URL of the table and object services.
 	Platform    string
 	PlatformKey string
 
-	// MaxBody bounds a request body that the decision must hold, in bytes.
+	// MaxBody bounds a request body that is buffered for the routing decision, in bytes.
 	MaxBody int64
-	// HeaderTimeout bounds reading the request line and headers, BodyTimeout a
-	// body that is held, WriteTimeout one write to a caller.
+	// HeaderTimeout bounds reading the request line and headers, BodyTimeout reading a
+	// buffered body, WriteTimeout one write to a caller.
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
 	WriteTimeout  time.Duration
-	// Queue bounds the requests that wait for engines on this box.
+	// Queue is the maximum number of requests that wait for engines on this box.
 	Queue int
-	// DrainTimeout bounds a planned stop; a stream that outlives it is cut and named in the log.
+	// DrainTimeout bounds a planned stop; streams still running after it are cut off and logged.
 	DrainTimeout time.Duration
 }
 
-// TLSFiles names a certificate and its key; both empty means plain TCP.
+// TLSFiles are the paths of a certificate and its key; both empty means plain TCP.
 type TLSFiles struct{ Cert, Key string }
 
-// LoadBox reads and checks a box's settings file.
+// LoadBox reads and validates a box's settings file.
 func LoadBox(file string) (*Box, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return ParseBox(file, text)
 }
 
-// ParseBox checks the text of a box's settings.
+// ParseBox parses and validates the text of a box's settings.
 func ParseBox(file string, text []byte) (*Box, error) {
 	d, err := openDocument(file, text)
 	if err != nil {
@@ -66,12 +66,12 @@
 	seen := map[string]bool{}
 	for _, s := range d.sections() {
 		seen[s.Kind] = true
-		b.section(s)
-		s.done()
+		b.parseSection(s)
+		s.reportUnknownKeys()
 	}
 	for _, kind := range []string{"box", "callers", "operators", "platform"} {
 		if !seen[kind] {
-			d.problem(kind, "", "the section is missing")
+			d.addProblem(kind, "", "the section is missing")
 		}
 	}
 	if err := d.err(); err != nil {
@@ -80,61 +80,61 @@
 	return b, nil
 }
 
-func (b *Box) section(s *section) {
+func (b *Box) parseSection(s *section) {
 	switch s.Kind {
 	case "box":
-		b.Name = s.need("name", "the box's name")
-		b.Region = s.need("region", "the region's name")
-		b.Hall = s.need("hall", "the data hall's name")
+		b.Name = s.required("name", "the box's name")
+		b.Region = s.required("region", "the region's name")
+		b.Hall = s.required("hall", "the data hall's name")
 		b.Queue = s.integer("queue", 1024, 1, 1<<20)
 		b.DrainTimeout = s.duration("drain_timeout", 10*time.Minute, time.Second, 24*time.Hour)
 		if !validName(b.Name) {
-			s.problem("name", "expected letters, digits and dashes, found %q", b.Name)
+			s.addProblem("name", "expected letters, digits and dashes, found %q", b.Name)
 		}
 	case "callers":
-		b.Callers = listenAddress(s)
-		b.CallerTLS = tlsFiles(s)
+		b.Callers = parseListenAddress(s)
+		b.CallerTLS = parseTLSFiles(s)
 		b.MaxBody = int64(s.integer("max_body", 8<<20, 1024, 1<<30))
 		b.HeaderTimeout = s.duration("header_timeout", 5*time.Second, 100*time.Millisecond, time.Minute)
 		b.BodyTimeout = s.duration("body_timeout", 30*time.Second, 100*time.Millisecond, time.Hour)
 		b.WriteTimeout = s.duration("write_timeout", 10*time.Second, 100*time.Millisecond, time.Hour)
 	case "operators":
-		b.Operators = listenAddress(s)
-		b.OperatorTLS = tlsFiles(s)
-		b.OperatorKeySHA256 = digest(s, "key_sha256")
+		b.Operators = parseListenAddress(s)
+		b.OperatorTLS = parseTLSFiles(s)
+		b.OperatorKeySHA256 = parseDigest(s, "key_sha256")
 	case "peers":
-		b.PeerKey = s.need("key", "the key that all boxes share")
+		b.PeerKey = s.required("key", "the key that all boxes share")
 	case "platform":
-		b.Platform = s.need("url", "the base URL of the platform's services")
+		b.Platform = s.required("url", "the base URL of the platform's services")
 		b.PlatformKey = s.str("key", "")
 	default:
-		s.problem("", "is not a known section; expected box, callers, operators, peers or platform")
+		s.addProblem("", "is not a known section; expected box, callers, operators, peers or platform")
 	}
 }
 
-func listenAddress(s *section) string {
-	v := s.need("listen", "ip:port")
+func parseListenAddress(s *section) string {
+	v := s.required("listen", "ip:port")
 	if v == "" {
 		return ""
 	}
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		s.problem("listen", "expected ip:port, found %q", v)
+		s.addProblem("listen", "expected ip:port, found %q", v)
 	}
 	return v
 }
 
-func tlsFiles(s *section) TLSFiles {
+func parseTLSFiles(s *section) TLSFiles {
 	f := TLSFiles{Cert: s.str("tls_cert", ""), Key: s.str("tls_key", "")}
 	if (f.Cert == "") != (f.Key == "") {
-		s.problem("tls_cert", "expected tls_cert and tls_key together, found one of them")
+		s.addProblem("tls_cert", "expected tls_cert and tls_key together, found one of them")
 	}
 	return f
 }
 
-func digest(s *section, key string) string {
-	v := s.need(key, "the hex SHA-256 of a key")
+func parseDigest(s *section, key string) string {
+	v := s.required(key, "the hex SHA-256 of a key")
 	if v != "" && !isDigest(v) {
-		s.problem(key, "expected 64 hex digits, found %d characters", len(v))
+		s.addProblem(key, "expected 64 hex digits, found %d characters", len(v))
 	}
 	return v
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const goodBox = `[box]
+const validBox = `[box]
 name = box1
 region = perth
 hall = malaga-hall
@@ -48,20 +48,20 @@
 }
 
 func TestBox(t *testing.T) {
-	expectBox(t, goodBox)
-	expectBox(t, strings.Replace(goodBox, "hall =", "hal =", 1), "box.ini:4: [box] hal: is not a known key", "box.ini:1: [box] hall: is missing; expected the data hall's name")
-	expectBox(t, strings.Replace(goodBox, "127.0.0.1:8080", "localhost", 1), `box.ini:7: [callers] listen: expected ip:port, found "localhost"`)
-	expectBox(t, goodBox+"[callers2]\n", "box.ini:15: [callers2] is not a known section")
-	expectBox(t, strings.Replace(goodBox, digestOfX, "secret", 1), "expected 64 hex digits, found 6 characters")
-	expectBox(t, strings.Replace(goodBox, "name = box1", "name = box1\nqueue = 0", 1), `box.ini:3: [box] queue: expected a whole number from 1 to 1048576, found "0"`)
-	expectBox(t, strings.Replace(goodBox, "name = box1", "name = box1\nname = box2", 1), "box.ini:3: [box] name: stands twice, first on line 2")
-	expectBox(t, strings.Replace(goodBox, "name = box1", "name = box1\ndrain_timeout = 5", 1), "expected a duration from 1s to 24h0m0s such as 250ms")
+	expectBox(t, validBox)
+	expectBox(t, strings.Replace(validBox, "hall =", "hal =", 1), "box.ini:4: [box] hal: is not a known key", "box.ini:1: [box] hall: is missing; expected the data hall's name")
+	expectBox(t, strings.Replace(validBox, "127.0.0.1:8080", "localhost", 1), `box.ini:7: [callers] listen: expected ip:port, found "localhost"`)
+	expectBox(t, validBox+"[callers2]\n", "box.ini:15: [callers2] is not a known section")
+	expectBox(t, strings.Replace(validBox, digestOfX, "secret", 1), "expected 64 hex digits, found 6 characters")
+	expectBox(t, strings.Replace(validBox, "name = box1", "name = box1\nqueue = 0", 1), `box.ini:3: [box] queue: expected a whole number from 1 to 1048576, found "0"`)
+	expectBox(t, strings.Replace(validBox, "name = box1", "name = box1\nname = box2", 1), "box.ini:3: [box] name: stands twice, first on line 2")
+	expectBox(t, strings.Replace(validBox, "name = box1", "name = box1\ndrain_timeout = 5", 1), "expected a duration from 1s to 24h0m0s such as 250ms")
 	expectBox(t, "[box]\n", "[callers] the section is missing", "[platform] the section is missing")
 	expectBox(t, "[box\n", "not an INI document")
-	expectBox(t, strings.Replace(goodBox, "listen = 127.0.0.1:8080", "listen = 127.0.0.1:8080\ntls_cert = a.pem", 1), "expected tls_cert and tls_key together")
+	expectBox(t, strings.Replace(validBox, "listen = 127.0.0.1:8080", "listen = 127.0.0.1:8080\ntls_cert = a.pem", 1), "expected tls_cert and tls_key together")
 }
 
-const goodShared = `[pool m]
+const validShared = `[pool m]
 
 [endpoint p1]
 pool = m
@@ -87,20 +87,20 @@
 `
 
 func TestShared(t *testing.T) {
-	expectShared(t, goodShared)
-	expectShared(t, strings.Replace(goodShared, "model = m", "model = n", 1), `shared.ini:11: [route r] model: no pool serves "n"`)
-	expectShared(t, strings.Replace(goodShared, "allow = r", "allow = q", 1), "[client c] allow: no section [route q]")
-	expectShared(t, strings.Replace(goodShared, "policy = p\n", "policy = q\n", 1), "no section [policy q]")
-	expectShared(t, strings.Replace(goodShared, "role = prefill", "role = service", 1), `expected prefill or decode for an engine`)
-	expectShared(t, strings.Replace(goodShared, "pool = m", "pool = m\nprefill_rate = NaN", 1), "expected a number from 1 to")
-	expectShared(t, goodShared+"[client d]\nkey_sha256 = "+digestOfX+"\n", "is also the key of client c")
-	expectShared(t, goodShared+"[endpoint p2]\npool = m\nrole = decode\naddress = 127.0.0.1:9001\nregion = r\nhall = h\n", "is also the address of endpoint p1")
-	expectShared(t, goodShared+"[service s]\nprefix = /v1/x\n", "expected a path that starts with /")
-	expectShared(t, "x = 1\n"+goodShared, "stands before the first section")
+	expectShared(t, validShared)
+	expectShared(t, strings.Replace(validShared, "model = m", "model = n", 1), `shared.ini:11: [route r] model: no pool serves "n"`)
+	expectShared(t, strings.Replace(validShared, "allow = r", "allow = q", 1), "[client c] allow: no section [route q]")
+	expectShared(t, strings.Replace(validShared, "policy = p\n", "policy = q\n", 1), "no section [policy q]")
+	expectShared(t, strings.Replace(validShared, "role = prefill", "role = service", 1), `expected prefill or decode for an engine`)
+	expectShared(t, strings.Replace(validShared, "pool = m", "pool = m\nprefill_rate = NaN", 1), "expected a number from 1 to")
+	expectShared(t, validShared+"[client d]\nkey_sha256 = "+digestOfX+"\n", "is also the key of client c")
+	expectShared(t, validShared+"[endpoint p2]\npool = m\nrole = decode\naddress = 127.0.0.1:9001\nregion = r\nhall = h\n", "is also the address of endpoint p1")
+	expectShared(t, validShared+"[service s]\nprefix = /v1/x\n", "expected a path that starts with /")
+	expectShared(t, "x = 1\n"+validShared, "stands before the first section")
 }
 
 func TestProgramTextIsKept(t *testing.T) {
-	c, err := ParseShared("shared.ini", []byte(goodShared), nil)
+	c, err := ParseShared("shared.ini", []byte(validShared), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 }
 
 func FuzzShared(f *testing.F) {
-	f.Add([]byte(goodShared))
+	f.Add([]byte(validShared))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := ParseShared("f", text, nil)
 		if (c == nil) == (err == nil) {
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -1,7 +1,7 @@
-// Package config reads the two kinds of settings: those of one box, from its
-// own INI file, and the shared configuration that all boxes take from the
-// platform's table. Every key is checked, and each problem names its file,
-// line, section, key and what was expected.
+// Package config parses the two kinds of settings: those of one box, from its own INI
+// file, and the shared configuration that all boxes read from the platform's table. Every
+// key is validated, and each problem names its file, line, section, key and what was
+// expected.
 package config
 
 import (
@@ -15,10 +15,10 @@
 	"gopkg.in/ini.v1"
 )
 
-// Problem is one fault in a settings document.
+// Problem is one error in a settings document.
 type Problem struct {
 	File    string
-	Line    int // 1-based; 0 where the fault has no line, such as a missing section.
+	Line    int // 1-based; 0 if the problem has no line, such as a missing section.
 	Section string
 	Key     string
 	Msg     string
@@ -35,8 +35,8 @@
 	return fmt.Sprintf("%s: [%s] %s: %s", where, p.Section, p.Key, p.Msg)
 }
 
-// document is a parsed INI text that collects every problem found in it, so
-// that an operator sees all of them at once.
+// document is a parsed INI text. It collects all problems found in the text, so that an
+// operator sees them at once.
 type document struct {
 	file     string
 	ini      *ini.File
@@ -54,13 +54,13 @@
 		return nil, fmt.Errorf("%s: not an INI document: %w", file, err)
 	}
 	d := &document{file: file, ini: f, lines: map[string]int{}}
-	d.findLines(string(text))
+	d.indexLines(string(text))
 	return d, nil
 }
 
-// findLines notes where each section and key stands, because the INI library
-// does not keep it. It also reports a section or key that stands twice, which
-// the library would merge: the later value would silently win.
+// indexLines records the line of each section and key, because the INI library does not
+// keep it. It also reports duplicate sections and keys, which the library would merge
+// silently, with the later value taking precedence.
 //
 // Text inside """ is skipped, so a policy program such as
 //
@@ -69,7 +69,7 @@
 //	"""
 //
 // does not yield a key called x.
-func (d *document) findLines(text string) {
+func (d *document) indexLines(text string) {
 	section, inText := "", false
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
@@ -81,17 +81,17 @@
 		inText = quotes%2 == 1
 		if strings.HasPrefix(line, "[") && strings.HasSuffix(line, "]") {
 			section = strings.TrimSpace(line[1 : len(line)-1])
-			d.noteLine(section, "", i+1)
+			d.recordLine(section, "", i+1)
 			continue
 		}
 		key, _, ok := strings.Cut(line, "=")
 		if ok && !strings.HasPrefix(line, "#") && !strings.HasPrefix(line, ";") {
-			d.noteLine(section, strings.TrimSpace(key), i+1)
+			d.recordLine(section, strings.TrimSpace(key), i+1)
 		}
 	}
 }
 
-func (d *document) noteLine(section, key string, line int) {
+func (d *document) recordLine(section, key string, line int) {
 	id := section + "\x00" + key
 	if first, ok := d.lines[id]; ok {
 		d.problems = append(d.problems, Problem{d.file, line, section, key,
@@ -101,7 +101,7 @@
 	d.lines[id] = line
 }
 
-func (d *document) problem(section, key, format string, args ...any) {
+func (d *document) addProblem(section, key, format string, args ...any) {
 	line := d.lines[section+"\x00"+key]
 	if line == 0 {
 		line = d.lines[section+"\x00"]
@@ -111,42 +111,42 @@
 
 func (d *document) err() error { return errors.Join(d.problems...) }
 
-// sections returns those named "kind" or "kind name", in document order.
+// sections returns the sections in document order, their names split into kind and name.
 func (d *document) sections() []*section {
 	var out []*section
 	for _, s := range d.ini.Sections() {
 		if s.Name() == ini.DefaultSection {
 			for _, k := range s.Keys() {
-				d.problem("", k.Name(), "stands before the first section")
+				d.addProblem("", k.Name(), "stands before the first section")
 			}
 			continue
 		}
 		kind, name, _ := strings.Cut(s.Name(), " ")
-		out = append(out, &section{d: d, s: s, Kind: kind, Name: strings.TrimSpace(name), read: map[string]bool{}})
+		out = append(out, &section{doc: d, src: s, Kind: kind, Name: strings.TrimSpace(name), used: map[string]bool{}})
 	}
 	return out
 }
 
-// section reads the keys of one section and remembers which were read, so that
-// done can report the rest as unknown.
+// section reads the keys of one section and records which were read, so that
+// reportUnknownKeys can report the rest.
 type section struct {
-	d    *document
-	s    *ini.Section
+	doc  *document
+	src  *ini.Section
 	Kind string
 	Name string
-	read map[string]bool
+	used map[string]bool
 }
 
-func (s *section) problem(key, format string, args ...any) {
-	s.d.problem(s.s.Name(), key, format, args...)
+func (s *section) addProblem(key, format string, args ...any) {
+	s.doc.addProblem(s.src.Name(), key, format, args...)
 }
 
 func (s *section) raw(key string) (string, bool) {
-	s.read[key] = true
-	if !s.s.HasKey(key) {
+	s.used[key] = true
+	if !s.src.HasKey(key) {
 		return "", false
 	}
-	return strings.TrimSpace(s.s.Key(key).String()), true
+	return strings.TrimSpace(s.src.Key(key).String()), true
 }
 
 func (s *section) str(key, def string) string {
@@ -156,10 +156,10 @@
 	return def
 }
 
-func (s *section) need(key, what string) string {
+func (s *section) required(key, what string) string {
 	v, ok := s.raw(key)
 	if !ok || v == "" {
-		s.problem(key, "is missing; expected %s", what)
+		s.addProblem(key, "is missing; expected %s", what)
 	}
 	return v
 }
@@ -175,16 +175,16 @@
 		return def
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	// The negated form also refuses NaN, which compares false with everything.
+	// The negated form also rejects NaN, for which every comparison is false.
 	if err != nil || !(n >= min && n <= max) {
-		s.problem(key, "expected a number from %g to %g, found %q", min, max, v)
+		s.addProblem(key, "expected a number from %g to %g, found %q", min, max, v)
 		return def
 	}
 	return n
 }
 
-// amount reads a number that a platform may fill in: an empty one says that it has none.
-func (s *section) amount(key string, def, min, max float64) float64 {
+// numberOrBlank reads a number that a platform's template may leave blank: def applies then.
+func (s *section) numberOrBlank(key string, def, min, max float64) float64 {
 	if v, ok := s.raw(key); !ok || v == "" {
 		return def
 	}
@@ -198,7 +198,7 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < min || n > max {
-		s.problem(key, "expected a whole number from %d to %d, found %q", min, max, v)
+		s.addProblem(key, "expected a whole number from %d to %d, found %q", min, max, v)
 		return def
 	}
 	return n
@@ -209,21 +209,22 @@
 	if !ok {
 		return def
 	}
-	if v == unitAlone {
+	if v == msSuffix {
 		return def
 	}
 	n, err := parseDuration(v)
 	if err != nil || n < min || n > max {
-		s.problem(key, "expected a duration from %s to %s such as 250ms, found %q", min, max, v)
+		s.addProblem(key, "expected a duration from %s to %s such as 250ms, found %q", min, max, v)
 		return def
 	}
 	return n
 }
 
-// unitAlone is what a template makes of a duration that the platform has no figure for.
-const unitAlone = "ms"
+// msSuffix alone is what a template yields for a duration that the platform has no value for.
+const msSuffix = "ms"
 
-// parseDuration also reads figures as a platform may write them.
+// parseDuration parses a Go duration or a number of milliseconds in exponent notation, which a
+// platform may write.
 //
 // Example: "1.5e+04ms" is 15 seconds.
 func parseDuration(v string) (time.Duration, error) {
@@ -231,8 +232,8 @@
 	if err == nil {
 		return n, nil
 	}
-	ms, numErr := strconv.ParseFloat(strings.TrimSuffix(v, unitAlone), 64)
-	if numErr != nil || !strings.HasSuffix(v, unitAlone) || !(math.Abs(ms) < float64(24*time.Hour/time.Millisecond)) {
+	ms, numErr := strconv.ParseFloat(strings.TrimSuffix(v, msSuffix), 64)
+	if numErr != nil || !strings.HasSuffix(v, msSuffix) || !(math.Abs(ms) < float64(24*time.Hour/time.Millisecond)) {
 		return 0, err
 	}
 	return time.Duration(ms * float64(time.Millisecond)), nil
@@ -245,25 +246,25 @@
 	}
 	n, err := strconv.ParseBool(v)
 	if err != nil {
-		s.problem(key, "expected true or false, found %q", v)
+		s.addProblem(key, "expected true or false, found %q", v)
 		return def
 	}
 	return n
 }
 
-// flag reads true or false; one that is empty counts as not given.
-func (s *section) flag(key string, def bool) bool {
+// booleanOrBlank reads a boolean that may be left blank: def applies then.
+func (s *section) booleanOrBlank(key string, def bool) bool {
 	if v, ok := s.raw(key); !ok || v == "" {
 		return def
 	}
 	return s.boolean(key, def)
 }
 
-// done reports every key that nothing read.
-func (s *section) done() {
-	for _, k := range s.s.Keys() {
-		if !s.read[k.Name()] {
-			s.problem(k.Name(), "is not a known key of [%s]", s.Kind)
+// reportUnknownKeys reports every key that was not read.
+func (s *section) reportUnknownKeys() {
+	for _, k := range s.src.Keys() {
+		if !s.used[k.Name()] {
+			s.addProblem(k.Name(), "is not a known key of [%s]", s.Kind)
 		}
 	}
 }
--- a/internal/config/key.go
+++ b/internal/config/key.go
@@ -6,7 +6,7 @@
 	"encoding/hex"
 )
 
-// Digest is the form in which keys are stored: the hex SHA-256.
+// Digest returns the form in which keys are stored: the hex SHA-256.
 func Digest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -9,95 +9,94 @@
 )
 
 const (
-	// defaultRetryShare and defaultRetryWindow, in seconds, stand in for figures that a platform
-	// does not give: a tenth in ten seconds loads a failing service little.
-	defaultRetryShare  = 0.1
-	defaultRetryWindow = 10
-	// defaultLimitWindow, in seconds, and defaultRevoked, in milliseconds, stand in for what a
-	// platform without client accounts does not give.
-	defaultLimitWindow = 10
-	defaultRevoked     = 5000
+	// Defaults for a platform that gives no retry budget: a share of 0.1 in 10 seconds adds
+	// little load to a failing service.
+	defaultRetryShare         = 0.1
+	defaultRetryWindowSeconds = 10
+	// Defaults for a platform without client accounts.
+	defaultLimitWindowSeconds = 10
+	defaultRevokedWithinMS    = 5000
 )
 
-// Relay holds the settings of a box that passes requests on byte for byte, as the
-// platform's routes and lists say.
+// Relay holds the settings of a box that forwards requests byte for byte, according to
+// the platform's routes and lists.
 type Relay struct {
-	// Name is unique among the live boxes.
+	// Name is unique among the running boxes.
 	Name   string
 	Region string
 	Hall   string
-	// Halls are the regions of all data halls, by the halls' names. A hall that is not named
-	// counts as one of the box's own region.
+	// Halls maps each data hall to its region. A hall that is not listed counts as part of
+	// the box's own region.
 	Halls map[string]string
 
-	// MemoryMB is the memory that the platform gives the process, in megabytes: a process that
-	// takes more is ended. 0 if there is no such bound.
+	// MemoryMB is the process's memory limit in megabytes, set by the platform: a process that
+	// exceeds it is killed. 0 means no limit.
 	MemoryMB float64
 
-	// Callers, Readiness and Operators are the addresses the box listens on, "ip:port".
-	// Readiness answers whether the box takes connections. Operators may be empty.
+	// Callers, Readiness and Operators are the listen addresses of the box, "ip:port".
+	// Readiness reports whether the box accepts connections. Operators may be empty.
 	Callers   string
 	Readiness string
 	Operators string
-	// OperatorKeySHA256 is the hex SHA-256 of the operators' key; empty lets nobody in.
+	// OperatorKeySHA256 is the hex SHA-256 of the operators' key; empty denies all access.
 	OperatorKeySHA256 string
 
-	// Peers is where the box serves other boxes; empty if it is to be alone. PeersAddress is
-	// where they reach it, if that is another address. Seeds are boxes to ask when the store
-	// cannot be, with the port of Peers; they may be stale.
+	// Peers is the listen address for other boxes; empty means that the box runs alone.
+	// PeersAddress is the address at which they reach it, if that differs. Seeds are boxes to
+	// contact while the store is unavailable, with the port of Peers; they may be out of date.
 	Peers        string
 	PeersAddress string
 	Seeds        []string
 
-	// OpenMetrics lets everybody who reaches the operators' address read the metrics.
+	// OpenMetrics makes the metrics on the operators' address readable without a key.
 	OpenMetrics bool
-	// LoggedRate is how many requests that go well are logged a second.
+	// LoggedRate is the maximum number of successful requests logged per second.
 	LoggedRate float64
 
 	// Store is the address of the platform's table service.
 	Store string
-	// RereadWithin is the time after an outage of the store in which the box is to have read
-	// everything again, and LeavingWithin the time in which it must know that an endpoint
-	// is leaving. ConfigWithin is the time in which an accepted configuration must be in force.
+	// RereadWithin bounds the time after an outage of the store until the box has reread
+	// everything, LeavingWithin the time until it knows that an endpoint is leaving, and
+	// ConfigWithin the time until an accepted configuration is in force.
 	RereadWithin  time.Duration
 	LeavingWithin time.Duration
 	ConfigWithin  time.Duration
 
-	// RetrySlack is how many calls beyond the first of each request and a share of them the
-	// platform allows a service in RetryWindow, over all boxes; 0 if that is not known. It may
-	// be a fraction.
+	// RetrySlack is the number of retries that the platform allows a service in RetryWindow,
+	// over all boxes, beside RetryShare of the requests; 0 if not known. It may be a fraction.
 	RetrySlack float64
-	// RetryShare is that share of the requests, and RetryWindow the time in which both are counted.
+	// RetryShare is the allowed ratio of retries to requests; RetryWindow is the time in which both are counted.
 	RetryShare  float64
 	RetryWindow time.Duration
 
-	// ColdOver multiplies the rate that an endpoint bears while it is cold, and ColdSlack comes
-	// beside it: no second may bring it more requests of all boxes.
+	// ColdOver is a factor on the request rate that a cold endpoint can take, and ColdSlack a
+	// number of requests added to it; together they bound the requests that all boxes may
+	// send to it in any second.
 	ColdOver  float64
 	ColdSlack float64
 
-	// LimitOverage is a share of what a client account's limit gives in LimitWindow, and LimitSlack
-	// units beside it, by which what all boxes let through may be over it.
+	// All boxes together may exceed a client account's limit in LimitWindow by LimitOverage, a
+	// share of what the limit allows in it, plus LimitSlack units.
 	LimitWindow  time.Duration
 	LimitOverage float64
 	LimitSlack   float64
-	// RevokedWithin is the time in which a key that was taken away must be refused. KeysStrict has a
-	// box that has not heard of the configuration for so long refuse all requests with keys.
+	// RevokedWithin is the time within which a revoked key must be refused. With KeysStrict, a
+	// box that has not received the configuration for that long refuses all requests with keys.
 	RevokedWithin time.Duration
 	KeysStrict    bool
 
-	// Queue bounds the requests that wait for engines on this box.
+	// Queue is the maximum number of requests that wait for engines on this box.
 	Queue int
-	// Linger is how long a stopping box still takes new requests, until callers have
-	// learned that it is leaving. StopTimeout bounds the whole planned stop.
+	// Linger is the grace period in which a stopping box still accepts new requests, until
+	// callers have learned that it is leaving. StopTimeout bounds the whole planned stop.
 	Linger      time.Duration
 	StopTimeout time.Duration
-	// HeaderTimeout bounds reading a request's head, IdleTimeout a connection at rest.
+	// HeaderTimeout bounds reading a request's head, IdleTimeout an idle connection.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// LoadRelay reads and checks the settings of a file.
+// LoadRelay reads and validates a settings file.
 func LoadRelay(file string) (*Relay, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -106,7 +105,7 @@
 	return ParseRelay(file, text)
 }
 
-// ParseRelay checks the text of a relay box's settings.
+// ParseRelay parses and validates the text of a relay box's settings.
 func ParseRelay(file string, text []byte) (*Relay, error) {
 	d, err := openDocument(file, text)
 	if err != nil {
@@ -116,12 +115,12 @@
 	seen := map[string]bool{}
 	for _, s := range d.sections() {
 		seen[s.Kind] = true
-		r.section(s)
-		s.done()
+		r.parseSection(s)
+		s.reportUnknownKeys()
 	}
 	for _, kind := range []string{"box", "callers", "readiness", "store"} {
 		if !seen[kind] {
-			d.problem(kind, "", "the section is missing")
+			d.addProblem(kind, "", "the section is missing")
 		}
 	}
 	if err := d.err(); err != nil {
@@ -130,72 +129,72 @@
 	return r, nil
 }
 
-func (r *Relay) section(s *section) {
+func (r *Relay) parseSection(s *section) {
 	switch s.Kind {
 	case "box":
-		r.Name = s.need("name", "the box's name")
-		r.Region = s.need("region", "the region's name")
-		r.Hall = s.need("hall", "the data hall's name")
-		r.Halls = halls(s)
+		r.Name = s.required("name", "the box's name")
+		r.Region = s.required("region", "the region's name")
+		r.Hall = s.required("hall", "the data hall's name")
+		r.Halls = parseHalls(s)
 		r.LoggedRate = s.number("logged_rate", 40, 0, 1e6)
-		r.MemoryMB = s.amount("memory_mb", 0, 0, 1<<30)
+		r.MemoryMB = s.numberOrBlank("memory_mb", 0, 0, 1<<30)
 		r.Queue = s.integer("queue", 256, 1, 1<<20)
 		r.Linger = s.duration("linger", 2500*time.Millisecond, 0, time.Minute)
 		r.StopTimeout = s.duration("stop_timeout", 7500*time.Millisecond, time.Second, 24*time.Hour)
 		if r.Linger >= r.StopTimeout {
-			s.problem("linger", "expected less than stop_timeout")
+			s.addProblem("linger", "expected less than stop_timeout")
 		}
 	case "callers":
-		r.Callers = listenAddress(s)
+		r.Callers = parseListenAddress(s)
 		r.HeaderTimeout = s.duration("header_timeout", 3*time.Second, 100*time.Millisecond, time.Minute)
 		r.IdleTimeout = s.duration("idle_timeout", 20*time.Second, time.Second, time.Hour)
 	case "readiness":
-		r.Readiness = listenAddress(s)
+		r.Readiness = parseListenAddress(s)
 	case "operators":
-		r.Operators = listenAddress(s)
+		r.Operators = parseListenAddress(s)
 		r.OpenMetrics = s.boolean("open_metrics", false)
 		if s.str("key_sha256", "") != "" {
-			r.OperatorKeySHA256 = digest(s, "key_sha256")
+			r.OperatorKeySHA256 = parseDigest(s, "key_sha256")
 		}
 	case "peers":
-		r.Peers = listenAddress(s)
+		r.Peers = parseListenAddress(s)
 		r.PeersAddress = s.str("address", "")
 		if _, err := netip.ParseAddrPort(r.PeersAddress); r.PeersAddress != "" && err != nil {
-			s.problem("address", "expected ip:port, found %q", r.PeersAddress)
+			s.addProblem("address", "expected ip:port, found %q", r.PeersAddress)
 		}
-		r.Seeds = seeds(s, r.Peers)
+		r.Seeds = parseSeeds(s, r.Peers)
 	case "store":
 		r.RereadWithin = s.duration("reread_within", 3*time.Second, time.Second, time.Hour)
 		r.LeavingWithin = s.duration("leaving_within", 2*time.Second, time.Second, time.Hour)
 		r.ConfigWithin = s.duration("config_within", 2*time.Second, time.Second, time.Hour)
-		r.Store = s.need("address", "ip:port")
+		r.Store = s.required("address", "ip:port")
 		if _, err := netip.ParseAddrPort(r.Store); r.Store != "" && err != nil {
-			s.problem("address", "expected ip:port, found %q", r.Store)
+			s.addProblem("address", "expected ip:port, found %q", r.Store)
 		}
 	case "engines":
-		r.RetrySlack = s.amount("retry_slack", 0, 0, 1<<20)
-		r.RetryShare = s.amount("retry_share", defaultRetryShare, 0, 1<<20)
-		r.RetryWindow = time.Duration(s.amount("retry_window_s", defaultRetryWindow, 0, 1<<20) * float64(time.Second))
-		r.ColdOver = s.amount("cold_over", 1, 0, 1<<20)
-		r.ColdSlack = s.amount("cold_slack", 0, 0, 1<<20)
+		r.RetrySlack = s.numberOrBlank("retry_slack", 0, 0, 1<<20)
+		r.RetryShare = s.numberOrBlank("retry_share", defaultRetryShare, 0, 1<<20)
+		r.RetryWindow = time.Duration(s.numberOrBlank("retry_window_s", defaultRetryWindowSeconds, 0, 1<<20) * float64(time.Second))
+		r.ColdOver = s.numberOrBlank("cold_over", 1, 0, 1<<20)
+		r.ColdSlack = s.numberOrBlank("cold_slack", 0, 0, 1<<20)
 	case "accounts":
-		r.LimitWindow = time.Duration(s.amount("limit_window_s", defaultLimitWindow, 0, 1<<20) * float64(time.Second))
-		r.LimitOverage = s.amount("limit_overage", 0, 0, 1<<20)
-		r.LimitSlack = s.amount("limit_slack", 0, 0, 1<<40)
-		r.RevokedWithin = time.Duration(s.amount("revoked_within_ms", defaultRevoked, 0, 1<<40) * float64(time.Millisecond))
-		r.KeysStrict = s.flag("strict_revocation", false)
+		r.LimitWindow = time.Duration(s.numberOrBlank("limit_window_s", defaultLimitWindowSeconds, 0, 1<<20) * float64(time.Second))
+		r.LimitOverage = s.numberOrBlank("limit_overage", 0, 0, 1<<20)
+		r.LimitSlack = s.numberOrBlank("limit_slack", 0, 0, 1<<40)
+		r.RevokedWithin = time.Duration(s.numberOrBlank("revoked_within_ms", defaultRevokedWithinMS, 0, 1<<40) * float64(time.Millisecond))
+		r.KeysStrict = s.booleanOrBlank("strict_revocation", false)
 	default:
-		s.problem("", "is not a known section; expected box, callers, readiness, operators, peers, store, engines or accounts")
+		s.addProblem("", "is not a known section; expected box, callers, readiness, operators, peers, store, engines or accounts")
 	}
 }
 
-// halls reads the regions of data halls: "hall:region" each.
-func halls(s *section) map[string]string {
+// parseHalls reads the regions of data halls, each as "hall:region".
+func parseHalls(s *section) map[string]string {
 	out := map[string]string{}
 	for _, text := range s.list("halls") {
 		hall, region, ok := strings.Cut(text, ":")
 		if !ok || hall == "" || region == "" {
-			s.problem("halls", "expected hall:region, found %q", text)
+			s.addProblem("halls", "expected hall:region, found %q", text)
 			continue
 		}
 		out[hall] = region
@@ -203,17 +202,17 @@
 	return out
 }
 
-// seeds reads addresses of other boxes. They all serve others on one port, whatever the port
-// is that the settings name them by, unless this box takes any port that is free.
-func seeds(s *section, own string) (out []string) {
+// parseSeeds reads the addresses of other boxes. All boxes serve their peers on the same port, so
+// own's port replaces the one in the settings, unless own has port 0 (any free port).
+func parseSeeds(s *section, own string) (out []string) {
 	self, err := netip.ParseAddrPort(own)
 	if err != nil {
-		return nil // That was said before.
+		return nil // Reported by parseListenAddress.
 	}
 	for _, text := range s.list("seeds") {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
-			s.problem("seeds", "expected ip:port, found %q", text)
+			s.addProblem("seeds", "expected ip:port, found %q", text)
 			continue
 		}
 		if self.Port() != 0 {
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -5,50 +5,49 @@
 	"strings"
 )
 
-// Rules is the shared configuration of the boxes on a platform that keeps routes and
-// endpoints itself: what is left to say are policies, the requests they are for, and who
-// may ask.
+// Rules is the shared configuration of the boxes on a platform that manages routes and
+// endpoints itself. It has only the policies, the requests they apply to, and the operators.
 type Rules struct {
 	Version  int64
 	Policies []*Policy
-	// Rules are looked at in order; the first that fits decides.
+	// Rules are evaluated in order; the first match decides.
 	Rules     []*Rule
 	Operators []*Operator
 }
 
-// Rule gives requests a policy. It names no route, because the names on a platform change
-// with its configuration.
+// Rule assigns a policy to requests. It refers to no route by name, because the names on a
+// platform change with its configuration.
 type Rule struct {
 	Name   string
 	Policy string
-	// Kind is once, repeatable or stream; empty fits all.
+	// Kind is once, repeatable or stream; empty matches all.
 	Kind string
-	// Service is empty if the rule fits all.
+	// Service is the service's name; empty matches all.
 	Service string
-	// Priority is that of the route, 0 the highest; AnyPriority fits all.
+	// Priority is that of the route, 0 the highest; AnyPriority matches all.
 	Priority int
 }
 
-// AnyPriority fits routes of every priority.
+// AnyPriority matches routes of every priority.
 const AnyPriority = -1
 
-// Fits says whether the rule is for requests of such a route.
+// Fits reports whether the rule matches requests of such a route.
 func (r *Rule) Fits(kind, service string, priority int) bool {
 	return (r.Kind == "" || r.Kind == kind) &&
 		(r.Service == "" || r.Service == service) &&
 		(r.Priority == AnyPriority || r.Priority == priority)
 }
 
-// Operator is somebody who may ask boxes and change the shared configuration.
+// Operator is a person who may query boxes and change the shared configuration.
 type Operator struct {
 	Name      string
 	KeySHA256 string
 }
 
-// The kinds of requests that a rule may name.
+// The kinds of requests that a rule may match.
 var ruleKinds = []string{"once", "repeatable", "stream"}
 
-// ParseRules checks a text. checkPolicy compiles a program and runs its cases.
+// ParseRules parses and validates a text. checkPolicy compiles a program and runs its test cases.
 func ParseRules(file string, text []byte, checkPolicy func(*Policy) error) (*Rules, error) {
 	d, err := openDocument(file, text)
 	if err != nil {
@@ -57,15 +56,15 @@
 	out := &Rules{}
 	policies, operators := map[string]bool{}, map[string]string{}
 	for _, s := range d.sections() {
-		out.section(s, checkPolicy, operators)
-		s.done()
+		out.parseSection(s, checkPolicy, operators)
+		s.reportUnknownKeys()
 	}
 	for _, p := range out.Policies {
 		policies[p.Name] = true
 	}
 	for _, r := range out.Rules {
 		if r.Policy != "" && !policies[r.Policy] {
-			d.problem("rule "+r.Name, "policy", "no section [policy %s]", r.Policy)
+			d.addProblem("rule "+r.Name, "policy", "no section [policy %s]", r.Policy)
 		}
 	}
 	if err := d.err(); err != nil {
@@ -74,9 +73,9 @@
 	return out, nil
 }
 
-func (c *Rules) section(s *section, checkPolicy func(*Policy) error, operators map[string]string) {
+func (c *Rules) parseSection(s *section, checkPolicy func(*Policy) error, operators map[string]string) {
 	if s.Name == "" {
-		s.problem("", "expected a name, such as [%s NAME]", s.Kind)
+		s.addProblem("", "expected a name, such as [%s NAME]", s.Kind)
 		return
 	}
 	switch s.Kind {
@@ -85,21 +84,21 @@
 	case "rule":
 		c.Rules = append(c.Rules, parseRule(s))
 	case "operator":
-		o := &Operator{Name: s.Name, KeySHA256: digest(s, "key_sha256")}
+		o := &Operator{Name: s.Name, KeySHA256: parseDigest(s, "key_sha256")}
 		if other, ok := operators[o.KeySHA256]; ok {
-			s.problem("key_sha256", "is also the key of operator %s", other)
+			s.addProblem("key_sha256", "is also the key of operator %s", other)
 		}
 		operators[o.KeySHA256] = o.Name
 		c.Operators = append(c.Operators, o)
 	default:
-		s.problem("", "is not a known section; expected policy, rule or operator (routes and endpoints are the platform's)")
+		s.addProblem("", "is not a known section; expected policy, rule or operator (routes and endpoints are the platform's)")
 	}
 }
 
 func parseRule(s *section) *Rule {
 	r := &Rule{
 		Name:     s.Name,
-		Policy:   s.need("policy", "a policy's name"),
+		Policy:   s.required("policy", "a policy's name"),
 		Kind:     s.str("kind", ""),
 		Service:  s.str("service", ""),
 		Priority: s.integer("priority", AnyPriority, AnyPriority, 1<<20),
@@ -109,12 +108,12 @@
 		known = known || r.Kind == k
 	}
 	if !known {
-		s.problem("kind", "expected %s, found %q", strings.Join(ruleKinds, ", "), r.Kind)
+		s.addProblem("kind", "expected %s, found %q", strings.Join(ruleKinds, ", "), r.Kind)
 	}
 	return r
 }
 
-// OperatorByKey finds whose key it is; nil if it is nobody's.
+// OperatorByKey returns the operator with this key; nil if there is none.
 func (c *Rules) OperatorByKey(key string) *Operator {
 	for _, o := range c.Operators {
 		if KeyMatches(key, o.KeySHA256) {
@@ -124,10 +123,10 @@
 	return nil
 }
 
-// SetSection replaces a section of a document's text, or adds it at the end.
+// SetSection replaces a section of a document's text, or appends it.
 //
-// Example: SetSection(text, "operator ana", "key_sha256 = 2d71…") leaves all other
-// sections, their order and their comments as they are.
+// Example: SetSection(text, "operator ana", "key_sha256 = 2d71…") keeps all other
+// sections, their order and their comments.
 func SetSection(text, name, body string) string {
 	section := fmt.Sprintf("[%s]\n%s\n", name, strings.TrimRight(body, "\n"))
 	start, end := findSection(text, name)
@@ -149,8 +148,8 @@
 	return text[:start] + text[end:], true
 }
 
-// findSection finds where a section starts and ends; start is -1 if there is none. Text
-// inside """ holds no sections.
+// findSection returns the offsets at which a section starts and ends; start is -1 if there
+// is none. Section headers inside """ text are ignored.
 func findSection(text, name string) (start, end int) {
 	start, inText, at := -1, false, 0
 	for line := range strings.Lines(text) {
--- a/internal/config/shared.go
+++ b/internal/config/shared.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Role is what an endpoint does.
+// Role is the function of an endpoint.
 type Role uint8
 
 // The roles of endpoints.
@@ -20,10 +20,10 @@
 
 func (r Role) String() string { return roleNames[r] }
 
-// Shared is one accepted version of the configuration all boxes follow. It is
-// read-only once parsed: the request path loads it through an atomic pointer.
+// Shared is one accepted version of the configuration common to all boxes. It is
+// read-only once parsed: requests load it through an atomic pointer.
 type Shared struct {
-	// Version is the table's version of the document; it only grows.
+	// Version is the document's version in the table; it only increases.
 	Version int64
 	Text    string
 
@@ -33,7 +33,7 @@
 	Services  []*Service
 	Policies  []*Policy
 
-	clients map[string]*Client // by hex SHA-256 of the key
+	clients map[string]*Client // By hex SHA-256 of the key.
 	Clients []*Client
 }
 
@@ -41,35 +41,35 @@
 type Pool struct {
 	Name  string
 	Model string
-	// KVBytesPerToken sizes a transfer between engines.
+	// KVBytesPerToken determines the size of a transfer between engines.
 	KVBytesPerToken int
-	// PrefillExpiry is how long a prefill engine keeps a result.
+	// PrefillExpiry is how long a prefill engine keeps the KV cache of a prefill.
 	PrefillExpiry time.Duration
 }
 
 // Endpoint is one back end: an engine of a pool, or a process of a plain service.
 type Endpoint struct {
 	Name    string
-	Pool    string // empty for a plain service's endpoint
-	Service string // empty for an engine
+	Pool    string // Empty for an endpoint of a plain service.
+	Service string // Empty for an engine.
 	Role    Role
 	Address string // ip:port
 	Region  string
 	Hall    string
 	Leaving bool
 
-	// PrefillRate is prompt tokens a second of a prefill engine.
+	// PrefillRate is the prompt tokens per second of a prefill engine.
 	PrefillRate float64
 	// KVTokens is the KV memory of an engine, in tokens.
 	KVTokens int
 	// Step and StepPerStream predict the time between tokens of a decode engine.
 	Step          time.Duration
 	StepPerStream time.Duration
-	// LinkRate is the bytes a second its link carries.
+	// LinkRate is the bytes per second of its network link.
 	LinkRate float64
 }
 
-// Route gives requests for one model their targets and policy.
+// Route assigns latency targets and a policy to requests for one model.
 type Route struct {
 	Name   string
 	Model  string
@@ -77,13 +77,13 @@
 	// FirstToken and BetweenTokens are the latency targets.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// MaxTokens is assumed where a request names no limit of its own.
+	// MaxTokens applies to requests that set no limit of their own.
 	MaxTokens int
-	// Repeatable false makes every request of the route run at most once.
+	// Repeatable false means that every request of the route runs at most once.
 	Repeatable bool
 	// ServeLate runs requests that are predicted to miss FirstToken instead of refusing them.
 	ServeLate bool
-	// Priority is passed to engines; lower runs first.
+	// Priority is passed to engines; lower values run first.
 	Priority int
 }
 
@@ -91,20 +91,20 @@
 type Service struct {
 	Name   string
 	Prefix string
-	// RepeatMethods may be sent again after a failure; all others run at most once.
-	RepeatMethods []string
-	Timeout       time.Duration
+	// RepeatableMethods may be retried after a failure; all others run at most once.
+	RepeatableMethods []string
+	Timeout           time.Duration
 }
 
 // Client is one customer and its limits. A zero limit means none.
 type Client struct {
 	Name       string
 	KeySHA256  string
-	Requests   float64 // a second
+	Requests   float64 // Per second.
 	Burst      int
-	Tokens     float64 // a second, prompt and answer together
+	Tokens     float64 // Per second, prompt and answer together.
 	TokenBurst int
-	// Routes and services the client may use; empty means all.
+	// Allow lists the routes and services the client may use; empty means all.
 	Allow []string
 }
 
@@ -115,8 +115,8 @@
 	Cases   string
 }
 
-// ParseShared checks the text of a shared configuration. CheckPolicy, where not
-// nil, is asked about each policy, so that this package need not know the language.
+// ParseShared parses and validates a shared configuration. checkPolicy, if not nil,
+// validates each policy, so that this package does not depend on the policy language.
 func ParseShared(file string, text []byte, checkPolicy func(*Policy) error) (*Shared, error) {
 	d, err := openDocument(file, text)
 	if err != nil {
@@ -126,8 +126,8 @@
 	var all []*section
 	for _, s := range d.sections() {
 		all = append(all, s)
-		c.section(s, checkPolicy)
-		s.done()
+		c.parseSection(s, checkPolicy)
+		s.reportUnknownKeys()
 	}
 	c.checkReferences(d, all)
 	if err := d.err(); err != nil {
@@ -136,9 +136,9 @@
 	return c, nil
 }
 
-func (c *Shared) section(s *section, checkPolicy func(*Policy) error) {
+func (c *Shared) parseSection(s *section, checkPolicy func(*Policy) error) {
 	if !validName(s.Name) {
-		s.problem("", "expected [%s NAME] with a name of letters, digits and dashes", s.Kind)
+		s.addProblem("", "expected [%s NAME] with a name of letters, digits and dashes", s.Kind)
 	}
 	switch s.Kind {
 	case "pool":
@@ -154,15 +154,15 @@
 	case "policy":
 		c.Policies = append(c.Policies, parsePolicy(s, checkPolicy))
 	default:
-		s.problem("", "is not a known section; expected pool, endpoint, route, service, client or policy")
+		s.addProblem("", "is not a known section; expected pool, endpoint, route, service, client or policy")
 	}
 }
 
 func parsePolicy(s *section, check func(*Policy) error) *Policy {
-	p := &Policy{Name: s.Name, Program: s.need("program", "the program's text"), Cases: s.str("cases", "")}
+	p := &Policy{Name: s.Name, Program: s.required("program", "the program's text"), Cases: s.str("cases", "")}
 	if check != nil && p.Program != "" {
 		if err := check(p); err != nil {
-			s.problem("program", "%v", err)
+			s.addProblem("program", "%v", err)
 		}
 	}
 	return p
@@ -182,9 +182,9 @@
 		Name:          s.Name,
 		Pool:          s.str("pool", ""),
 		Service:       s.str("service", ""),
-		Address:       s.need("address", "ip:port"),
-		Region:        s.need("region", "the region's name"),
-		Hall:          s.need("hall", "the data hall's name"),
+		Address:       s.required("address", "ip:port"),
+		Region:        s.required("region", "the region's name"),
+		Hall:          s.required("hall", "the data hall's name"),
 		Leaving:       s.boolean("leaving", false),
 		PrefillRate:   s.number("prefill_rate", 20000, 1, 1e9),
 		KVTokens:      s.integer("kv_tokens", 200000, 1, 1<<40),
@@ -193,10 +193,10 @@
 		LinkRate:      s.number("link_rate", 12.5e9, 1, 1e15),
 	}
 	if _, err := netip.ParseAddrPort(e.Address); e.Address != "" && err != nil {
-		s.problem("address", "expected ip:port, found %q", e.Address)
+		s.addProblem("address", "expected ip:port, found %q", e.Address)
 	}
 	if (e.Pool == "") == (e.Service == "") {
-		s.problem("pool", "expected either pool or service")
+		s.addProblem("pool", "expected either pool or service")
 	}
 	switch role := s.str("role", "service"); {
 	case role == "prefill" && e.Pool != "":
@@ -206,7 +206,7 @@
 	case role == "service" && e.Service != "":
 		e.Role = RoleService
 	default:
-		s.problem("role", "expected prefill or decode for an engine, service for a service, found %q", role)
+		s.addProblem("role", "expected prefill or decode for an engine, service for a service, found %q", role)
 	}
 	return e
 }
@@ -214,7 +214,7 @@
 func parseRoute(s *section) *Route {
 	r := &Route{
 		Name:          s.Name,
-		Model:         s.need("model", "a pool's model"),
+		Model:         s.required("model", "a pool's model"),
 		Policy:        s.str("policy", ""),
 		FirstToken:    s.duration("first_token", 430*time.Millisecond, time.Millisecond, time.Hour),
 		BetweenTokens: s.duration("between_tokens", 27*time.Millisecond, time.Millisecond, time.Minute),
@@ -227,20 +227,20 @@
 	case "serve":
 		r.ServeLate = true
 	default:
-		s.problem("late", "expected refuse or serve, found %q", late)
+		s.addProblem("late", "expected refuse or serve, found %q", late)
 	}
 	return r
 }
 
 func parseService(s *section) *Service {
 	v := &Service{
-		Name:          s.Name,
-		Prefix:        s.need("prefix", "a path such as /bookings/"),
-		RepeatMethods: s.list("repeatable"),
-		Timeout:       s.duration("timeout", time.Minute, time.Millisecond, 24*time.Hour),
+		Name:              s.Name,
+		Prefix:            s.required("prefix", "a path such as /bookings/"),
+		RepeatableMethods: s.list("repeatable"),
+		Timeout:           s.duration("timeout", time.Minute, time.Millisecond, 24*time.Hour),
 	}
 	if v.Prefix != "" && (!strings.HasPrefix(v.Prefix, "/") || v.Prefix == "/" || strings.HasPrefix(v.Prefix, "/v1/")) {
-		s.problem("prefix", "expected a path that starts with / and is neither / nor below /v1/, found %q", v.Prefix)
+		s.addProblem("prefix", "expected a path that starts with / and is neither / nor below /v1/, found %q", v.Prefix)
 	}
 	return v
 }
@@ -248,7 +248,7 @@
 func (c *Shared) addClient(s *section) {
 	v := &Client{
 		Name:       s.Name,
-		KeySHA256:  digest(s, "key_sha256"),
+		KeySHA256:  parseDigest(s, "key_sha256"),
 		Requests:   s.number("requests", 0, 0, 1e9),
 		Burst:      s.integer("burst", 0, 0, 1<<30),
 		Tokens:     s.number("tokens", 0, 0, 1e12),
@@ -256,13 +256,13 @@
 		Allow:      s.list("allow"),
 	}
 	if other, ok := c.clients[v.KeySHA256]; ok {
-		s.problem("key_sha256", "is also the key of client %s", other.Name)
+		s.addProblem("key_sha256", "is also the key of client %s", other.Name)
 	}
 	c.clients[v.KeySHA256] = v
 	c.Clients = append(c.Clients, v)
 }
 
-// checkReferences reports names that point at nothing.
+// checkReferences reports references to undefined names, and models or addresses in use twice.
 func (c *Shared) checkReferences(d *document, all []*section) {
 	known := map[string]bool{}
 	models := map[string]bool{}
@@ -272,7 +272,7 @@
 	}
 	for _, p := range c.Pools {
 		if models[p.Model] {
-			d.problem("pool "+p.Name, "model", "another pool serves %q already", p.Model)
+			d.addProblem("pool "+p.Name, "model", "another pool serves %q already", p.Model)
 		}
 		models[p.Model] = true
 	}
@@ -281,16 +281,16 @@
 	}
 	for _, r := range c.Routes {
 		if !models[r.Model] {
-			d.problem("route "+r.Name, "model", "no pool serves %q", r.Model)
+			d.addProblem("route "+r.Name, "model", "no pool serves %q", r.Model)
 		}
 		if r.Policy != "" && !known["policy "+r.Policy] {
-			d.problem("route "+r.Name, "policy", "no section [policy %s]", r.Policy)
+			d.addProblem("route "+r.Name, "policy", "no section [policy %s]", r.Policy)
 		}
 	}
 	for _, v := range c.Clients {
 		for _, name := range v.Allow {
 			if !known["route "+name] && !known["service "+name] {
-				d.problem("client "+v.Name, "allow", "no section [route %s] or [service %s]", name, name)
+				d.addProblem("client "+v.Name, "allow", "no section [route %s] or [service %s]", name, name)
 			}
 		}
 	}
@@ -298,22 +298,22 @@
 
 func (c *Shared) checkEndpoint(d *document, e *Endpoint, known map[string]bool, addresses map[string]string) {
 	if e.Pool != "" && !known["pool "+e.Pool] {
-		d.problem("endpoint "+e.Name, "pool", "no section [pool %s]", e.Pool)
+		d.addProblem("endpoint "+e.Name, "pool", "no section [pool %s]", e.Pool)
 	}
 	if e.Service != "" && !known["service "+e.Service] {
-		d.problem("endpoint "+e.Name, "service", "no section [service %s]", e.Service)
+		d.addProblem("endpoint "+e.Name, "service", "no section [service %s]", e.Service)
 	}
 	if other, ok := addresses[e.Address]; ok {
-		d.problem("endpoint "+e.Name, "address", "is also the address of endpoint %s", other)
+		d.addProblem("endpoint "+e.Name, "address", "is also the address of endpoint %s", other)
 	}
 	addresses[e.Address] = e.Name
 }
 
-// ClientByKey finds the client whose key has this hex SHA-256.
+// ClientByKey returns the client whose key has this hex SHA-256; nil if there is none.
 func (c *Shared) ClientByKey(sum string) *Client { return c.clients[sum] }
 
-// RouteFor finds the first route the client may use for the model. The bool is
-// false where no route serves the model at all.
+// RouteFor returns the first route that the client may use for the model. The bool is
+// false if no route serves the model at all.
 func (c *Shared) RouteFor(model string, v *Client) (*Route, bool) {
 	found := false
 	for _, r := range c.Routes {
@@ -321,14 +321,14 @@
 			continue
 		}
 		found = true
-		if v.May(r.Name) {
+		if v.MayUse(r.Name) {
 			return r, true
 		}
 	}
 	return nil, found
 }
 
-// ServiceFor finds the service with the longest prefix of path.
+// ServiceFor returns the service with the longest matching prefix of path; nil if there is none.
 func (c *Shared) ServiceFor(path string) *Service {
 	var best *Service
 	for _, s := range c.Services {
@@ -339,7 +339,7 @@
 	return best
 }
 
-// PoolByModel finds the pool that serves the model.
+// PoolByModel returns the pool that serves the model; nil if there is none.
 func (c *Shared) PoolByModel(model string) *Pool {
 	for _, p := range c.Pools {
 		if p.Model == model {
@@ -349,8 +349,8 @@
 	return nil
 }
 
-// May says whether the client may use the route or service.
-func (v *Client) May(name string) bool {
+// MayUse reports whether the client may use the route or service.
+func (v *Client) MayUse(name string) bool {
 	if len(v.Allow) == 0 {
 		return true
 	}
@@ -362,9 +362,9 @@
 	return false
 }
 
-// Repeats says whether a call with this method may be sent again.
-func (s *Service) Repeats(method string) bool {
-	for _, m := range s.RepeatMethods {
+// IsRepeatable reports whether a call with this method may be retried.
+func (s *Service) IsRepeatable(method string) bool {
+	for _, m := range s.RepeatableMethods {
 		if m == method {
 			return true
 		}
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -1,5 +1,5 @@
-// Package control keeps the shared configuration in the platform's table: one
-// row holds the accepted version, and every box follows it.
+// Package control stores the shared configuration in the platform's table: one row holds
+// the accepted version, and every box polls it.
 package control
 
 import (
@@ -15,33 +15,33 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// Table is the part of the platform's table that the configuration needs.
+// Table is the part of the platform's table API that the configuration needs.
 type Table interface {
 	Get(ctx context.Context, key string, known int64) (platform.Row, error)
 	Put(ctx context.Context, key string, w platform.Write) (int64, error)
 }
 
-// currentKey is the row of the accepted configuration; its row version is the
-// configuration's version.
+// currentKey is the key of the row with the accepted configuration. The row's version is
+// the version of the configuration.
 const currentKey = "config/current"
 
 func versionKey(v int64) string { return fmt.Sprintf("config/version/%d", v) }
 
-// Version is one accepted configuration.
+// Version is one accepted version of the configuration.
 type Version struct {
 	Number int64     `json:"-"`
 	Text   string    `json:"text"`
 	Author string    `json:"author"`
 	At     time.Time `json:"at"`
-	// Tokens are those of the newest versions up to this one, newest last, so that
-	// a writer whose answer was lost can tell whether it was ever accepted.
+	// Tokens are the write tokens of the latest versions up to this one, newest last. A writer
+	// whose response was lost finds in them whether its write was ever accepted.
 	Tokens []string `json:"tokens"`
 }
 
 // maxTokens bounds Version.Tokens.
 const maxTokens = 32
 
-// ConflictError means that another version was accepted meanwhile.
+// ConflictError means that another version was accepted since the base version was read.
 type ConflictError struct{ Current int64 }
 
 func (e *ConflictError) Error() string {
@@ -51,7 +51,7 @@
 // ErrTooLarge means that a configuration does not fit into the table. Nothing was written.
 var ErrTooLarge = errors.New("the configuration is too large")
 
-// UnknownError means that the table did not say whether the write took effect.
+// UnknownError means that it is not known whether the write took effect.
 type UnknownError struct{ Err error }
 
 func (e *UnknownError) Error() string {
@@ -62,10 +62,10 @@
 // Store reads and writes the accepted configuration.
 type Store struct{ table Table }
 
-// NewStore returns a store in t.
+// NewStore returns a store that uses table t.
 func NewStore(t Table) *Store { return &Store{t} }
 
-// Current finds the accepted version among the rows of the table; nil if there is none.
+// Current returns the accepted version from the rows of the table; nil if there is none.
 func Current(rows map[string][]byte, read func(key string, text []byte) (platform.Row, error)) (*Version, error) {
 	text, ok := rows[currentKey]
 	if !ok {
@@ -78,7 +78,7 @@
 	return decode(row)
 }
 
-// Load reads the accepted version unless it is the known one, which yields
+// Load reads the accepted version. If its number equals known, it returns
 // platform.ErrUnchanged.
 func (s *Store) Load(ctx context.Context, known int64) (*Version, error) {
 	row, err := s.table.Get(ctx, currentKey, known)
@@ -96,10 +96,10 @@
 	return v, nil
 }
 
-// Apply accepts v in place of version base. A lost answer is resolved by reading
-// the row back and looking for the token of this very write.
+// Apply replaces version base by v. If the response to the write is lost, it reads the row
+// back and looks for the token of this write.
 func (s *Store) Apply(ctx context.Context, base int64, v Version) (int64, error) {
-	prior, err := s.base(ctx, base)
+	prior, err := s.loadBase(ctx, base)
 	if err != nil {
 		return 0, err
 	}
@@ -114,7 +114,7 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, platform.ErrConflict):
-		return 0, s.conflict(ctx)
+		return 0, s.conflictError(ctx)
 	case errors.Is(err, ErrTooLarge):
 		return 0, err
 	default:
@@ -122,12 +122,12 @@
 			return 0, err
 		}
 	}
-	s.keep(ctx, number, b)
+	s.storeHistory(ctx, number, b)
 	return number, nil
 }
 
-// base reads the version a change is made from.
-func (s *Store) base(ctx context.Context, base int64) (*Version, error) {
+// loadBase reads the version that a change is based on.
+func (s *Store) loadBase(ctx context.Context, base int64) (*Version, error) {
 	v, err := s.Load(ctx, 0)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
@@ -141,7 +141,7 @@
 	return v, nil
 }
 
-func (s *Store) conflict(ctx context.Context) error {
+func (s *Store) conflictError(ctx context.Context) error {
 	row, err := s.table.Get(ctx, currentKey, 0)
 	if err != nil {
 		return &ConflictError{}
@@ -149,31 +149,30 @@
 	return &ConflictError{Current: row.Version}
 }
 
-// readBack tells what became of a write without an answer. The row still at base
-// does not prove that the write failed: it may be on its way. A later version does
-// not prove it either: ours may have been accepted and then replaced. Only the
-// token at our place among the last ones tells.
+// readBack determines the result of a write whose response was lost. If the row is still at
+// base, the write may not have arrived yet. If the row has a later version, the write may
+// have been accepted and then replaced. Only the token at the position of version base+1 is
+// conclusive.
 //
-// Example: our write was to become version 8. The row is at version 10 with the
-// tokens [.. c d e]: those of 8, 9 and 10. If c is ours we were accepted.
+// Example: the write was to create version 8. The row is at version 10 with the tokens
+// [.. c d e] of versions 8, 9 and 10. If c is the write's own token, it was accepted.
 func (s *Store) readBack(ctx context.Context, base int64, token string, cause error) (int64, error) {
 	v, err := s.Load(ctx, 0)
 	if err != nil || v.Number == base {
 		return 0, &UnknownError{cause}
 	}
-	place := len(v.Tokens) - int(v.Number-base)
+	index := len(v.Tokens) - int(v.Number-base)
 	switch {
-	case place < 0 || v.Number < base:
+	case index < 0 || v.Number < base:
 		return 0, &UnknownError{cause}
-	case v.Tokens[place] == token:
+	case v.Tokens[index] == token:
 		return base + 1, nil
 	}
 	return 0, &ConflictError{Current: v.Number}
 }
 
-// keep files the text for the history. The version is in force whether or not
-// this succeeds.
-func (s *Store) keep(ctx context.Context, number int64, b []byte) {
+// storeHistory stores the text for the history. The version is in force even if this fails.
+func (s *Store) storeHistory(ctx context.Context, number int64, b []byte) {
 	_, _ = s.table.Put(ctx, versionKey(number), platform.Write{Token: "history", Value: string(b)})
 }
 
@@ -190,10 +189,10 @@
 	return v, err
 }
 
-// maxHistory bounds the versions listed.
+// maxHistory bounds the number of listed versions.
 const maxHistory = 50
 
-// History lists the newest versions, newest first.
+// History returns the latest versions, newest first.
 func (s *Store) History(ctx context.Context) ([]*Version, error) {
 	current, err := s.Load(ctx, 0)
 	if errors.Is(err, platform.ErrNotFound) {
@@ -206,7 +205,7 @@
 	for n := current.Number - 1; n > 0 && len(out) < maxHistory; n-- {
 		v, err := s.Get(ctx, n)
 		if errors.Is(err, platform.ErrNotFound) {
-			continue // Its history write was lost.
+			continue // Its history entry was never stored.
 		}
 		if err != nil {
 			return nil, err
@@ -216,42 +215,42 @@
 	return out, nil
 }
 
-// followEvery is how often a box asks for a newer version.
-const followEvery = time.Second
+// followInterval is the interval at which a box polls for a newer version.
+const followInterval = time.Second
 
-// Source finds a newer version elsewhere while the table does not answer. It only
-// ever returns versions that the table has accepted.
-type Source func(ctx context.Context, known int64) (*Version, error)
+// FallbackSource fetches a newer version from elsewhere while the table is unavailable. It
+// returns only versions that the table has accepted.
+type FallbackSource func(ctx context.Context, known int64) (*Version, error)
 
-// Follow calls apply with each newer version until ctx ends. Versions only grow:
-// an answer that is older than what is in force is ignored, whatever the reason.
-func (s *Store) Follow(ctx context.Context, other Source, apply func(*Version) error, failed func(error)) {
+// Follow calls apply with each newer version until ctx ends. Versions only increase: a
+// response older than the version in force is ignored.
+func (s *Store) Follow(ctx context.Context, fallback FallbackSource, apply func(*Version) error, onError func(error)) {
 	var known int64
 	for {
 		v, err := s.Load(ctx, known)
-		if err != nil && other != nil && !errors.Is(err, platform.ErrUnchanged) && !errors.Is(err, platform.ErrNotFound) {
-			if passed, passErr := other(ctx, known); passErr == nil {
-				v, err = passed, nil
+		if err != nil && fallback != nil && !errors.Is(err, platform.ErrUnchanged) && !errors.Is(err, platform.ErrNotFound) {
+			if fetched, fetchErr := fallback(ctx, known); fetchErr == nil {
+				v, err = fetched, nil
 			}
 		}
 		switch {
 		case err == nil && v.Number > known:
 			known = v.Number
 			if err := apply(v); err != nil {
-				failed(err)
+				onError(err)
 			}
 		case err != nil && !errors.Is(err, platform.ErrUnchanged) && !errors.Is(err, platform.ErrNotFound):
-			failed(err)
+			onError(err)
 		}
 		select {
-		case <-time.After(followEvery):
+		case <-time.After(followInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Parse checks a version's text.
+// Parse parses and validates the version's text.
 func (v *Version) Parse(check func(*config.Policy) error) (*config.Shared, error) {
 	c, err := config.ParseShared(fmt.Sprintf("configuration version %d", v.Number), []byte(v.Text), check)
 	if err != nil {
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -16,13 +16,13 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// scripted answers reads with the versions of a list, one after another.
-type scripted struct {
+// scriptedTable returns the versions of a list, one per read.
+type scriptedTable struct {
 	Table
 	versions []int64
 }
 
-func (s *scripted) Get(_ context.Context, _ string, known int64) (platform.Row, error) {
+func (s *scriptedTable) Get(_ context.Context, _ string, known int64) (platform.Row, error) {
 	if len(s.versions) == 0 {
 		return platform.Row{}, errors.New("down")
 	}
@@ -40,7 +40,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		var got []int64
-		NewStore(&scripted{versions: reads}).Follow(ctx, nil, func(v *Version) error {
+		NewStore(&scriptedTable{versions: reads}).Follow(ctx, nil, func(v *Version) error {
 			got = append(got, v.Number)
 			return nil
 		}, func(error) {})
@@ -50,14 +50,14 @@
 	})
 }
 
-// A box never steps back, even when an old replica of the table answers.
+// Guards against reverting to an older version when an outdated replica of the table answers.
 func TestFollow(t *testing.T) {
 	expectFollows(t, []int64{1, 1, 2}, []int64{1, 2})
 	expectFollows(t, []int64{5, 3, 5, 4, 6}, []int64{5, 6})
 	expectFollows(t, nil, nil)
 }
 
-// configOp is one operator's change made from a base, or a read.
+// configOp is a change that an operator bases on a version, or a read.
 type configOp struct {
 	read bool
 	base int64
@@ -66,8 +66,8 @@
 
 type configResult struct {
 	version int64
-	text    string // What a read saw.
-	refused bool   // Conflict.
+	text    string // The text returned by a read.
+	refused bool   // The change was rejected as a conflict.
 	unknown bool
 }
 
@@ -77,8 +77,8 @@
 	text    string
 }
 
-// configModel is a register with compare-and-swap. A change whose fate is not
-// known may or may not have taken effect, so both are tried.
+// configModel is a compare-and-swap register. A change with an unknown result may or may
+// not have taken effect, so both states are explored.
 var configModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{configState{}} },
 	Step: func(state, input, output any) []any {
@@ -105,10 +105,10 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v %+v", input, output) },
 }).ToModel()
 
-type applier func(*Store, configOp) (int64, error)
+type applyFunc func(*Store, configOp) (int64, error)
 
-// badHistories counts histories of racing operators that no register explains.
-func badHistories(seeds uint64, apply applier) (bad int) {
+// countBadHistories counts the histories of concurrent operators that are not linearizable.
+func countBadHistories(seeds uint64, apply applyFunc) (bad int) {
 	for seed := range seeds {
 		table := standin.NewMemTable(seed)
 		table.Lost, table.Down, table.Late = 0.2, 0.1, 0.3
@@ -137,7 +137,7 @@
 					}
 					op := configOp{base: seen.version, text: fmt.Sprintf("%d-%d", operator, n)}
 					if r := record(op, func() configResult { return applyResult(store, op, apply) }); r.unknown {
-						return // A client with an open call makes no other.
+						return // A client with a pending call makes no other.
 					}
 				}
 			})
@@ -161,7 +161,7 @@
 	return configResult{version: v.Number, text: v.Text}
 }
 
-func applyResult(s *Store, op configOp, apply applier) configResult {
+func applyResult(s *Store, op configOp, apply applyFunc) configResult {
 	n, err := apply(s, op)
 	var conflict *ConflictError
 	switch {
@@ -173,27 +173,27 @@
 	return configResult{unknown: true}
 }
 
-func honest(s *Store, op configOp) (int64, error) {
+func applyCorrectly(s *Store, op configOp) (int64, error) {
 	return s.Apply(context.Background(), op.base, Version{Text: op.text})
 }
 
 func TestConfigHistories(t *testing.T) {
-	if bad := badHistories(300, honest); bad > 0 {
+	if bad := countBadHistories(300, applyCorrectly); bad > 0 {
 		t.Errorf("%d of 300 histories cannot be explained", bad)
 	}
 }
 
-// The checker itself must catch a store that takes a lost answer for a conflict.
+// The checker itself must detect a store that treats a lost response as a conflict.
 func TestConfigHistoriesCatchABug(t *testing.T) {
-	careless := func(s *Store, op configOp) (int64, error) {
-		n, err := honest(s, op)
+	applyCarelessly := func(s *Store, op configOp) (int64, error) {
+		n, err := applyCorrectly(s, op)
 		var unknown *UnknownError
 		if errors.As(err, &unknown) {
 			return 0, &ConflictError{}
 		}
 		return n, err
 	}
-	if bad := badHistories(300, careless); bad == 0 {
+	if bad := countBadHistories(300, applyCarelessly); bad == 0 {
 		t.Error("the checker let a careless store pass")
 	}
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -17,12 +17,12 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// CallError says how a call failed and whether it may have run.
+// CallError describes how a call failed and whether it may have run.
 type CallError struct {
 	Reason outcome.Reason
-	// Ran is false only if no byte of the request left, or the engine said it did not run.
-	Ran    bool
-	KVGone bool
+	// Ran is false only if no byte of the request was sent, or the engine said it did not run.
+	Ran       bool
+	KVExpired bool
 	// Code is the engine's own error code, if it answered with one.
 	Code string
 	Err  error
@@ -35,43 +35,43 @@
 type Call struct {
 	Address string // ip:port
 	Path    string
-	// RequestID is unique to the attempt; the engine puts it into everything it answers.
+	// RequestID is unique to the attempt; the engine includes it in every response.
 	RequestID string
 	MaxTokens int
 	Priority  int
-	Rest      []byte // The caller's own fields, a JSON object.
+	Rest      []byte // The caller's own fields, as a JSON object.
 }
 
 const (
-	dialTimeout    = 500 * time.Millisecond
-	maxAnswer      = 1 << 20
-	idlePerHost    = 256
-	shortCallLimit = 2 * time.Second
+	dialTimeout      = 500 * time.Millisecond
+	maxResponseBytes = 1 << 20
+	maxIdlePerHost   = 256
+	shortCallTimeout = 2 * time.Second
 )
 
 // Client calls engines. It is safe for concurrent use.
 type Client struct {
 	hc *http.Client
-	// probes is for asking for load, apart from the path of requests.
-	probes *http.Client
-	// OnLoad, where set before the first call, is given the load report that
-	// came with an answer, by the engine's address.
+	// probeClient queries load and cache events on connections separate from the request path.
+	probeClient *http.Client
+	// OnLoad receives the load report that came with a response, by the engine's
+	// address. It must be set before the first call; it may be nil.
 	OnLoad func(address string, l Load)
 }
 
-// NewClient returns a client with a connection pool of its own. It speaks only
-// HTTP/1.1 and uses no proxy from the environment.
+// NewClient returns a client with its own connection pool. It uses only HTTP/1.1
+// and ignores proxy settings of the environment.
 func NewClient() *Client {
 	dial := (&net.Dialer{Timeout: dialTimeout}).DialContext
-	return &Client{hc: httpClient(dial, idlePerHost), probes: httpClient(dial, 1)}
+	return &Client{hc: httpClient(dial, maxIdlePerHost), probeClient: httpClient(dial, 1)}
 }
 
-// Dial opens a connection, as net.Dialer does.
+// Dial opens a connection, like net.Dialer.DialContext.
 type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// ProbeThrough has probes use another way to dial, so that their bytes can be counted.
+// ProbeThrough wraps the dial function of probes, so that their bytes can be counted.
 func (c *Client) ProbeThrough(wrap func(Dial) Dial) {
-	c.probes = httpClient(wrap((&net.Dialer{Timeout: dialTimeout}).DialContext), 1)
+	c.probeClient = httpClient(wrap((&net.Dialer{Timeout: dialTimeout}).DialContext), 1)
 }
 
 func httpClient(dial Dial, idle int) *http.Client {
@@ -82,22 +82,22 @@
 			IdleConnTimeout:     time.Minute,
 			DisableCompression:  true,
 		},
-		// A redirect would take the request to an endpoint nobody chose.
+		// Following a redirect would send the request to an endpoint that was not selected.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.hc.CloseIdleConnections() }
 
-// post sends a body. net/http may send a POST again only if it wrote nothing of
-// it to a kept connection that the engine had closed, because no call carries an
-// Idempotency-Key; so each call reaches an engine at most once.
+// post sends a body. No call carries an Idempotency-Key, so net/http resends a POST only
+// if it had written none of it to a reused connection that the engine had closed. Each
+// call therefore reaches an engine at most once.
 func (c *Client) post(ctx context.Context, address, path string, b []byte, header http.Header) (*http.Response, error) {
-	// got is set from the moment a connection is ours: from then on bytes may leave.
-	var got atomic.Bool
+	// maybeSent is set once a connection is obtained: from then on bytes may be sent.
+	var maybeSent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { got.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { maybeSent.Store(true) },
 	})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(b))
 	if err != nil {
@@ -110,15 +110,15 @@
 	resp, err := c.hc.Do(req)
 	if err != nil {
 		reason := outcome.EndpointDied
-		if !got.Load() {
+		if !maybeSent.Load() {
 			reason = outcome.ConnectFailed
 		}
-		return nil, &CallError{Reason: reason, Ran: got.Load(), Err: err}
+		return nil, &CallError{Reason: reason, Ran: maybeSent.Load(), Err: err}
 	}
 	c.readLoad(address, resp)
 	if resp.StatusCode != http.StatusOK {
 		defer resp.Body.Close()
-		return nil, refusal(resp)
+		return nil, parseRefusal(resp)
 	}
 	return resp, nil
 }
@@ -134,20 +134,20 @@
 	}
 }
 
-// refusal reads an error answer. Only an engine that says not_run is believed
-// not to have run the request; a bare 500 may come from the middle of it.
-func refusal(resp *http.Response) error {
+// parseRefusal reads an error response. The request counts as not run only if the engine
+// says so with an error code; a bare 500 may come from the middle of a run.
+func parseRefusal(resp *http.Response) error {
 	var body ErrorBody
-	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	_ = json.Unmarshal(b, &body)
 	e := &CallError{
-		Reason: outcome.EndpointRefused,
-		Ran:    body.Error.Code != CodeNotRun && body.Error.Code != CodeKVExpired,
-		KVGone: body.Error.Code == CodeKVExpired,
-		Code:   body.Error.Code,
-		Err:    fmt.Errorf("status %d, code %q", resp.StatusCode, body.Error.Code),
+		Reason:    outcome.EndpointRefused,
+		Ran:       body.Error.Code != CodeNotRun && body.Error.Code != CodeKVExpired,
+		KVExpired: body.Error.Code == CodeKVExpired,
+		Code:      body.Error.Code,
+		Err:       fmt.Errorf("status %d, code %q", resp.StatusCode, body.Error.Code),
 	}
-	if e.KVGone {
+	if e.KVExpired {
 		e.Reason = outcome.PrefillExpired
 	} else if e.Ran {
 		e.Reason = outcome.EndpointDied
@@ -155,9 +155,9 @@
 	return e
 }
 
-// Prefill has an engine read the prompt and keep its KV cache.
+// Prefill makes an engine process the prompt and keep its KV cache.
 func (c *Client) Prefill(ctx context.Context, call Call) (*PrefillAnswer, error) {
-	b, err := body(Params{
+	b, err := encodeBody(Params{
 		RequestID: call.RequestID,
 		MaxTokens: 1,
 		Priority:  call.Priority,
@@ -172,22 +172,22 @@
 	}
 	defer resp.Body.Close()
 	ans := &PrefillAnswer{}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(ans); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(ans); err != nil {
 		return nil, &CallError{Reason: outcome.Truncated, Ran: true, Err: err}
 	}
 	if !strings.HasSuffix(ans.ID, call.RequestID) {
 		return nil, &CallError{Reason: outcome.Crossed, Ran: true, Err: errors.New("the answer carries another request's id")}
 	}
 	if ans.KV.Handle == "" {
-		return nil, &CallError{Reason: outcome.EndpointDied, Ran: true, Err: errors.New("the answer names no KV cache")}
+		return nil, &CallError{Reason: outcome.EndpointDied, Ran: true, Err: errors.New("the answer has no KV cache handle")}
 	}
 	ans.KV.Remote = call.Address
 	return ans, nil
 }
 
-// Decode has an engine take a KV cache and stream the answer.
+// Decode makes an engine take over a KV cache and stream the answer.
 func (c *Client) Decode(ctx context.Context, call Call, kv KVParams) (*Stream, error) {
-	b, err := body(Params{
+	b, err := encodeBody(Params{
 		RequestID:     call.RequestID,
 		Stream:        true,
 		StreamOptions: &StreamOptions{IncludeUsage: true},
@@ -205,8 +205,8 @@
 	return newStream(resp.Body, call.RequestID, 0), nil
 }
 
-// Resume continues a stream whose connection was lost, from the first chunk not
-// yet received. The engine keeps running such a stream for a short while.
+// Resume continues a stream whose connection was lost, from the first chunk not yet
+// received. The engine keeps such a stream running for a short while.
 func (c *Client) Resume(ctx context.Context, address, requestID string, next int) (*Stream, error) {
 	b, err := json.Marshal(AbortRequest{RequestID: requestID})
 	if err != nil {
@@ -220,24 +220,24 @@
 	return newStream(resp.Body, requestID, next), nil
 }
 
-// Abort frees whatever the engine holds for a call. An engine that never heard
-// of the call answers the same, so Abort may be sent again.
+// Abort frees whatever the engine keeps for a call. An engine that does not know the call
+// answers the same, so Abort may be repeated.
 func (c *Client) Abort(ctx context.Context, address, requestID string) error {
 	b, err := json.Marshal(AbortRequest{RequestID: requestID})
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, shortCallLimit)
+	ctx, cancel := context.WithTimeout(ctx, shortCallTimeout)
 	defer cancel()
 	resp, err := c.post(ctx, address, AbortPath, b, nil)
 	if err != nil {
 		return err
 	}
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer))
+	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 	return errors.Join(err, resp.Body.Close())
 }
 
-// Load asks an engine for its load.
+// Load queries the load of an engine.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
 	var l Load
 	err := c.probe(ctx, address, LoadPath, &l)
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -12,37 +12,37 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// maxEvent bounds one server-sent event, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one server-sent event.
+const maxEventBytes = 1 << 20
 
-// doneMark ends a whole stream.
-const doneMark = "[DONE]"
+// doneMarker is the data of the event that ends a complete stream.
+const doneMarker = "[DONE]"
 
 // Chunk is one piece of an answer.
 type Chunk struct {
 	// Data is the JSON of the chunk as the engine sent it.
 	Data string
-	// IDStart and IDEnd enclose the JSON string of the id in Data, quotes included.
+	// IDStart and IDEnd delimit the JSON string of the id in Data, quotes included.
 	IDStart, IDEnd int
-	// Offset is the number of the chunk, from 0.
+	// Offset is the sequence number of the chunk, from 0.
 	Offset int
-	// Finished says that a choice ends with this chunk.
+	// Finished means that a choice ends with this chunk.
 	Finished bool
-	// Usage is set on the chunk that closes the stream.
+	// Usage is set on the chunk that ends the stream.
 	Usage *Usage
-	// HasChoices is false for a chunk that carries the usage alone.
+	// HasChoices is false for a chunk that carries only the usage.
 	HasChoices bool
 }
 
-// Stream reads the chunks of one answer and accepts only those that belong to
-// it, each once and in order.
+// Stream reads the chunks of one answer. It accepts only chunks that belong to the
+// answer, each once and in order.
 type Stream struct {
 	body      io.ReadCloser
 	requestID string
 	next      int // Offset of the next chunk.
 
-	// Crossed and Repeated count chunks that were dropped because they belong to
-	// another request or came before.
+	// Crossed and Repeated count dropped chunks: those of another request, and those
+	// received before.
 	Crossed, Repeated int
 }
 
@@ -50,22 +50,22 @@
 	return &Stream{body: body, requestID: requestID, next: next}
 }
 
-// Close drops the connection. Reading ends.
+// Close closes the connection and so ends Read.
 func (s *Stream) Close() error { return s.body.Close() }
 
-// Next is the offset of the first chunk not yet received.
+// Next returns the offset of the first chunk not yet received.
 func (s *Stream) Next() int { return s.next }
 
-var errNoMark = errors.New("the stream closed before its end mark")
+var errNoEndMarker = errors.New("the stream closed before its end marker")
 
-// Read calls fn with each chunk until the end mark and returns nil only if the
-// end mark came. An error from fn ends reading and is returned as it is.
+// Read calls fn for each chunk until the end marker and returns nil only if the end
+// marker arrived. An error from fn ends reading and is returned unchanged.
 func (s *Stream) Read(fn func(Chunk) error) error {
-	for ev, err := range sse.Read(s.body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	for ev, err := range sse.Read(s.body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return &CallError{Reason: outcome.EndpointDied, Ran: true, Err: err}
 		}
-		if ev.Data == doneMark {
+		if ev.Data == doneMarker {
 			return nil
 		}
 		if ev.Data == "" {
@@ -82,14 +82,14 @@
 			return err
 		}
 	}
-	return &CallError{Reason: outcome.Truncated, Ran: true, Err: errNoMark}
+	return &CallError{Reason: outcome.Truncated, Ran: true, Err: errNoEndMarker}
 }
 
 // accept checks that an event is the next chunk of this answer.
 //
-// Example: after chunk 4, an event with id 4 is a repetition and is dropped; id
-// 5 is accepted; id 6 means that 5 was lost, which ends the stream so that it
-// can be resumed from 5.
+// Example: after chunk 4, an event with id 4 is a duplicate and is dropped; id 5 is
+// accepted; id 6 means that 5 was lost, which is an error, so that the stream can be
+// resumed from 5.
 func (s *Stream) accept(ev sse.Event) (Chunk, bool, error) {
 	if !gjson.Valid(ev.Data) {
 		return Chunk{}, false, &CallError{Reason: outcome.Truncated, Ran: true, Err: errors.New("a chunk is not JSON")}
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -1,15 +1,15 @@
-// Package engine is the adapter for model engines: it speaks their streaming
-// completion HTTP and turns every way a call can fail into a typed CallError.
+// Package engine is the adapter for model engines: it implements their streaming
+// completion API over HTTP and maps every failure of a call to a typed CallError.
 //
-// The protocol is that of engines with separate prefill and decode: a prefill is
-// a completion of one token that answers with kv_transfer_params, a decode is a
-// completion that is given them. Chunks carry their token offset as the id of
-// the server-sent event, so a stream can be resumed with Last-Event-ID.
+// The protocol is that of engines with separate prefill and decode: a prefill is a
+// completion of one token whose response has kv_transfer_params; a decode is a completion
+// whose request has them. The id of each server-sent event is the token offset of its
+// chunk, so a stream can be resumed with Last-Event-ID.
 package engine
 
 import "encoding/json"
 
-// Paths of an engine's HTTP interface.
+// Paths of an engine's HTTP API.
 const (
 	ChatPath       = "/v1/chat/completions"
 	CompletionPath = "/v1/completions"
@@ -20,24 +20,24 @@
 	EventsPath     = "/cache_events"
 )
 
-// LoadHeader carries a Load as JSON on every answer of an engine, so that load
-// is known without asking for it.
+// LoadHeader carries a Load as JSON on every response of an engine, so that the load is
+// known without a probe.
 const LoadHeader = "X-Engine-Load"
 
-// KVParams passes a KV cache between engines.
+// KVParams describe the transfer of a KV cache between engines.
 type KVParams struct {
-	// Prefill asks the engine to keep the KV cache for another engine.
+	// Prefill tells the engine to keep the KV cache for another engine.
 	Prefill bool `json:"do_remote_decode,omitempty"`
-	// Handle names the kept KV cache on the engine at Remote.
+	// Handle identifies the KV cache kept on the engine at Remote.
 	Handle string `json:"handle,omitempty"`
 	Remote string `json:"remote_addr,omitempty"`
-	// ExpiresMS is how long from the answer the KV cache is kept, in milliseconds.
+	// ExpiresMS is how long the KV cache is kept after the response, in milliseconds.
 	ExpiresMS int64 `json:"expires_ms,omitempty"`
 	// Bytes is the size of the KV cache.
 	Bytes int64 `json:"bytes,omitempty"`
 }
 
-// Params are the fields the router sets on every call, over the caller's own.
+// Params are the fields that the router sets on every call; they replace the caller's.
 type Params struct {
 	RequestID     string         `json:"request_id"`
 	Stream        bool           `json:"stream"`
@@ -47,22 +47,22 @@
 	KV            KVParams       `json:"kv_transfer_params"`
 }
 
-// Overridden lists the caller's fields that Params replaces.
-var Overridden = []string{"request_id", "stream", "stream_options", "max_tokens", "max_completion_tokens", "priority", "kv_transfer_params"}
+// OverriddenFields lists the caller's fields that Params replaces.
+var OverriddenFields = []string{"request_id", "stream", "stream_options", "max_tokens", "max_completion_tokens", "priority", "kv_transfer_params"}
 
-// StreamOptions asks for the usage at the end of a stream.
+// StreamOptions requests the usage at the end of a stream.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// PrefillAnswer is what a prefill engine answers.
+// PrefillAnswer is the response to a prefill.
 type PrefillAnswer struct {
 	ID    string   `json:"id"`
 	Usage Usage    `json:"usage"`
 	KV    KVParams `json:"kv_transfer_params"`
 }
 
-// Usage counts tokens, in the OpenAI form.
+// Usage counts tokens, in the OpenAI format.
 type Usage struct {
 	PromptTokens     int            `json:"prompt_tokens"`
 	CompletionTokens int            `json:"completion_tokens"`
@@ -70,12 +70,12 @@
 	Details          *PromptDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptDetails says how much of a prompt was cached.
+// PromptDetails states how much of a prompt was cached.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Load is an engine's report of its load. AgeMS says how old the figures are.
+// Load is an engine's load report. AgeMS is the age of the figures in milliseconds.
 type Load struct {
 	AgeMS        int64 `json:"age_ms"`
 	QueuedTokens int   `json:"queued_tokens"`
@@ -84,37 +84,37 @@
 	Leaving      bool  `json:"leaving"`
 }
 
-// AbortRequest frees everything the engine holds for a call.
+// AbortRequest identifies the call to abort or to resume.
 type AbortRequest struct {
 	RequestID string `json:"request_id"`
 }
 
-// TakeRequest is sent by a decode engine to a prefill engine.
+// TakeRequest is sent by a decode engine to a prefill engine to fetch a KV cache.
 type TakeRequest struct {
 	Handle string `json:"handle"`
 }
 
-// Error codes an engine answers with, in the OpenAI error form.
+// Error codes of an engine, in the OpenAI error format.
 const (
-	CodeNotRun    = "not_run" // The engine is sure that it ran nothing of the request.
+	CodeNotRun    = "not_run" // The engine guarantees that it ran nothing of the request.
 	CodeKVExpired = "kv_expired"
 )
 
-// ErrorBody is the OpenAI error form.
+// ErrorBody is the OpenAI error format.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail is the inside of an ErrorBody.
+// ErrorDetail is the error in an ErrorBody.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
 	Code    string `json:"code"`
 }
 
-// body joins the router's fields with what remains of the caller's. rest is a
-// JSON object without any overridden field.
-func body(p Params, rest []byte) ([]byte, error) {
+// encodeBody merges the router's fields with the remaining fields of the caller. rest is
+// a JSON object without any overridden field.
+func encodeBody(p Params, rest []byte) ([]byte, error) {
 	own, err := json.Marshal(p)
 	if err != nil {
 		return nil, err
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -235,7 +235,7 @@
 	if !errors.As(ev.err, &ce) {
 		ce = &engine.CallError{Reason: outcome.Internal, Ran: true, Err: ev.err}
 	}
-	f.x.g.disp.Step(decide.Failed{ID: f.id, Attempt: ev.attempt, Reason: ce.Reason, Ran: ce.Ran, KVGone: ce.KVGone})
+	f.x.g.disp.Step(decide.Failed{ID: f.id, Attempt: ev.attempt, Reason: ce.Reason, Ran: ce.Ran, KVGone: ce.KVExpired})
 }
 
 func (f *flight) handlePrefill(ev flightEvent) {
@@ -304,7 +304,7 @@
 // handleDone checks that the answer is complete before it ends the response.
 func (f *flight) handleDone(ev flightEvent) (outcome.Outcome, bool) {
 	if f.finishedChoices < f.req.Choices {
-		f.handleFailure(flightEvent{attempt: ev.attempt, err: &engine.CallError{Reason: outcome.Truncated, Ran: true, Err: errors.New("the end mark came before the finish reason")}})
+		f.handleFailure(flightEvent{attempt: ev.attempt, err: &engine.CallError{Reason: outcome.Truncated, Ran: true, Err: errors.New("the end marker came before the finish reason")}})
 		return outcome.Outcome{}, false
 	}
 	if f.usage != nil {
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -98,7 +98,7 @@
 	if problem != "" {
 		return nil, outcome.Refuse(outcome.BadRequest, problem)
 	}
-	for _, name := range engine.Overridden {
+	for _, name := range engine.OverriddenFields {
 		delete(all, name)
 	}
 	a := &completionRequest{
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -99,11 +99,11 @@
 		return
 	}
 	x.rec.Route = s.Name
-	if !x.client.May(s.Name) {
+	if !x.client.MayUse(s.Name) {
 		x.refuse(outcome.Refuse(outcome.NotAllowed, ""))
 		return
 	}
-	x.repeatable = s.Repeats(x.r.Method) && x.r.Header.Get(HeaderRepeatable) != "no"
+	x.repeatable = s.IsRepeatable(x.r.Method) && x.r.Header.Get(HeaderRepeatable) != "no"
 	x.rec.Repeatable = x.repeatable
 	if o, ok := x.checkLimits(); !ok {
 		x.refuse(o)
--- a/internal/h1/body.go
+++ b/internal/h1/body.go
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// body is an answer's body that gives its connection back when it was read whole.
+// body is a response body that returns its connection to the pool after it was read to its end.
 type body struct {
 	io.ReadCloser
-	p    *Pool
-	c    *conn
-	resp *http.Response
-	stop func() bool
-	sent <-chan error
-	end  bool // The body's own end was reached.
-	once sync.Once
+	p           *Pool
+	c           *conn
+	resp        *http.Response
+	cancelClose func() bool
+	sendResult  <-chan error
+	reachedEOF  bool
+	once        sync.Once
 }
 
 func (b *body) Read(buf []byte) (int, error) {
 	n, err := b.ReadCloser.Read(buf)
 	if errors.Is(err, io.EOF) {
-		b.end = true
+		b.reachedEOF = true
 	}
 	return n, err
 }
 
-// writeRest is how long an endpoint that has answered may take to read the rest of
-// the request.
-const writeRest = 200 * time.Millisecond
+// restWriteTimeout bounds how long an endpoint that has already answered may take to
+// receive the rest of the request.
+const restWriteTimeout = 200 * time.Millisecond
 
-// Close keeps the connection only if the answer was read to its end, the request was
-// sent whole and ctx has not closed it. Otherwise the next request would meet bytes
-// that belong to this one.
+// Close keeps the connection only if the response was read to its end, the request was
+// sent completely and ctx has not closed the connection. Otherwise the next request on it
+// would read bytes that belong to this one.
 func (b *body) Close() error {
 	b.once.Do(func() {
-		if b.stop() && b.end && b.sentWhole() {
-			b.p.give(b.c, b.resp)
+		if b.cancelClose() && b.reachedEOF && b.fullySent() {
+			b.p.release(b.c, b.resp)
 			return
 		}
 		_ = b.c.Close()
@@ -49,20 +49,20 @@
 	return nil
 }
 
-func (b *body) sentWhole() bool {
+func (b *body) fullySent() bool {
 	select {
-	case err := <-b.sent:
+	case err := <-b.sendResult:
 		return err == nil
-	case <-time.After(writeRest):
+	case <-time.After(restWriteTimeout):
 		return false
 	}
 }
 
-// Drain reads a short body to its end and closes it; longer ones lose their connection.
-func Drain(resp *http.Response, most int64) ([]byte, error) {
+// Drain reads and closes a body of at most maxBytes. A longer one is an error and its connection is closed.
+func Drain(resp *http.Response, maxBytes int64) ([]byte, error) {
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, most+1))
-	if err == nil && int64(len(b)) > most {
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
+	if err == nil && int64(len(b)) > maxBytes {
 		return nil, errTooLong
 	}
 	return b, err
@@ -70,25 +70,25 @@
 
 var errTooLong = errors.New("the answer is longer than expected")
 
-// Call sends a request whose answer is short, within a time of its own.
-func (p *Pool) Call(ctx context.Context, limit time.Duration, r *Request, most int64) (*http.Response, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Call sends a request that has a short response, within its own timeout.
+func (p *Pool) Call(ctx context.Context, timeout time.Duration, r *Request, maxBytes int64) (*http.Response, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	resp, err := p.Do(ctx, r)
 	if err != nil {
 		return nil, nil, err
 	}
-	b, err := Drain(resp, most)
+	b, err := Drain(resp, maxBytes)
 	if err != nil {
 		return nil, nil, &Error{Sent: true, Err: err}
 	}
 	return resp, b, nil
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
+// hopByHop are the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization"}
 
-// CopyHeaders copies all headers but those that concern one connection only.
+// CopyHeaders copies all headers except hop-by-hop headers.
 func CopyHeaders(dst, src http.Header) {
 	for k, v := range src {
 		dst[k] = slices.Clone(v)
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -1,9 +1,9 @@
 // Package h1 sends HTTP/1.1 requests to endpoints so that each is sent at most once.
 //
-// It keeps its own connections instead of using net/http's Transport, which sends a
-// request again by itself when a kept connection turns out closed, hands a surplus
-// answer to the next request on its connection, and does not tell whether bytes left.
-// Reading and writing the protocol itself is net/http's.
+// It has its own connection pool because net/http's Transport resends a request when a
+// reused connection turns out to be closed, gives a surplus response to the next request
+// on its connection, and does not report whether bytes were sent. Messages are still
+// parsed and formatted by net/http.
 package h1
 
 import (
@@ -25,24 +25,25 @@
 )
 
 const (
-	// dialTimeout bounds making a connection.
+	// dialTimeout bounds establishing a connection.
 	dialTimeout = 700 * time.Millisecond
-	// userTimeout is how long sent bytes may stay without an acknowledgement.
-	userTimeout = 2500 * time.Millisecond
-	// idleDefault is how long a connection is kept where the endpoint does not say
-	// how long it keeps it.
-	idleDefault = 4 * time.Second
-	// idlePart is the part of the time an endpoint names for which its connection is
-	// kept, so that the request does not cross the endpoint's close.
-	idlePart = 0.6
-	// maxIdle bounds the connections kept to one address.
-	maxIdle = 16
-	// maxSurplus bounds the answers to other requests skipped before one's own.
-	maxSurplus = 3
-	bufferSize = 4 << 10
+	// tcpUserTimeout is how long sent bytes may remain unacknowledged.
+	tcpUserTimeout = 2500 * time.Millisecond
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint does
+	// not announce its own time.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutFraction is the fraction of the endpoint's announced keep-alive time
+	// after which a connection is no longer reused, so that a request does not cross
+	// the endpoint's close.
+	idleTimeoutFraction = 0.6
+	// maxIdlePerAddress bounds the idle connections to one address.
+	maxIdlePerAddress = 16
+	// maxSurplusResponses bounds the responses read in search of the request's own.
+	maxSurplusResponses = 3
+	bufferBytes         = 4 << 10
 )
 
-// ErrSurplus means that an endpoint kept sending answers to other requests.
+// ErrSurplus means that an endpoint kept sending responses to other requests.
 var ErrSurplus = errors.New("the endpoint sent answers to other requests")
 
 // Request is one request to an endpoint.
@@ -52,18 +53,18 @@
 	Target  string // The request target, byte for byte.
 	Host    string
 	Header  http.Header
-	// Body is sent whole with its length; nil sends none.
+	// Body is sent completely, with a Content-Length; nil sends none.
 	Body []byte
-	// Endpoint is the ID of the endpoint at Address, for OnAnswer; empty if nobody has to know.
+	// Endpoint is the ID of the endpoint at Address, for OnAnswer; may be empty.
 	Endpoint string
-	// Mine tells from an answer's head whether it belongs to this request. Nil takes
-	// the first answer.
+	// Mine reports from the headers of a response whether it belongs to this request.
+	// Nil accepts the first response.
 	Mine func(http.Header) bool
 }
 
-// Error is a request that got no answer.
+// Error is the failure of a request that received no response.
 type Error struct {
-	// Sent is false only if no byte of the request left for the endpoint.
+	// Sent is false only if no byte of the request was sent to the endpoint.
 	Sent bool
 	Err  error
 }
@@ -71,20 +72,21 @@
 func (e *Error) Error() string { return e.Err.Error() }
 func (e *Error) Unwrap() error { return e.Err }
 
-// Pool keeps connections to endpoints.
+// Pool is a pool of connections to endpoints.
 type Pool struct {
 	dialer net.Dialer
 	// OnDial is called for each new connection; it may be nil.
 	OnDial func()
-	// OnSurplus is called for each answer that belonged to no request of its
-	// connection; it may be nil.
+	// OnSurplus is called for each response that did not belong to the request being
+	// sent on its connection; it may be nil.
 	OnSurplus func()
-	// OnAnswer is called with the head of each answer that belongs to its request, whatever becomes of
-	// the answer, and when the request was sent; it may be nil and must not block.
+	// OnAnswer is called with the head of each response that belongs to its request, whether or not
+	// its body can be read, and with the time at which the request was sent. It must not block; it
+	// may be nil.
 	OnAnswer func(r *Request, resp *http.Response, sent time.Time)
 
 	mu   sync.Mutex
-	idle map[string][]*conn // The one used last stands last.
+	idle map[string][]*conn // By address; the most recently used is last.
 }
 
 // NewPool returns an empty pool.
@@ -97,34 +99,34 @@
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
-				// Where it cannot be set, the time-outs of each call still hold.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+				// If the option cannot be set, the timeouts of each call still apply.
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			})
 		},
 	}
 	return p
 }
 
-// conn is one connection to an endpoint; a single request uses it at a time.
+// conn is one connection to an endpoint, used by a single request at a time.
 type conn struct {
 	net.Conn
 	addr string
 	r    *bufio.Reader
-	// until is when the connection is no longer used, as far as the endpoint said.
-	until time.Time
+	// reuseDeadline is the time after which the connection must not be reused.
+	reuseDeadline time.Time
 }
 
-// Do sends the request and returns the head of its answer. The caller closes the
-// answer's body. Ending ctx closes the connection, also while the body is read.
+// Do sends the request and returns the head of its response. The caller must close the
+// response body. Cancelling ctx closes the connection, also while the body is read.
 func (p *Pool) Do(ctx context.Context, r *Request) (*http.Response, error) {
-	c, err := p.take(ctx, r.Address)
+	c, err := p.acquire(ctx, r.Address)
 	if err != nil {
 		return nil, &Error{Err: err}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	sent, began := make(chan error, 1), clock.Now()
-	p.write(c, r, sent)
-	resp, err := c.answer(r, p.surplus)
+	sendResult, sentAt := make(chan error, 1), clock.Now()
+	p.write(c, r, sendResult)
+	resp, err := c.readResponse(r, p.reportSurplus)
 	if err != nil {
 		stop()
 		_ = c.Close()
@@ -134,40 +136,40 @@
 		return nil, &Error{Sent: true, Err: fmt.Errorf("no answer: %w", err)}
 	}
 	if p.OnAnswer != nil {
-		p.OnAnswer(r, resp, began)
+		p.OnAnswer(r, resp, sentAt)
 	}
-	resp.Body = &body{ReadCloser: resp.Body, p: p, c: c, resp: resp, stop: stop, sent: sent}
+	resp.Body = &body{ReadCloser: resp.Body, p: p, c: c, resp: resp, cancelClose: stop, sendResult: sendResult}
 	return resp, nil
 }
 
-// write sends the request without waiting for its end where it is long: an endpoint
-// may answer before it has read a long body.
-func (p *Pool) write(c *conn, r *Request, sent chan<- error) {
+// write sends the request. A long one is sent in the background, because an endpoint may
+// answer before it has read the whole body.
+func (p *Pool) write(c *conn, r *Request, sendResult chan<- error) {
 	var head strings.Builder
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
 	if r.Body != nil {
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(r.Body))
 	}
-	_ = r.Header.Write(&head) // A strings.Builder takes every write.
+	_ = r.Header.Write(&head) // Writes to a strings.Builder never fail.
 	head.WriteString("\r\n")
-	if head.Len()+len(r.Body) <= bufferSize {
+	if head.Len()+len(r.Body) <= bufferBytes {
 		head.Write(r.Body)
 		_, err := c.Write([]byte(head.String()))
-		sent <- err
+		sendResult <- err
 		return
 	}
 	go func() {
 		bufs := net.Buffers{[]byte(head.String()), r.Body}
 		_, err := bufs.WriteTo(c.Conn)
-		sent <- err
+		sendResult <- err
 	}()
 }
 
-// answer reads heads until one belongs to the request.
-func (c *conn) answer(r *Request, surplus func()) (*http.Response, error) {
-	of := &http.Request{Method: r.Method}
-	for range maxSurplus {
-		resp, err := http.ReadResponse(c.r, of)
+// readResponse reads responses until one belongs to the request.
+func (c *conn) readResponse(r *Request, surplus func()) (*http.Response, error) {
+	req := &http.Request{Method: r.Method}
+	for range maxSurplusResponses {
+		resp, err := http.ReadResponse(c.r, req)
 		if err != nil {
 			return nil, err
 		}
@@ -178,27 +180,27 @@
 			return resp, nil
 		}
 		surplus()
-		if err := resp.Body.Close(); err != nil { // Reads the rest of it.
+		if err := resp.Body.Close(); err != nil { // Discards the rest of the body.
 			return nil, err
 		}
 	}
 	return nil, ErrSurplus
 }
 
-func (p *Pool) surplus() {
+func (p *Pool) reportSurplus() {
 	if p.OnSurplus != nil {
 		p.OnSurplus()
 	}
 }
 
-// take returns a kept connection that is still whole, or a new one.
-func (p *Pool) take(ctx context.Context, addr string) (*conn, error) {
+// acquire returns an idle connection that is still usable, or a new one.
+func (p *Pool) acquire(ctx context.Context, addr string) (*conn, error) {
 	for {
 		c := p.pop(addr)
 		if c == nil {
 			break
 		}
-		if clock.Now().Before(c.until) && c.quiet() {
+		if clock.Now().Before(c.reuseDeadline) && c.isQuiet() {
 			return c, nil
 		}
 		_ = c.Close()
@@ -210,7 +212,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: nc, addr: addr, r: bufio.NewReaderSize(nc, bufferSize)}, nil
+	return &conn{Conn: nc, addr: addr, r: bufio.NewReaderSize(nc, bufferBytes)}, nil
 }
 
 func (p *Pool) pop(addr string) *conn {
@@ -225,9 +227,9 @@
 	return c
 }
 
-// quiet says that the endpoint has neither closed the idle connection nor sent
-// anything on it; bytes that nobody asked for belong to no request.
-func (c *conn) quiet() bool {
+// isQuiet reports whether the endpoint has neither closed the idle connection nor sent
+// anything on it; unsolicited bytes belong to no request.
+func (c *conn) isQuiet() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -249,55 +251,55 @@
 	return err == nil && quiet
 }
 
-// give keeps a connection whose answer was read to its end.
-func (p *Pool) give(c *conn, resp *http.Response) {
-	idle := keptFor(resp.Header)
+// release returns a connection to the pool after its response was read to its end.
+func (p *Pool) release(c *conn, resp *http.Response) {
+	idle := idleTimeout(resp.Header)
 	if resp.Close || idle <= 0 || c.r.Buffered() > 0 {
 		_ = c.Close()
 		return
 	}
-	c.until = clock.Now().Add(idle)
+	c.reuseDeadline = clock.Now().Add(idle)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.addr]
-	if len(list) >= maxIdle {
+	if len(list) >= maxIdlePerAddress {
 		_ = list[0].Close()
 		list = list[1:]
 	}
 	p.idle[c.addr] = append(list, c)
 }
 
-// keptFor reads how long the endpoint keeps the connection.
-func keptFor(h http.Header) time.Duration {
+// idleTimeout returns how long the connection may be kept idle, according to the response headers.
+func idleTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			continue
 		}
 		if n, err := strconv.Atoi(v); err == nil {
-			return time.Duration(idlePart * float64(n) * float64(time.Second))
+			return time.Duration(idleTimeoutFraction * float64(n) * float64(time.Second))
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
-// Prune closes connections whose time is over, and those to addresses not in keep.
+// Prune closes idle connections that have expired and those to addresses not in keep.
 func (p *Pool) Prune(now time.Time, keep map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
-		left := list[:0]
+		remaining := list[:0]
 		for _, c := range list {
-			if keep[addr] && now.Before(c.until) {
-				left = append(left, c)
+			if keep[addr] && now.Before(c.reuseDeadline) {
+				remaining = append(remaining, c)
 				continue
 			}
 			_ = c.Close()
 		}
-		if len(left) == 0 {
+		if len(remaining) == 0 {
 			delete(p.idle, addr)
 			continue
 		}
-		p.idle[addr] = left
+		p.idle[addr] = remaining
 	}
 }
--- a/internal/h1/suspended_test.go
+++ b/internal/h1/suspended_test.go
@@ -10,11 +10,11 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// A connection that was kept over a suspension is not used again: its endpoint has closed it, and a
-// request that crosses the close may have run or not.
+// Guards against reusing a connection that was idle while the machine was suspended: the endpoint
+// has closed it by then, and a request that crosses the close may or may not have run.
 func TestSuspendedConnection(t *testing.T) {
-	var asleep time.Duration
-	defer clock.Set(func() time.Duration { return asleep })()
+	var elapsed time.Duration
+	defer clock.Set(func() time.Duration { return elapsed })()
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer srv.Close()
 	p, dials := NewPool(), 0
@@ -28,6 +28,6 @@
 	}
 	call(1)
 	call(1)
-	asleep = 10 * time.Second
+	elapsed = 10 * time.Second
 	call(2)
 }
