--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -50,7 +50,7 @@
 
 	// OpenMetrics makes the metrics on the operators' address readable without a key.
 	OpenMetrics bool
-	// LoggedRate is the maximum number of successful requests logged per second.
+	// LoggedRate limits the successful requests that are logged, per second.
 	LoggedRate float64
 
 	// Store is the address of the platform's table service.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -77,8 +77,8 @@
 }
 
 // Arrive submits a request to the core.
-func (d *Dispatcher) Arrive(name string, r decide.Request) (decide.ID, *Call) {
-	c := &Call{requestID: name, Wake: make(chan struct{}, 1), cancels: map[decide.Attempt]context.CancelFunc{}}
+func (d *Dispatcher) Arrive(requestID string, r decide.Request) (decide.ID, *Call) {
+	c := &Call{requestID: requestID, Wake: make(chan struct{}, 1), cancels: map[decide.Attempt]context.CancelFunc{}}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastID++
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -19,16 +19,16 @@
 	end(u *engine.Usage) error
 }
 
-func newCompletionWriter(x *exchange, a *completionRequest) completionWriter {
+func newCompletionWriter(x *exchange, req *completionRequest) completionWriter {
 	id := "cmpl-" + x.rec.ID
-	if a.Chat {
+	if req.Chat {
 		id = "chatcmpl-" + x.rec.ID
 	}
-	if !a.Stream {
-		return &bufferedWriter{x: x, chat: a.Chat, id: id}
+	if !req.Stream {
+		return &bufferedWriter{x: x, chat: req.Chat, id: id}
 	}
 	quoted, _ := json.Marshal(id)
-	return &streamWriter{x: x, rc: http.NewResponseController(x.w), id: string(quoted), usage: a.IncludeUsage}
+	return &streamWriter{x: x, rc: http.NewResponseController(x.w), id: string(quoted), usage: req.IncludeUsage}
 }
 
 // streamWriter forwards chunks as server-sent events. It writes nothing before the first
@@ -144,23 +144,23 @@
 	Arguments string `json:"arguments"`
 }
 
-func (a *bufferedWriter) chunk(c *engine.Chunk, _ bool) error {
+func (w *bufferedWriter) chunk(c *engine.Chunk, _ bool) error {
 	doc := gjson.Parse(c.Data)
 	if m := doc.Get("model").Str; m != "" {
-		a.model = m
+		w.model = m
 	}
-	if t := doc.Get("created").Int(); t != 0 && a.created == 0 {
-		a.created = t
+	if t := doc.Get("created").Int(); t != 0 && w.created == 0 {
+		w.created = t
 	}
 	doc.Get("choices").ForEach(func(_, v gjson.Result) bool {
 		i := int(v.Get("index").Int())
 		if i < 0 || i >= maxChoices {
 			return true
 		}
-		for len(a.choices) <= i {
-			a.choices = append(a.choices, choice{})
+		for len(w.choices) <= i {
+			w.choices = append(w.choices, choice{})
 		}
-		a.choices[i].add(v)
+		w.choices[i].add(v)
 		return true
 	})
 	return nil
@@ -234,23 +234,23 @@
 
 // end writes the response with its Content-Length, so that a caller can detect a
 // connection that breaks in the middle of it.
-func (a *bufferedWriter) end(u *engine.Usage) error {
-	out := completion{ID: a.id, Object: "text_completion", Created: a.created, Model: a.model, Usage: u}
-	if a.chat {
+func (w *bufferedWriter) end(u *engine.Usage) error {
+	out := completion{ID: w.id, Object: "text_completion", Created: w.created, Model: w.model, Usage: u}
+	if w.chat {
 		out.Object = "chat.completion"
 	}
-	for i := range a.choices {
-		out.Choices = append(out.Choices, a.choices[i].result(i, a.chat))
+	for i := range w.choices {
+		out.Choices = append(out.Choices, w.choices[i].result(i, w.chat))
 	}
 	b, err := json.Marshal(out)
 	if err != nil {
 		return err
 	}
-	a.x.responseStarted = true
-	a.x.w.Header().Set("Content-Type", "application/json")
-	rc := http.NewResponseController(a.x.w)
-	_ = rc.SetWriteDeadline(time.Now().Add(a.x.g.box.WriteTimeout))
-	if _, err := a.x.w.Write(b); err != nil {
+	w.x.responseStarted = true
+	w.x.w.Header().Set("Content-Type", "application/json")
+	rc := http.NewResponseController(w.x.w)
+	_ = rc.SetWriteDeadline(time.Now().Add(w.x.g.box.WriteTimeout))
+	if _, err := w.x.w.Write(b); err != nil {
 		return err
 	}
 	return rc.Flush()
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -29,13 +29,13 @@
 
 // serveCompletion runs a completion request through the stages.
 func (x *exchange) serveCompletion() {
-	a, o := x.parse()
-	if a == nil {
+	req, o := x.parse()
+	if req == nil {
 		x.refuse(o)
 		return
 	}
-	x.rec.Model, x.rec.PromptTokens = a.Model, a.PromptTokens
-	route, known := x.snapshot.cfg.RouteFor(a.Model, x.client)
+	x.rec.Model, x.rec.PromptTokens = req.Model, req.PromptTokens
+	route, known := x.snapshot.cfg.RouteFor(req.Model, x.client)
 	if route == nil {
 		o := outcome.Refuse(outcome.UnknownModel, "")
 		if known {
@@ -44,7 +44,7 @@
 		x.refuse(o)
 		return
 	}
-	x.applyRoute(route, a)
+	x.applyRoute(route, req)
 	if o, ok := x.checkLimits(); !ok {
 		x.refuse(o)
 		return
@@ -53,7 +53,7 @@
 		x.refuse(o)
 		return
 	}
-	o = x.run(route, a)
+	o = x.run(route, req)
 	if o.Kind == outcome.Answered {
 		x.finish(o)
 		return
@@ -70,13 +70,13 @@
 }
 
 // applyRoute sets the properties of the request that depend on its route.
-func (x *exchange) applyRoute(route *config.Route, a *completionRequest) {
-	if a.MaxTokens == 0 {
-		a.MaxTokens = route.MaxTokens
+func (x *exchange) applyRoute(route *config.Route, req *completionRequest) {
+	if req.MaxTokens == 0 {
+		req.MaxTokens = route.MaxTokens
 	}
 	x.repeatable = route.Repeatable && x.r.Header.Get(HeaderRepeatable) != "no"
 	x.rec.Route = route.Name
-	x.rec.MaxTokens = a.MaxTokens
+	x.rec.MaxTokens = req.MaxTokens
 	x.rec.Repeatable = x.repeatable
 	x.rec.FirstTarget, x.rec.GapTarget = route.FirstToken, route.BetweenTokens
 }
@@ -115,9 +115,9 @@
 
 // run submits the request to the core and carries out its actions until the request ends.
 // Every return frees whatever is still reserved.
-func (x *exchange) run(route *config.Route, a *completionRequest) (o outcome.Outcome) {
+func (x *exchange) run(route *config.Route, req *completionRequest) (o outcome.Outcome) {
 	ctx, cancel := context.WithCancel(x.r.Context())
-	f := &flight{x: x, req: a, route: route, ctx: ctx, events: make(chan flightEvent, eventBuffer), out: newCompletionWriter(x, a)}
+	f := &flight{x: x, req: req, route: route, ctx: ctx, events: make(chan flightEvent, eventBuffer), out: newCompletionWriter(x, req)}
 	f.id, f.call = x.g.disp.Arrive(x.rec.ID, f.request())
 	// Deferred, so that even a panic in the loop frees the engine memory.
 	defer func() {
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -27,7 +27,7 @@
 	Choices      int
 	PromptTokens int // Estimated from the length of the prompt.
 	Blocks       []uint64
-	// Rest is a JSON object of the caller's fields, without those in engine.Overridden.
+	// Rest is a JSON object of the caller's fields, without those in engine.OverriddenFields.
 	Rest []byte
 }
 
@@ -101,7 +101,7 @@
 	for _, name := range engine.OverriddenFields {
 		delete(all, name)
 	}
-	a := &completionRequest{
+	req := &completionRequest{
 		Chat:         chat,
 		Model:        f.Model,
 		Stream:       f.Stream,
@@ -113,9 +113,9 @@
 		Rest:         encodeFields(all),
 	}
 	if f.N != nil {
-		a.Choices = *f.N
+		req.Choices = *f.N
 	}
-	return a, outcome.Outcome{}
+	return req, outcome.Outcome{}
 }
 
 // encodeFields writes a JSON object of fields byte for byte as the caller wrote them.
