--- a/layers_test.go
+++ b/layers_test.go
@@ -14,8 +14,8 @@
 
 const module = "github.com/stoatramp/stoatramp/"
 
-// layersOf reads the table of docs/architecture.md: the layer of each package.
-func layersOf(t *testing.T) map[string]int {
+// readLayers reads the layer of each package from the table in docs/architecture.md.
+func readLayers(t *testing.T) map[string]int {
 	t.Helper()
 	text, err := os.ReadFile("docs/architecture.md")
 	if err != nil {
@@ -35,8 +35,8 @@
 	return layers
 }
 
-// importsOf finds what each package of the module imports of it, tests left out.
-func importsOf(t *testing.T) map[string]map[string]bool {
+// moduleImports returns which packages of this module each of its packages imports, without tests.
+func moduleImports(t *testing.T) map[string]map[string]bool {
 	t.Helper()
 	imports := map[string]map[string]bool{}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -64,24 +64,24 @@
 	return imports
 }
 
-// Every package stands in the table, and imports only from layers before its own.
+// Every package is listed in the table and imports only from lower layers.
 func TestLayers(t *testing.T) {
-	layers, imports := layersOf(t), importsOf(t)
+	layers, imports := readLayers(t), moduleImports(t)
 	for name := range layers {
 		if imports[name] == nil {
-			t.Errorf("%s stands in the table and is no package", name)
+			t.Errorf("%s is listed in docs/architecture.md but is not a package", name)
 		}
 	}
 	for name, list := range imports {
 		if layers[name] == 0 {
-			t.Errorf("%s is missing in the table of docs/architecture.md", name)
+			t.Errorf("%s is missing from the table in docs/architecture.md", name)
 		}
 		for other := range list {
 			if layers[other] >= layers[name] {
-				t.Errorf("%s of layer %d imports %s of layer %d", name, layers[name], other, layers[other])
+				t.Errorf("%s in layer %d imports %s in layer %d, which is not lower", name, layers[name], other, layers[other])
 			}
 			if other == "platform" && name != "cmd/stoatrampd" {
-				t.Errorf("%s imports platform", name)
+				t.Errorf("%s imports platform, which only cmd/stoatrampd may do", name)
 			}
 		}
 	}
