--- a/examples/policies/kalbarri.star
+++ b/examples/policies/kalbarri.star
@@ -4,13 +4,13 @@
 LONG = 8000  # Prompt tokens from which a log blocks an engine noticeably.
 
 def admit(request, pool):
-    # A long log is refused while others wait, unless the window's own client sent it.
+    # Refuses long logs while more than 20 requests wait, except those of the certification client.
     if request.prompt_tokens >= LONG and pool.waiting > 20 and request.client != "certification":
         return refuse("long logs are taken when fewer than 20 requests wait")
     return run()
 
 def weigh(request, pair):
-    # A question goes to the engine with the shortest queue, whatever is cached.
+    # A short question goes to the engine with the shortest queue, regardless of what is cached where.
     if request.prompt_tokens < 500:
         return 0.5 * pair.queue
     return 0.0
