--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -1,5 +1,5 @@
-// Command bench measures the router: the added latency and cost of a box, and
-// the slopes that docs/CAPACITY.md is worked out from.
+// Command bench measures the router: the latency and cost that a box adds, and
+// the figures per unit (slopes) that docs/CAPACITY.md is computed from.
 package main
 
 import (
@@ -12,11 +12,11 @@
 )
 
 type cli struct {
-	Site    bench.SiteCmd    `cmd:"" help:"Run stand-ins and write settings for a box before them."`
-	Load    bench.LoadCmd    `cmd:"" help:"Load a box and the stand-ins directly, in turns, and compare."`
-	Compare bench.CompareCmd `cmd:"" help:"Compare the decisions with baselines and a bound, in virtual time."`
-	Drive   bench.DriveCmd   `cmd:"" help:"Load several boxes, check every answer, and say what became of the requests."`
-	Slopes  bench.SlopesCmd  `cmd:"" help:"Measure the slopes of decisions, limits, settings and records."`
+	Site    bench.SiteCmd    `cmd:"" help:"Run stand-ins and write the settings of a box that uses them."`
+	Load    bench.LoadCmd    `cmd:"" help:"Send load to a box and directly to the stand-ins, in alternating rounds, and compare."`
+	Compare bench.CompareCmd `cmd:"" help:"Compare the routing decisions with baselines and an upper bound, in virtual time."`
+	Drive   bench.DriveCmd   `cmd:"" help:"Send load to several boxes, check every answer, and count the outcomes."`
+	Slopes  bench.SlopesCmd  `cmd:"" help:"Measure the cost per unit of decisions, limits, settings and records."`
 }
 
 func main() {
--- a/cmd/stoatramp/main.go
+++ b/cmd/stoatramp/main.go
@@ -1,4 +1,4 @@
-// Command stoatramp is the operators' tool. It talks to any box.
+// Command stoatramp is the operators' command-line tool. It connects to any box.
 package main
 
 import (
--- a/cmd/stoatrampd/demo.go
+++ b/cmd/stoatrampd/demo.go
@@ -14,7 +14,7 @@
 type demoCmd struct {
 	Callers   string `help:"Address for callers." default:"127.0.0.1:0"`
 	Operators string `help:"Address for operators." default:"127.0.0.1:0"`
-	Platform  bool   `help:"Run the box on a stand-in of the users' platform."`
+	Platform  bool   `help:"Run the box on a stand-in of the platform."`
 }
 
 func (c *demoCmd) Run() error {
@@ -50,11 +50,11 @@
 Then, with the X-Request-Id of the answer (curl -i shows it):
   bin/stoatramp --box http://%s --key %s why ID
 
-Ctrl-C drains and ends.
+Ctrl-C drains the box and exits.
 
 `
 
-// runPlatform runs a box on a stand-in of the platform: a store, 2 workers of a plain
+// runPlatform runs a box with stand-ins of the platform: a store, 2 workers of a plain
 // service, and 2 prefill and 3 decode engines.
 func (c *demoCmd) runPlatform() error {
 	store := standin.NewStore()
@@ -62,7 +62,7 @@
 	if err != nil {
 		return err
 	}
-	store.Put("op", "config", []byte(demoConfig), 0)
+	store.Put("op", "config", []byte(demoPlatformConfig), 0)
 	stop := make(chan struct{})
 	defer close(stop)
 	for i, stage := range []string{"", "", "prefill", "prefill", "decode", "decode", "decode"} {
@@ -81,11 +81,11 @@
 		w.SetAddress(at)
 		go w.Live(stop)
 	}
-	cfg, err := config.ParseRelay("demo", fmt.Appendf(nil, demoRelay, c.Callers, c.Operators, config.Digest(demo.OperatorKey), storeAt))
+	cfg, err := config.ParseRelay("demo", fmt.Appendf(nil, demoPlatformSettings, c.Callers, c.Operators, config.Digest(demo.OperatorKey), storeAt))
 	if err != nil {
 		return err
 	}
-	b, err := newRelay(cfg, startLog())
+	b, err := newRelay(cfg, newLogger())
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	return b.Run()
 }
 
-// serve serves on a free loopback port until the process ends.
+// serve serves h on a free loopback port until the process exits.
 func serve(h http.Handler) (string, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,7 +103,7 @@
 	return lis.Addr().String(), nil
 }
 
-const demoRelay = `[box]
+const demoPlatformSettings = `[box]
 name = box1
 region = perth
 hall = malaga-hall
@@ -118,7 +118,7 @@
 address = %s
 `
 
-const demoConfig = `{"version":1,"routes":[
+const demoPlatformConfig = `{"version":1,"routes":[
 {"name":"booking","hostname":"lab.example","pathPrefix":"/bookings/","kind":"unsafe","timeoutMs":3000,"targetLatencyMs":300,"service":"desk","maxAttempts":2,"priority":1},
 {"name":"verdict","hostname":"lab.example","pathPrefix":"/verdicts/","kind":"stream","resumable":true,"timeoutMs":14000,"targetLatencyMs":900,"targetGapMs":300,"service":"verdicts","maxAttempts":2,"priority":0}],
 "services":[{"name":"desk"},{"name":"verdicts","engine":{"slots":32,"kvTokens":90000,"tokenKvBytes":18432,"linkMbps":1000000,"handleTtlS":0.5,"holdMs":2000,"stride":10}}],
@@ -132,6 +132,6 @@
   curl -N -i http://%s/verdicts/unit-7 -H 'Host: lab.example' -H 'X-Request-Id: unit-7' -H 'X-Token-Usage: 1200,50' -d 'did it pass?'
   bin/stoatramp --box http://%s --key %s why unit-7
 
-Ctrl-C drains and ends.
+Ctrl-C drains the box and exits.
 
 `
--- a/cmd/stoatrampd/main.go
+++ b/cmd/stoatrampd/main.go
@@ -1,4 +1,4 @@
-// Command stoatrampd is one box of the router.
+// Command stoatrampd runs one box of the router.
 package main
 
 import (
@@ -17,10 +17,10 @@
 )
 
 type commands struct {
-	Run   runCmd   `cmd:"" help:"Run a box with the settings of a file."`
-	Check checkCmd `cmd:"" help:"Check a settings file, of either kind of box, and change nothing."`
-	Relay relayCmd `cmd:"" help:"Run a box on the platform, with the settings of a file."`
-	Demo  demoCmd  `cmd:"" help:"Run a box before stand-ins in the same process, on loopback."`
+	Run   runCmd   `cmd:"" help:"Run a box with the settings in a file."`
+	Check checkCmd `cmd:"" help:"Check a settings file of either kind of box, without running it."`
+	Relay relayCmd `cmd:"" help:"Run a box on the platform with the settings in a file."`
+	Demo  demoCmd  `cmd:"" help:"Run a box with stand-in back ends in the same process, on loopback."`
 }
 
 type runCmd struct {
@@ -40,18 +40,18 @@
 }
 
 func newBox(cfg *config.Box) (*box.Box, error) {
-	b, err := box.New(cfg, startLog())
+	b, err := box.New(cfg, newLogger())
 	if err == nil {
-		out.Register(b.Metrics.Set)
+		logOutput.Register(b.Metrics.Set)
 	}
 	return b, err
 }
 
-// out takes the log lines of the process. Whoever logs never waits for standard output.
-var out = telemetry.NewAsync(os.Stdout)
+// logOutput writes the process's log lines asynchronously, so that logging never waits for standard output.
+var logOutput = telemetry.NewAsync(os.Stdout)
 
-func startLog() *zap.Logger {
-	log := telemetry.NewLogger(out)
+func newLogger() *zap.Logger {
+	log := telemetry.NewLogger(logOutput)
 	box.UseLog(log)
 	return log
 }
@@ -66,7 +66,7 @@
 		return err
 	}
 	limitMemory(cfg.MemoryMB)
-	b, err := newRelay(cfg, startLog())
+	b, err := newRelay(cfg, newLogger())
 	if err != nil {
 		return err
 	}
@@ -74,27 +74,27 @@
 	return b.Run()
 }
 
-// heapPart is the part of a process's memory up to which the runtime collects garbage when it
-// likes, and beyond which it does so at once. The rest is for what it does not count: the
-// sockets' buffers and the C library.
-const heapPart = 0.75
+// heapFraction is the share of the process's memory limit that is set as the runtime's soft memory
+// limit, near which it collects garbage more eagerly. The rest is for memory that the runtime does
+// not count: socket buffers and the C library.
+const heapFraction = 0.75
 
-// garbagePercent is how much garbage there may be beside what is in use before it is collected, in percent
-// of that. Boxes before 10,000 endpoints keep some 10 MB each and are idle most of the time: the
-// runtime's usual 100 would have as much garbage again wait for a collection, in each of 986 processes.
-const garbagePercent = 50
+// gcPercent is the garbage collection target (GOGC), in percent of the live heap. Boxes before 10,000
+// endpoints keep some 10 MB each and are idle most of the time: the default of 100 would keep as much
+// garbage again uncollected in each of 986 processes.
+const gcPercent = 50
 
-// limitMemory has the runtime keep within so many megabytes; 0 if there is no bound. On a day of
-// 301 boxes before 3,000 endpoints two boxes of 134 MB were ended for taking more.
+// limitMemory keeps the process within mb megabytes; 0 means no limit. Without it, 2 of 301 boxes
+// before 3,000 endpoints exceeded their limit of 134 MB and were killed.
 func limitMemory(mb float64) {
-	runtime.MemProfileRate = 0 // Nothing reads the profile, which took 0.8 MB of a process (16.3 to 15.5, one run).
-	debug.SetGCPercent(garbagePercent)
+	runtime.MemProfileRate = 0 // Nothing reads the profile, and sampling for it takes 0.8 MB (16.3 MB with, 15.5 MB without).
+	debug.SetGCPercent(gcPercent)
 	if mb > 0 {
-		debug.SetMemoryLimit(int64(heapPart * mb * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapFraction * mb * (1 << 20)))
 	}
 }
 
-// newRelay puts a box on the platform.
+// newRelay creates a box that is connected to the platform's store.
 func newRelay(cfg *config.Relay, log *zap.Logger) (*box.RelayBox, error) {
 	store := platform.NewStore(cfg.Store)
 	b, err := box.NewRelay(cfg, box.Site{
@@ -120,16 +120,16 @@
 		Evacuated: platform.Evacuated,
 		Endpoint:  platform.Endpoint,
 		ReadyPath: platform.ReadyPath,
-	}, log, out.Busy)
+	}, log, logOutput.Busy)
 	if err == nil {
-		out.Register(b.Metrics.Set)
+		logOutput.Register(b.Metrics.Set)
 	}
 	return b, err
 }
 
 type checkCmd struct {
 	File  string `arg:"" help:"The box's INI settings."`
-	Relay bool   `help:"The settings are those of a box on the platform."`
+	Relay bool   `help:"The settings are for a box on the platform."`
 }
 
 func (c *checkCmd) Run() error {
@@ -147,7 +147,7 @@
 func main() {
 	k := kong.Parse(&commands{}, kong.Name("stoatrampd"), kong.Description("One box of the stoatramp router."))
 	err := k.Run()
-	_ = out.Sync()
+	_ = logOutput.Sync()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "stoatrampd:", err)
 		os.Exit(1)
--- a/cmd/stoatrampd/quarantine_test.go
+++ b/cmd/stoatrampd/quarantine_test.go
@@ -16,31 +16,31 @@
 	"github.com/stoatramp/stoatramp/platform/standin"
 )
 
-// deadly is the body of the request that ends what runs it.
-const deadly = "what no engine survives"
+// poisonBody is the body of the request that crashes every worker that runs it.
+const poisonBody = "what no engine survives"
 
-// mortal is a worker that ends under some requests and is back a little later.
-type mortal struct {
+// crashingWorker is a worker that crashes on some requests and restarts a little later.
+type crashingWorker struct {
 	t *testing.T
 	o standin.WorkerOptions
-	// sameID has it come back under the id that it had.
+	// sameID makes the worker restart under its previous id.
 	sameID bool
 
-	mu   sync.Mutex
-	srv  *http.Server
-	stop chan struct{} // Ends the heartbeats of this life.
-	life int
-	up   bool
-	ends int
-	// reached counts the calls for the deadly request, prompts to be read included.
-	reached int
+	mu          sync.Mutex
+	srv         *http.Server
+	stop        chan struct{} // Stops the heartbeats of this incarnation.
+	incarnation int
+	up          bool
+	crashes     int
+	// poisonCalls counts the calls that carry the poison request, prefills included.
+	poisonCalls int
 }
 
-// awayFor is how long a worker that ended is away: its entry lapses before.
-const awayFor = 700 * time.Millisecond
+// restartDelay is how long a crashed worker is down; its entry in the store expires sooner.
+const restartDelay = 700 * time.Millisecond
 
-// start begins the next life, at the address of the last one.
-func (m *mortal) start() {
+// start starts the next incarnation, at the same address.
+func (m *crashingWorker) start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at := m.o.Address
@@ -52,48 +52,48 @@
 		m.t.Error(err)
 		return
 	}
-	m.life++
+	m.incarnation++
 	m.o.Address = lis.Addr().String()
 	o := m.o
 	if !m.sameID {
-		o.ID = fmt.Sprintf("%s-%d", m.o.ID, m.life)
+		o.ID = fmt.Sprintf("%s-%d", m.o.ID, m.incarnation)
 	}
 	w := standin.NewWorker(o)
-	w.EndsOn = func(_ *http.Request, body []byte) bool { return string(body) == deadly }
-	w.End = m.end
-	m.srv = &http.Server{Handler: m.counted(w)}
+	w.EndsOn = func(_ *http.Request, body []byte) bool { return string(body) == poisonBody }
+	w.End = m.crash
+	m.srv = &http.Server{Handler: m.countPoisonCalls(w)}
 	m.stop, m.up = make(chan struct{}), true
 	go func() { _ = m.srv.Serve(lis) }()
 	go w.Live(m.stop)
 }
 
-// counted counts the calls for the deadly request.
-func (m *mortal) counted(next http.Handler) http.Handler {
+// countPoisonCalls counts the calls that carry the poison request.
+func (m *crashingWorker) countPoisonCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/deadly") {
 			m.mu.Lock()
-			m.reached++
+			m.poisonCalls++
 			m.mu.Unlock()
 		}
 		next.ServeHTTP(rw, r)
 	})
 }
 
-// end ends this life, and begins the next one later.
-func (m *mortal) end() {
+// crash ends this incarnation and schedules the next.
+func (m *crashingWorker) crash() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.up {
 		return
 	}
 	m.up = false
-	m.ends++
+	m.crashes++
 	close(m.stop)
 	go func(srv *http.Server) { _ = srv.Close() }(m.srv)
-	time.AfterFunc(awayFor, m.start)
+	time.AfterFunc(restartDelay, m.start)
 }
 
-func (m *mortal) close() {
+func (m *crashingWorker) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.up {
@@ -103,22 +103,22 @@
 	}
 }
 
-// mortals are the workers of a test.
-type mortals []*mortal
+// crashingWorkers are the workers of a test.
+type crashingWorkers []*crashingWorker
 
-// count returns how often the workers ended, how often the deadly request reached one, and whether
-// all are there.
-func (l mortals) count() (ends, reached int, allUp bool) {
+// count returns the number of crashes, the number of calls that carried the poison request, and
+// whether all workers are up.
+func (l crashingWorkers) count() (crashes, poisonCalls int, allUp bool) {
 	allUp = true
 	for _, m := range l {
 		m.mu.Lock()
-		ends, reached, allUp = ends+m.ends, reached+m.reached, allUp && m.up
+		crashes, poisonCalls, allUp = crashes+m.crashes, poisonCalls+m.poisonCalls, allUp && m.up
 		m.mu.Unlock()
 	}
-	return ends, reached, allUp
+	return crashes, poisonCalls, allUp
 }
 
-const manyBoxes = `
+const boxSettings = `
 [box]
 name = box-%d
 region = r
@@ -139,21 +139,21 @@
 address = %s
 `
 
-const withPeers = `[peers]
+const peerSettings = `[peers]
 listen = 127.0.0.1:0
 `
 
-// quarantineSite is some boxes before a store and workers.
+// quarantineSite is a set of boxes that share a store and workers.
 type quarantineSite struct {
 	t       *testing.T
 	boxes   []*box.RelayBox
-	workers mortals
+	workers crashingWorkers
 	n       int // Requests so far.
-	logs    []*lines
+	logs    []*logBuffer
 }
 
-// tell logs what the boxes believed of ends.
-func (s *quarantineSite) tell() {
+// logObservedCrashes logs what the boxes logged about crashes.
+func (s *quarantineSite) logObservedCrashes() {
 	for n, l := range s.logs {
 		l.mu.Lock()
 		for line := range strings.Lines(l.text.String()) {
@@ -191,7 +191,7 @@
 		if stage != "" {
 			o.Service = "llm"
 		}
-		m := &mortal{t: t, o: o, sameID: sameID}
+		m := &crashingWorker{t: t, o: o, sameID: sameID}
 		m.start()
 		t.Cleanup(m.close)
 		s.workers = append(s.workers, m)
@@ -209,32 +209,33 @@
 		}
 		return true
 	})
-	time.Sleep(inTouch)
+	time.Sleep(stateSyncTime)
 	return s
 }
 
-// inTouch is how long after its start a box is bound by what others know: it leaves the first reading of
-// the table to another box for 2.2 s. Before, it took an engine that was back under its id for the start
-// whose end another box had told of, and that end was counted once: 4 ends of 3, once in some forty runs.
-const inTouch = 3 * time.Second
+// stateSyncTime is the time a started box needs until it acts on the state that others published: it leaves the
+// first read of the table to another box for 2.2 s. Before that, a box took an engine that had restarted
+// under its id for the incarnation whose crash another box had published, and that crash was counted once
+// only: 4 crashes instead of 3 in about one of forty runs.
+const stateSyncTime = 3 * time.Second
 
 func (s *quarantineSite) startBox(n int, peers, store string) {
 	s.t.Helper()
-	cfg, err := config.ParseRelay("box", fmt.Appendf(nil, manyBoxes, n, config.Digest(operatorKey), peers, store))
+	cfg, err := config.ParseRelay("box", fmt.Appendf(nil, boxSettings, n, config.Digest(operatorKey), peers, store))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	log := &lines{}
+	log := &logBuffer{}
 	s.logs = append(s.logs, log)
 	b, err := newRelay(cfg, telemetry.NewLogger(log))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- b.Run() }()
+	exited := make(chan error, 1)
+	go func() { exited <- b.Run() }()
 	s.t.Cleanup(func() {
 		_ = b.Stop()
-		<-ended
+		<-exited
 	})
 	s.boxes = append(s.boxes, b)
 }
@@ -248,8 +249,8 @@
 	}
 }
 
-// send sends a request to a box, under an id of its own, and returns the answer. An answer that is
-// broken off has no status.
+// send sends a request to a box under a new id and returns the answer. The status is 0 if the answer is
+// cut off.
 func (s *quarantineSite) send(n int, path, body string) (status int, text string) {
 	s.t.Helper()
 	s.n++
@@ -260,7 +261,7 @@
 	r.Host = "h.example"
 	r.Header.Set("X-Request-Id", fmt.Sprintf("id-%d", s.n))
 	r.Header.Set("X-Token-Usage", "100,50")
-	// Each request comes from another address: a balancer or a new connection changes it.
+	// Each request comes from another address, as behind a load balancer or after a reconnect.
 	from := &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(s.n))}
 	tr := &http.Transport{DialContext: (&net.Dialer{LocalAddr: from}).DialContext, DisableKeepAlives: true}
 	resp, err := (&http.Client{Transport: tr}).Do(r)
@@ -275,59 +276,57 @@
 	return resp.StatusCode, string(b)
 }
 
-// What users saw: one request ended thirteen servers, one after the other, within ten seconds. Each
-// of its returns had another id and came to another box, and each was sent on like any other: a box
-// knew nothing of what the request had done at the others, nor of what it had done before.
+// A request that crashes whatever runs it must be quarantined, though each retry has another id and reaches
+// another box: one such request crashed thirteen servers within ten seconds, because a box knew neither what
+// the request had done at other boxes nor what it had done before.
 //
-// Evidence: ten and eleven tries of two requests in the logs of a recorded day, each with one prompt
-// read and one run, each run ending another engine 63 to 270 ms later; no try was refused. The lines
-// "endpoint ended under a request" have one fingerprint for all tries of a request. The tries came to
-// boxes of all halls, though an address has its connections in one: a request without an account has no
-// caller that a box could tell.
+// The retries share only their fingerprint. They came to boxes of all halls, although the connections of one
+// address go to one hall, and a request without an account has no caller by which a box could recognize it. Recorded logs show ten and eleven tries of two requests, each
+// with one prefill and one run that crashed another engine 63 to 270 ms later; none was refused.
 func TestRequestThatEndsEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		name, path, peers string
 		sameID            bool
-		// may is how often the endpoints may end: a route that tries twice learns of a second
-		// end when its first try is over.
-		may int
+		// maxCrashes bounds the crashes: a route with two attempts learns of a second
+		// crash only when its first attempt is over.
+		maxCrashes int
 	}{
-		{"streams", "/stream/deadly", withPeers, false, 3},
-		{"streams that go on elsewhere", "/resumed/deadly", withPeers, false, 4},
+		{"streams", "/stream/deadly", peerSettings, false, 3},
+		{"streams that go on elsewhere", "/resumed/deadly", peerSettings, false, 4},
 		{"boxes that hear nothing of each other", "/stream/deadly", "", false, 3},
-		{"engines that come back under their ids", "/stream/deadly", withPeers, true, 3},
-		{"plain calls", "/once/deadly", withPeers, false, 3},
+		{"engines that come back under their ids", "/stream/deadly", peerSettings, true, 3},
+		{"plain calls", "/once/deadly", peerSettings, false, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			s := newQuarantineSite(t, 3, c.peers, c.sameID)
 			for try := range 9 {
-				status, text := s.send(try%len(s.boxes), c.path, deadly)
-				ends, _, _ := s.workers.count()
-				t.Logf("try %d: %d %.200s; %d ends", try, status, text, ends)
-				if ends > c.may {
-					s.tell()
-					t.Fatalf("expected the endpoints to end %d times at most, got %d after %d tries", c.may, ends, try+1)
+				status, text := s.send(try%len(s.boxes), c.path, poisonBody)
+				crashes, _, _ := s.workers.count()
+				t.Logf("try %d: %d %.200s; %d crashes", try, status, text, crashes)
+				if crashes > c.maxCrashes {
+					s.logObservedCrashes()
+					t.Fatalf("expected at most %d crashes of the endpoints, got %d after %d tries", c.maxCrashes, crashes, try+1)
 				}
 				s.until("all workers to be back", func() bool { _, _, up := s.workers.count(); return up })
-				time.Sleep(300 * time.Millisecond) // Until the list has them.
+				time.Sleep(300 * time.Millisecond) // Until the endpoint list has them.
 			}
-			// The list of endpoints is read each 1.1 s at the least; until then a box may send to a start
-			// that is gone, which refuses.
+			// Boxes read the endpoint list every 1.1 s or less often. Until then they may send to an
+			// incarnation that is gone, which refuses.
 			time.Sleep(2 * time.Second)
-			// From now on it reaches nothing any more, and its caller is told so at once.
+			// From now on the request reaches no endpoint, and the caller gets a final answer at once.
 			_, before, _ := s.workers.count()
 			for n := range s.boxes {
-				status, text := s.send(n, c.path, deadly)
+				status, text := s.send(n, c.path, poisonBody)
 				if status != http.StatusInternalServerError || !strings.Contains(text, "not_run") {
-					t.Errorf("box %d: expected a final answer that says it was not run, got %d %s", n, status, text)
+					t.Errorf("box %d: expected a final answer that says the request was not run, got %d %s", n, status, text)
 				}
 				if status, text := s.send(n, strings.TrimSuffix(c.path, "deadly")+"other", "innocent"); status != http.StatusOK {
 					t.Errorf("box %d: expected other requests to be served, got %d %s", n, status, text)
 				}
 			}
 			if _, after, _ := s.workers.count(); after != before {
-				t.Errorf("expected it to reach no endpoint any more, got %d calls", after-before)
+				t.Errorf("expected the request to reach no endpoint any more, got %d calls", after-before)
 			}
 		})
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the operators' command-line tool.
+// Package cli implements the operators' command-line tool.
 package cli
 
 import (
@@ -38,18 +38,18 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// app is the whole command line.
+// app is the root of the command line.
 type app struct {
-	Box  []string `help:"Base URL of a box's operators' address. 'why' asks several, separated by commas, one after another." env:"STOATRAMP_BOX" default:"http://127.0.0.1:8081"`
-	Key  string   `help:"The operators' key." env:"STOATRAMP_KEY"`
+	Box  []string `help:"Base URL of a box's operator address. 'why' tries several in order, separated by commas." env:"STOATRAMP_BOX" default:"http://127.0.0.1:8081"`
+	Key  string   `help:"The operator key." env:"STOATRAMP_KEY"`
 	JSON bool     `name:"json" help:"Print JSON."`
 
-	Status statusCmd `cmd:"" help:"Show what a box sees and does."`
-	Why    whyCmd    `cmd:"" help:"Say what became of a request and why."`
+	Status statusCmd `cmd:"" help:"Show the state of a box."`
+	Why    whyCmd    `cmd:"" help:"Explain how a request was routed and how it ended."`
 	Config configCmd `cmd:"" help:"Read and change the shared configuration."`
-	Policy policyCmd `cmd:"" help:"Check, test and time policy programs, which needs no box; read and change those on the platform."`
+	Policy policyCmd `cmd:"" help:"Check, test and benchmark policy programs, which needs no box; read and change the policies of the platform."`
 	Keys   keyCmd    `cmd:"" name:"key" help:"Issue, list and revoke operators' keys on the platform."`
-	Drain  drainCmd  `cmd:"" help:"Have a box finish its requests and exit."`
+	Drain  drainCmd  `cmd:"" help:"Make a box finish its running requests and exit."`
 
 	out io.Writer
 	err io.Writer
@@ -62,7 +62,7 @@
 func Main(args []string, out, errOut io.Writer) int {
 	a := &app{out: out, err: errOut}
 	parser, err := kong.New(a, kong.Name("stoatramp"), kong.Writers(out, errOut),
-		kong.Description("The operators' tool of the stoatramp router."))
+		kong.Description("The operators' command-line tool of the stoatramp router."))
 	if err != nil {
 		fmt.Fprintln(errOut, "stoatramp:", err)
 		return exitUsage
@@ -74,12 +74,12 @@
 	}
 	if err := k.Run(a); err != nil {
 		fmt.Fprintln(errOut, "stoatramp:", err)
-		return codeOf(err)
+		return exitCode(err)
 	}
 	return exitOK
 }
 
-func codeOf(err error) int {
+func exitCode(err error) int {
 	var e *exitError
 	if errors.As(err, &e) {
 		return e.code
@@ -90,10 +90,10 @@
 	return exitFailed
 }
 
-// client calls the first box named.
-func (a *app) client() stoatrampv1connect.OperatorClient { return a.clientOf(a.Box[0]) }
+// client returns a client for the first box of --box.
+func (a *app) client() stoatrampv1connect.OperatorClient { return a.clientFor(a.Box[0]) }
 
-func (a *app) clientOf(box string) stoatrampv1connect.OperatorClient {
+func (a *app) clientFor(box string) stoatrampv1connect.OperatorClient {
 	auth := connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 			r.Header().Set("Authorization", "Bearer "+a.Key)
@@ -103,8 +103,8 @@
 	return stoatrampv1connect.NewOperatorClient(&http.Client{Timeout: callTimeout}, box, connect.WithInterceptors(auth))
 }
 
-// print writes a message as JSON if that was asked for, and says whether it did.
-func (a *app) print(m proto.Message) (bool, error) {
+// printIfJSON prints a message as JSON if --json was given, and reports whether it did.
+func (a *app) printIfJSON(m proto.Message) (bool, error) {
 	if !a.JSON {
 		return false, nil
 	}
@@ -112,10 +112,10 @@
 	if err != nil {
 		return true, err
 	}
-	return true, a.printRaw(b)
+	return true, a.printJSON(b)
 }
 
-func (a *app) printRaw(b []byte) error {
+func (a *app) printJSON(b []byte) error {
 	var v any
 	if err := json.Unmarshal(b, &v); err != nil {
 		return err
@@ -130,12 +130,12 @@
 }
 
 func (c *whyCmd) Run(a *app) error {
-	resp, err := c.ask(a)
+	resp, err := c.findRecord(a)
 	if err != nil {
 		return err
 	}
 	if a.JSON {
-		return a.printRaw([]byte(resp.Msg.RecordJson))
+		return a.printJSON([]byte(resp.Msg.RecordJson))
 	}
 	for _, s := range resp.Msg.Sentences {
 		fmt.Fprintln(a.out, s)
@@ -143,12 +143,12 @@
 	return nil
 }
 
-// ask goes through the boxes until one has the record. A box that does not answer is
-// told of only if no other has it.
-func (c *whyCmd) ask(a *app) (*connect.Response[v1.WhyResponse], error) {
+// findRecord asks the boxes in order until one has the record. Otherwise it returns the first
+// error that is not "not found", if there is one.
+func (c *whyCmd) findRecord(a *app) (*connect.Response[v1.WhyResponse], error) {
 	var failed error
 	for _, box := range a.Box {
-		resp, err := a.clientOf(box).Why(context.Background(), connect.NewRequest(&v1.WhyRequest{Id: c.ID}))
+		resp, err := a.clientFor(box).Why(context.Background(), connect.NewRequest(&v1.WhyRequest{Id: c.ID}))
 		if err == nil {
 			return resp, nil
 		}
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	if done, err := a.print(resp.Msg); done {
+	if done, err := a.printIfJSON(resp.Msg); done {
 		return err
 	}
 	return printStatus(a.out, resp.Msg)
@@ -179,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	if done, err := a.print(resp.Msg); done {
+	if done, err := a.printIfJSON(resp.Msg); done {
 		return err
 	}
 	_, err = fmt.Fprintf(a.out, "The box takes no new work and has %d requests to finish.\n", resp.Msg.Running)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -63,7 +63,7 @@
 	return out.String()
 }
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	file := t.TempDir() + "/" + name
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -72,7 +72,7 @@
 	return file
 }
 
-func ask(t *testing.T, b *box.Box) string {
+func sendRequest(t *testing.T, b *box.Box) string {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+b.Callers+"/v1/completions", strings.NewReader(`{"model":"verdict-lm","prompt":"x","max_tokens":2}`))
 	if err != nil {
@@ -89,7 +89,7 @@
 
 func TestAsking(t *testing.T) {
 	b := startBox(t)
-	id := ask(t, b)
+	id := sendRequest(t, b)
 	expectRun(t, b, exitOK, "Answered whole", "why", id)
 	expectRun(t, b, exitOK, "prefill-1 was chosen", "why", id)
 	expectRun(t, b, exitOK, `"outcome": "answered"`, "--json", "why", id)
@@ -103,16 +103,16 @@
 func TestConfigRound(t *testing.T) {
 	b := startBox(t)
 	text := expectRun(t, b, exitOK, "# version 1\n[pool", "config", "get")
-	file := write(t, "shared.ini", text+"\n[client second]\nkey_sha256 = "+config.Digest("second")+"\n")
+	file := writeFile(t, "shared.ini", text+"\n[client second]\nkey_sha256 = "+config.Digest("second")+"\n")
 	expectRun(t, b, exitOK, "ok", "config", "check", file)
 	expectRun(t, b, exitOK, "+[client second]", "config", "diff", file)
 	expectRun(t, b, exitOK, "Accepted as version 2 and in force on all live boxes (1)", "config", "apply", file, "--author", "ana")
 	expectRun(t, b, exitConflict, "+[client second]", "config", "apply", file)
 	expectRun(t, b, exitOK, "ana", "config", "history")
-	bad := write(t, "bad.ini", text+"\n[route r2]\nmodel = nope\npolcy = x\n")
+	bad := writeFile(t, "bad.ini", text+"\n[route r2]\nmodel = nope\npolcy = x\n")
 	expectRun(t, b, exitProblems, "polcy: is not a known key of [route]", "config", "check", bad)
 	expectRun(t, b, exitProblems, `no pool serves "nope"`, "config", "apply", bad)
-	expectRun(t, b, exitUsage, "which version was it made from", "config", "apply", write(t, "x.ini", "[pool x]\n"))
+	expectRun(t, b, exitUsage, "which version was it made from", "config", "apply", writeFile(t, "x.ini", "[pool x]\n"))
 }
 
 func TestPolicyCommands(t *testing.T) {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -18,16 +18,16 @@
 
 type configCmd struct {
 	Get     configGetCmd     `cmd:"" help:"Print the accepted configuration, with its version in the first line."`
-	Check   configCheckCmd   `cmd:"" help:"Check a file and change nothing."`
+	Check   configCheckCmd   `cmd:"" help:"Check a file without applying it."`
 	Diff    configDiffCmd    `cmd:"" help:"Show how a file differs from the accepted configuration."`
 	Apply   configApplyCmd   `cmd:"" help:"Make a file the accepted configuration."`
 	History configHistoryCmd `cmd:"" help:"List the accepted versions."`
 }
 
-// versionLine begins the first line of a fetched configuration. Apply takes the
-// base version from it, so that a file edited from an old version cannot
+// versionPrefix starts the first line of a fetched configuration. Apply takes the
+// base version from this line, so that a file edited from an old version cannot
 // silently undo a newer one.
-const versionLine = "# version "
+const versionPrefix = "# version "
 
 func (a *app) fetch(version int64) (*v1.GetConfigResponse, error) {
 	resp, err := a.client().GetConfig(context.Background(), connect.NewRequest(&v1.GetConfigRequest{Version: version}))
@@ -38,7 +38,7 @@
 }
 
 type configGetCmd struct {
-	Version int64 `help:"An earlier version; 0 is the accepted one."`
+	Version int64 `help:"The version to read; 0 means the accepted one."`
 }
 
 func (c *configGetCmd) Run(a *app) error {
@@ -46,14 +46,14 @@
 	if err != nil {
 		return err
 	}
-	if done, err := a.print(got); done {
+	if done, err := a.printIfJSON(got); done {
 		return err
 	}
-	_, err = fmt.Fprintf(a.out, "%s%d\n%s", versionLine, got.Version, got.Text)
+	_, err = fmt.Fprintf(a.out, "%s%d\n%s", versionPrefix, got.Version, got.Text)
 	return err
 }
 
-// readConfig reads a file and its base version; 0 if it names none.
+// readConfig reads a file and its base version, which is 0 if the file names none.
 func readConfig(file string) (string, int64, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -61,13 +61,13 @@
 	}
 	text := string(b)
 	first, rest, _ := strings.Cut(text, "\n")
-	number, ok := strings.CutPrefix(first, versionLine)
+	number, ok := strings.CutPrefix(first, versionPrefix)
 	if !ok {
 		return text, 0, nil
 	}
 	base, err := strconv.ParseInt(strings.TrimSpace(number), 10, 64)
 	if err != nil || base < 1 {
-		return "", 0, fmt.Errorf("%s:1: expected %q and a version number, found %q", file, versionLine, first)
+		return "", 0, fmt.Errorf("%s:1: expected %q and a version number, found %q", file, versionPrefix, first)
 	}
 	return rest, base, nil
 }
@@ -85,11 +85,11 @@
 	if err != nil {
 		return err
 	}
-	if done, err := a.print(resp.Msg); done && err != nil {
+	if done, err := a.printIfJSON(resp.Msg); done && err != nil {
 		return err
 	}
 	if len(resp.Msg.Problems) > 0 {
-		return problems(resp.Msg.Problems)
+		return problemsError(resp.Msg.Problems)
 	}
 	if !a.JSON {
 		fmt.Fprintf(a.out, "%s: ok\n", c.File)
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func problems(list []string) error {
+func problemsError(list []string) error {
 	return &exitError{exitProblems, errors.New("the configuration has problems:\n" + strings.Join(list, "\n"))}
 }
 
@@ -132,8 +132,8 @@
 
 type configApplyCmd struct {
 	File   string `arg:"" help:"The configuration."`
-	Base   int64  `help:"The version the file was made from; read from its first line if not given."`
-	Author string `help:"Who changes it; the user's name if not given."`
+	Base   int64  `help:"The version that the file is based on; read from its first line if not given."`
+	Author string `help:"Author of the change; the current user if not given."`
 }
 
 func (c *configApplyCmd) Run(a *app) error {
@@ -144,21 +144,21 @@
 	if c.Base > 0 {
 		base = c.Base
 	}
-	if base == 0 && !a.nothingAccepted() {
-		return &exitError{exitUsage, fmt.Errorf("%s does not begin with %q and no --base is given: which version was it made from?", c.File, versionLine+"N")}
+	if base == 0 && !a.noConfigYet() {
+		return &exitError{exitUsage, fmt.Errorf("%s does not begin with %q and no --base is given: which version was it made from?", c.File, versionPrefix+"N")}
 	}
-	return a.apply(text, base, authorOr(c.Author))
+	return a.apply(text, base, authorOrCurrentUser(c.Author))
 }
 
-// nothingAccepted says that the site has no configuration yet; the first one
-// needs no base version.
-func (a *app) nothingAccepted() bool {
+// noConfigYet reports whether the site has no configuration yet. The first
+// configuration needs no base version.
+func (a *app) noConfigYet() bool {
 	_, err := a.fetch(0)
 	return connect.CodeOf(err) == connect.CodeNotFound
 }
 
-// authorOr is who makes a change: the name given, or the user's.
-func authorOr(given string) string {
+// authorOrCurrentUser returns the given author, or else the name of the current user.
+func authorOrCurrentUser(given string) string {
 	if given != "" {
 		return given
 	}
@@ -168,8 +168,8 @@
 	return "unknown"
 }
 
-// conflict shows what was accepted meanwhile.
-func (a *app) conflict(base, current int64) error {
+// conflictError shows what changed between the base version and the accepted one.
+func (a *app) conflictError(base, current int64) error {
 	text := ""
 	then, errThen := a.fetch(base)
 	now, errNow := a.fetch(0)
@@ -179,14 +179,14 @@
 	return &exitError{exitConflict, fmt.Errorf("not accepted: the file was made from version %d, and version %d is accepted now%s", base, current, text)}
 }
 
-// accepted says where the version is in force.
-func (a *app) accepted(r *v1.ApplyConfigResponse) error {
+// reportAccepted prints on which boxes the version is in force.
+func (a *app) reportAccepted(r *v1.ApplyConfigResponse) error {
 	if len(r.Missing) > 0 {
 		return &exitError{exitFailed, fmt.Errorf("accepted as version %d, but not in force after %d ms on: %s; they follow as soon as they can reach the table or a peer",
 			r.Version, r.InForceMs, strings.Join(r.Missing, ", "))}
 	}
 	if r.Boxes == 0 && !a.JSON {
-		// On a platform the boxes do not know each other.
+		// Boxes on a platform don't know each other.
 		fmt.Fprintf(a.out, "Accepted as version %d and in force on this box after %d ms; the others follow the store, and 'status' shows their version.\n", r.Version, r.InForceMs)
 		return nil
 	}
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	if done, err := a.print(resp.Msg); done {
+	if done, err := a.printIfJSON(resp.Msg); done {
 		return err
 	}
 	for _, v := range resp.Msg.Versions {
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -14,12 +14,12 @@
 
 type policyCmd struct {
 	Check policyCheckCmd `cmd:"" help:"Check a program."`
-	Test  policyTestCmd  `cmd:"" help:"Run the cases beside a program: NAME.star is tested by NAME_test.star."`
-	Bench policyBenchCmd `cmd:"" help:"Time a program's functions."`
+	Test  policyTestCmd  `cmd:"" help:"Run the test cases of a program: those of NAME.star are in NAME_test.star."`
+	Bench policyBenchCmd `cmd:"" help:"Benchmark a program's functions."`
 
-	Get     policyGetCmd     `cmd:"" help:"Print a policy in force on the platform, or list what is for which requests."`
-	Apply   policyApplyCmd   `cmd:"" help:"Put a program in force on the platform for some requests, if its cases pass."`
-	Remove  policyRemoveCmd  `cmd:"" help:"Take a policy and its rule out of force on the platform."`
+	Get     policyGetCmd     `cmd:"" help:"Print a policy in force on the platform, or list which policy applies to which requests."`
+	Apply   policyApplyCmd   `cmd:"" help:"Apply a program to some requests on the platform, if its test cases pass."`
+	Remove  policyRemoveCmd  `cmd:"" help:"Remove a policy and its rule from the platform."`
 	History configHistoryCmd `cmd:"" help:"List the accepted versions."`
 }
 
@@ -73,7 +73,7 @@
 
 type policyBenchCmd struct {
 	File string `arg:"" help:"The program."`
-	N    int    `help:"How often to call each function." default:"100000"`
+	N    int    `help:"Number of calls of each function." default:"100000"`
 }
 
 func (c *policyBenchCmd) Run(a *app) error {
--- a/internal/cli/shared.go
+++ b/internal/cli/shared.go
@@ -15,14 +15,14 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// This file changes one section of the shared configuration at a time. Each change is made
-// from the accepted version and is accepted only if nobody else changed it meanwhile.
+// The commands of this file change one section of the shared configuration. A change is based
+// on the accepted version and is rejected if another version was accepted in the meantime.
 
-// edit applies a change to the accepted text.
-func (a *app) edit(author string, change func(text string) (string, error)) error {
+// editConfig applies a change to the text of the accepted configuration.
+func (a *app) editConfig(author string, change func(text string) (string, error)) error {
 	now, err := a.fetch(0)
 	if connect.CodeOf(err) == connect.CodeNotFound {
-		now, err = &v1.GetConfigResponse{}, nil // There is none yet.
+		now, err = &v1.GetConfigResponse{}, nil // There is no configuration yet.
 	}
 	if err != nil {
 		return err
@@ -34,22 +34,22 @@
 	return a.apply(text, now.Version, author)
 }
 
-// The sections' names in the shared configuration.
+// Section names in the shared configuration.
 func policySection(name string) string   { return "policy " + name }
 func ruleSection(name string) string     { return "rule " + name }
 func operatorSection(name string) string { return "operator " + name }
 
 type policyApplyCmd struct {
-	File     string `arg:"" help:"The program, NAME.star; its cases are those of NAME_test.star, if there is one."`
-	Name     string `help:"The policy's name; the file's if not given."`
-	Kind     string `help:"Only for requests of this kind: once, repeatable or stream."`
-	Service  string `help:"Only for requests to this service."`
-	Priority int    `help:"Only for routes of this priority; -1 stands for all." default:"-1"`
-	Author   string `help:"Who changes it; the user's name if not given."`
+	File     string `arg:"" help:"The program, NAME.star; its test cases are read from NAME_test.star, if it exists."`
+	Name     string `help:"The policy's name; the file's base name if not given."`
+	Kind     string `help:"Apply only to requests of this kind: once, repeatable or stream."`
+	Service  string `help:"Apply only to requests to this service."`
+	Priority int    `help:"Apply only to routes of this priority; -1 means all." default:"-1"`
+	Author   string `help:"Author of the change; the current user if not given."`
 }
 
-// errQuotes would end the program's text in the middle.
-var errQuotes = errors.New(`the text contains """, which ends a program in the configuration; use # comments`)
+// errTripleQuotes rejects text that would end the program's string in the configuration early.
+var errTripleQuotes = errors.New(`the text contains """, which ends a program in the configuration; use # comments`)
 
 func (c *policyApplyCmd) Run(a *app) error {
 	program, err := os.ReadFile(c.File)
@@ -61,13 +61,13 @@
 		return err
 	}
 	if strings.Contains(string(program)+string(cases), `"""`) {
-		return &exitError{exitProblems, errQuotes}
+		return &exitError{exitProblems, errTripleQuotes}
 	}
 	name := c.Name
 	if name == "" {
 		name = strings.TrimSuffix(filepath.Base(c.File), ".star")
 	}
-	return a.edit(authorOr(c.Author), func(text string) (string, error) {
+	return a.editConfig(authorOrCurrentUser(c.Author), func(text string) (string, error) {
 		text = config.SetSection(text, policySection(name), policyBody(string(program), string(cases)))
 		return config.SetSection(text, ruleSection(name), c.ruleBody(name)), nil
 	})
@@ -97,7 +97,7 @@
 
 type policyGetCmd struct {
 	Name    string `arg:"" optional:"" help:"The policy; all are listed if not given."`
-	Version int64  `help:"An earlier version; 0 is the accepted one."`
+	Version int64  `help:"The version to read; 0 means the accepted one."`
 }
 
 func (c *policyGetCmd) Run(a *app) error {
@@ -107,7 +107,7 @@
 	}
 	if c.Name == "" {
 		for _, r := range rules.Rules {
-			fmt.Fprintf(a.out, "%s: policy %s for %s\n", r.Name, r.Policy, forWhat(r))
+			fmt.Fprintf(a.out, "%s: policy %s for %s\n", r.Name, r.Policy, ruleScope(r))
 		}
 		return nil
 	}
@@ -120,8 +120,8 @@
 	return &exitError{exitNotFound, fmt.Errorf("no policy %q in version %d", c.Name, rules.Version)}
 }
 
-// forWhat says which requests a rule fits.
-func forWhat(r *config.Rule) string {
+// ruleScope describes the requests that a rule applies to.
+func ruleScope(r *config.Rule) string {
 	var parts []string
 	if r.Kind != "" {
 		parts = append(parts, "kind "+r.Kind)
@@ -138,7 +138,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// rules reads a version of the shared configuration of boxes on a platform.
+// rules reads a version of the shared configuration of platform boxes.
 func (a *app) rules(version int64) (*config.Rules, error) {
 	got, err := a.fetch(version)
 	if err != nil {
@@ -154,11 +154,11 @@
 
 type policyRemoveCmd struct {
 	Name   string `arg:"" help:"The policy."`
-	Author string `help:"Who changes it; the user's name if not given."`
+	Author string `help:"Author of the change; the current user if not given."`
 }
 
 func (c *policyRemoveCmd) Run(a *app) error {
-	return a.edit(authorOr(c.Author), func(text string) (string, error) {
+	return a.editConfig(authorOrCurrentUser(c.Author), func(text string) (string, error) {
 		out, ok := config.DropSection(text, policySection(c.Name))
 		if !ok {
 			return "", &exitError{exitNotFound, fmt.Errorf("no policy %q", c.Name)}
@@ -169,19 +169,19 @@
 }
 
 type keyCmd struct {
-	Issue  keyIssueCmd  `cmd:"" help:"Make a key for an operator and print it once. Only its hash is kept."`
+	Issue  keyIssueCmd  `cmd:"" help:"Create a key for an operator and print it once. Only its hash is stored."`
 	List   keyListCmd   `cmd:"" help:"List the operators."`
-	Revoke keyRevokeCmd `cmd:"" help:"Take an operator's key back."`
+	Revoke keyRevokeCmd `cmd:"" help:"Revoke an operator's key."`
 }
 
 type keyIssueCmd struct {
-	Name   string `arg:"" help:"The operator's name. A key issued before under it ends."`
-	Author string `help:"Who changes it; the user's name if not given."`
+	Name   string `arg:"" help:"The operator's name. A key issued earlier under this name stops working."`
+	Author string `help:"Author of the change; the current user if not given."`
 }
 
 func (c *keyIssueCmd) Run(a *app) error {
 	key := rand.Text()
-	err := a.edit(authorOr(c.Author), func(text string) (string, error) {
+	err := a.editConfig(authorOrCurrentUser(c.Author), func(text string) (string, error) {
 		return config.SetSection(text, operatorSection(c.Name), "key_sha256 = "+config.Digest(key)), nil
 	})
 	if err != nil {
@@ -206,11 +206,11 @@
 
 type keyRevokeCmd struct {
 	Name   string `arg:"" help:"The operator's name."`
-	Author string `help:"Who changes it; the user's name if not given."`
+	Author string `help:"Author of the change; the current user if not given."`
 }
 
 func (c *keyRevokeCmd) Run(a *app) error {
-	return a.edit(authorOr(c.Author), func(text string) (string, error) {
+	return a.editConfig(authorOrCurrentUser(c.Author), func(text string) (string, error) {
 		out, ok := config.DropSection(text, operatorSection(c.Name))
 		if !ok {
 			return "", &exitError{exitNotFound, fmt.Errorf("no operator %q", c.Name)}
@@ -219,20 +219,20 @@
 	})
 }
 
-// apply sends a text made from version base and says what became of it.
+// apply submits a text based on version base and reports the outcome.
 func (a *app) apply(text string, base int64, author string) error {
 	resp, err := a.client().ApplyConfig(context.Background(), connect.NewRequest(&v1.ApplyConfigRequest{Text: text, BaseVersion: base, Author: author}))
 	if err != nil {
 		return err
 	}
-	if done, err := a.print(resp.Msg); done && err != nil {
+	if done, err := a.printIfJSON(resp.Msg); done && err != nil {
 		return err
 	}
 	switch {
 	case len(resp.Msg.Problems) > 0:
-		return problems(resp.Msg.Problems)
+		return problemsError(resp.Msg.Problems)
 	case resp.Msg.Conflict:
-		return a.conflict(base, resp.Msg.Version)
+		return a.conflictError(base, resp.Msg.Version)
 	}
-	return a.accepted(resp.Msg)
+	return a.reportAccepted(resp.Msg)
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo starts the stand-ins of a small site on loopback and settings for
-// a box before them, so that the whole path can be tried with one command.
+// Package demo starts the stand-ins of a small site on loopback and writes the settings
+// of a box that uses them, so that the whole request path can be tried with one command.
 package demo
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// The keys of the demo. They guard nothing but stand-ins on loopback.
+// The keys of the demo. They protect nothing but stand-ins on loopback.
 const (
 	ClientKey   = "demo-client-key"
 	OperatorKey = "demo-operator-key"
@@ -23,21 +23,21 @@
 	Model       = "verdict-lm"
 )
 
-// Options size a site.
+// Options configure a site.
 type Options struct {
 	Prefills, Decodes int
 	Model             cost.Model
-	// Callers and Operators are the addresses the box listens on; empty takes free loopback ports.
+	// Callers and Operators are the box's listen addresses; if empty, free loopback ports are used.
 	Callers, Operators string
 	// Extra is appended to the shared configuration.
 	Extra string
-	// Route is put into the route's section.
+	// Route is added to the section of the route.
 	Route string
-	// Client is put into the client's section.
+	// Client is added to the section of the client.
 	Client string
 }
 
-// DefaultModel is a small engine: a prompt of 1,000 tokens takes 50 ms, tokens come every 10 ms or so.
+// DefaultModel is a small engine: a prompt of 1,000 tokens takes about 50 ms, a token about 10 ms.
 func DefaultModel() cost.Model {
 	return cost.Model{
 		PrefillRate:     20000,
@@ -57,10 +57,10 @@
 	Prefills []*standin.Engine
 	Decodes  []*standin.Engine
 	Service  *standin.Service
-	// Settings is the INI text of a box before the site, Shared the configuration.
+	// Settings is the INI text of a box of the site; Shared is the shared configuration.
 	Settings string
 	Shared   string
-	// SettingsOf makes the settings of a further box.
+	// SettingsOf returns the settings of a further box on the addresses of Options, SettingsAt on given addresses.
 	SettingsOf func(name string) string
 	SettingsAt func(name, callers, operators string) string
 	// Store reads and writes the configuration of the site.
@@ -153,7 +153,7 @@
 	return e, nil
 }
 
-// Kill drops every connection of a stand-in and stops it, as a death does.
+// Kill drops every connection of a stand-in and stops it, like a crash.
 func (s *Site) Kill(name string) {
 	s.servers[name].Close()
 	for _, e := range append(s.Prefills, s.Decodes...) {
@@ -163,7 +163,7 @@
 	}
 }
 
-// Close ends all stand-ins.
+// Close stops all stand-ins.
 func (s *Site) Close() {
 	for _, srv := range s.servers {
 		srv.Close()
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,4 +1,4 @@
-// Package gate counts requests in and out, so that a planned stop waits for exactly those
+// Package gate counts running requests, so that a planned stop waits for exactly those
 // that started.
 package gate
 
@@ -8,20 +8,20 @@
 	"sync/atomic"
 )
 
-// Gate lets requests in until it is shut. The zero value is open.
+// Gate admits requests until it is closed. The zero value is open.
 type Gate struct {
 	// mu orders the start of requests against the start of a drain.
 	mu      sync.RWMutex
-	shut    bool
+	closed  bool
 	active  sync.WaitGroup
 	running atomic.Int64
-	// busy have an entry once a request has entered an empty gate.
+	// busy are the channels that Busy returned.
 	busy []chan struct{}
 }
 
-// Busy returns a channel that has an entry once a request enters while none is inside. What paces
-// itself while requests run waits for it: an idle box that woke each 20 ms and more made 540
-// system calls a second, and makes 190 without (counted over 8 s each).
+// Busy returns a channel that receives a value when a request enters while none is running. Periodic work
+// that is needed only while requests run waits for it: a box that woke up every 20 ms made 540
+// system calls a second when idle, and makes 190 without.
 func (g *Gate) Busy() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,8 +30,8 @@
 	return c
 }
 
-// sayBusy tells that a request has entered an empty gate. The lock is held.
-func (g *Gate) sayBusy() {
+// notifyBusy signals that a request has entered an idle gate. The caller holds the lock.
+func (g *Gate) notifyBusy() {
 	for _, c := range g.busy {
 		select {
 		case c <- struct{}{}:
@@ -40,16 +40,16 @@
 	}
 }
 
-// Enter counts a request in, unless the gate is shut.
+// Enter counts a request in, unless the gate is closed.
 func (g *Gate) Enter() bool {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	if g.shut {
+	if g.closed {
 		return false
 	}
 	g.active.Add(1)
 	if g.running.Add(1) == 1 {
-		g.sayBusy()
+		g.notifyBusy()
 	}
 	return true
 }
@@ -60,26 +60,26 @@
 	g.active.Done()
 }
 
-// Running is the number of requests inside.
+// Running returns the number of running requests.
 func (g *Gate) Running() int64 { return g.running.Load() }
 
-// Open says whether requests are let in.
+// Open reports whether requests are admitted.
 func (g *Gate) Open() bool {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	return !g.shut
+	return !g.closed
 }
 
-// Drain shuts the gate and waits until the last request is out and rest, which waits for
-// what requests leave behind, is done.
-func (g *Gate) Drain(ctx context.Context, rest func()) error {
+// Drain closes the gate and waits until the last request has left and waitCleanup, which waits
+// for the cleanup that requests leave to the background, has returned.
+func (g *Gate) Drain(ctx context.Context, waitCleanup func()) error {
 	g.mu.Lock()
-	g.shut = true
+	g.closed = true
 	g.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
 		g.active.Wait()
-		rest()
+		waitCleanup()
 		close(done)
 	}()
 	select {
@@ -87,7 +87,7 @@
 		return nil
 	case <-ctx.Done():
 		if g.Running() == 0 {
-			return nil // No request is cut off: what they left behind ends by itself.
+			return nil // No request is interrupted; the engines expire what was not cleaned up.
 		}
 		return ctx.Err()
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// A request that enters while others are inside wakes nobody, and one that enters an empty gate all that
-// wait for it.
+// A request that enters an idle gate signals all waiters; one that enters while others run signals none.
 func TestBusy(t *testing.T) {
 	var g Gate
 	a, b := g.Busy(), g.Busy()
@@ -15,25 +14,25 @@
 	g.Enter()
 	for _, c := range []<-chan struct{}{a, b} {
 		if len(c) != 1 {
-			t.Errorf("expected one entry, got %d", len(c))
+			t.Errorf("expected one signal, got %d", len(c))
 		}
 		<-c
 	}
 	g.Leave()
 	g.Enter()
 	if len(a) != 0 {
-		t.Error("expected nothing while a request is inside")
+		t.Error("expected no signal while a request runs")
 	}
 	g.Leave()
 	g.Leave()
 	g.Enter()
 	if len(a) != 1 {
-		t.Error("expected an entry with the next request")
+		t.Error("expected a signal with the next request")
 	}
 }
 
-// A planned stop that waited for calls which free memory was reported as one that cuts requests off. Only
-// requests count: what they leave behind at engines ends by itself.
+// Calls that free memory at engines may outlast a planned stop, since the engines free it by themselves.
+// A stop that timed out on them alone used to be reported as one that interrupts requests.
 func TestDrainTimesOut(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
@@ -49,6 +48,6 @@
 	var busy Gate
 	busy.Enter()
 	if err := drain(&busy); err == nil {
-		t.Error("expected a stop with a request inside to be reported")
+		t.Error("expected a stop with a running request to be reported")
 	}
 }
--- a/internal/ops/inspect.go
+++ b/internal/ops/inspect.go
@@ -10,20 +10,20 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// Serving is what operators may ask about either kind of box.
-type Serving interface {
+// BoxState is the state that operators can read of a box of either kind.
+type BoxState interface {
 	Engines() (engines []decide.EngineState, waiting int, notes []string)
 	Ready() bool
 	Running() int64
-	// Version is the configuration in force; 0 before the first.
+	// Version is the version of the configuration in force; 0 before the first.
 	Version() int64
 }
 
-func status(name, region, hall string, g Serving) *v1.StatusResponse {
-	engines, waiting, notes := g.Engines()
+func status(name, region, hall string, box BoxState) *v1.StatusResponse {
+	engines, waiting, notes := box.Engines()
 	out := &v1.StatusResponse{
 		Box: name, Region: region, Hall: hall, Notes: notes,
-		Ready: g.Ready(), Running: g.Running(), Waiting: int64(waiting), ConfigVersion: g.Version(),
+		Ready: box.Ready(), Running: box.Running(), Waiting: int64(waiting), ConfigVersion: box.Version(),
 	}
 	for _, e := range engines {
 		out.Engines = append(out.Engines, &v1.EngineStatus{
@@ -34,7 +34,7 @@
 	return out
 }
 
-func why(rec *record.Record) (*connect.Response[v1.WhyResponse], error) {
+func explain(rec *record.Record) (*connect.Response[v1.WhyResponse], error) {
 	b, err := json.Marshal(rec)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInternal, err)
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops serves operators: the connect service that the command-line tool
-// calls, the metrics, and health. All of it needs the operators' key.
+// Package ops serves operators: the Connect service that the command-line tool
+// calls, the metrics, and profiles. All of it needs an operator key.
 package ops
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Server answers operators.
+// Server answers the operators of a box that is not on the platform.
 type Server struct {
 	Versions
 	Box     *config.Box
@@ -34,7 +34,7 @@
 	Metrics *telemetry.Metrics
 	// Stop starts a planned stop and does not wait for it.
 	Stop func()
-	// Peers and Archive find what this box does not know.
+	// Peers and Archive are searched for records that this box does not have.
 	Peers       *peer.Peers
 	Grants      *peer.Grants
 	Archive     *archive.Archive
@@ -43,8 +43,8 @@
 
 var _ stoatrampv1connect.OperatorHandler = (*Server)(nil)
 
-// NewServer returns a server of the shared configuration in store; checkPolicy checks a
-// program with its cases.
+// NewServer returns a server for the shared configuration in store. checkPolicy checks a
+// policy program with its cases.
 func NewServer(store *control.Store, checkPolicy func(*config.Policy) error) *Server {
 	s := &Server{}
 	s.Versions = Versions{
@@ -53,7 +53,7 @@
 			_, err := config.ParseShared("configuration", []byte(text), checkPolicy)
 			return err
 		},
-		Force: s.force,
+		Force: s.awaitRollout,
 	}
 	return s
 }
@@ -62,8 +62,8 @@
 func (s *Server) Handler() http.Handler {
 	all := http.NewServeMux()
 	path, peers := stoatrampv1connect.NewPeerHandler(&peerServer{s})
-	all.Handle(path, guard(s.isPeer, peers))
-	all.Handle("/", guard(s.isOperator, s.operators()))
+	all.Handle(path, requireKey(s.isPeer, peers))
+	all.Handle("/", requireKey(s.isOperator, s.operatorHandler()))
 	return all
 }
 
@@ -73,7 +73,7 @@
 
 func (s *Server) isOperator(key string) bool { return config.KeyMatches(key, s.Box.OperatorKeySHA256) }
 
-func (s *Server) operators() http.Handler { return operatorMux(s, s.Metrics) }
+func (s *Server) operatorHandler() http.Handler { return operatorMux(s, s.Metrics) }
 
 // operatorMux serves the connect service, the metrics and profiles.
 func operatorMux(h stoatrampv1connect.OperatorHandler, m *telemetry.Metrics) http.Handler {
@@ -89,11 +89,11 @@
 	return mux
 }
 
-// guard lets in only who has a key that may.
-func guard(may func(key string) bool, next http.Handler) http.Handler {
+// requireKey passes on only requests with an authorized key.
+func requireKey(authorized func(key string) bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		if !may(key) {
+		if !authorized(key) {
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(http.StatusUnauthorized)
 			_, _ = w.Write([]byte(`{"code":"unauthenticated","message":"the key is missing or wrong"}`))
@@ -103,12 +103,12 @@
 	})
 }
 
-// Status tells what the box sees and does.
+// Status returns the state of the box.
 func (s *Server) Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error) {
 	return connect.NewResponse(status(s.Box.Name, s.Box.Region, s.Box.Hall, s.Gateway)), nil
 }
 
-// Why explains a request.
+// Why explains how a request was routed and how it ended.
 func (s *Server) Why(ctx context.Context, r *connect.Request[v1.WhyRequest]) (*connect.Response[v1.WhyResponse], error) {
 	rec, err := s.findRecord(ctx, r.Msg.Id)
 	if errors.Is(err, archive.ErrNotFound) {
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, fmt.Errorf("the record of request %q is not on this box or a live peer, and the object store does not answer: %w", r.Msg.Id, err))
 	}
-	return why(rec)
+	return explain(rec)
 }
 
 // findRecord looks on this box, then on the box that served the request, then in
@@ -138,13 +138,13 @@
 // RecordsKept is how many records a box keeps in memory.
 const RecordsKept = 4096
 
-// force waits until all live boxes have the version in force, and names those that do not
-// have it in time.
-func (s *Server) force(ctx context.Context, version int64) *v1.ApplyConfigResponse {
+// awaitRollout waits until all live boxes have the version in force, and names those that do
+// not have it in time.
+func (s *Server) awaitRollout(ctx context.Context, version int64) *v1.ApplyConfigResponse {
 	behind := s.Peers.Serving()
 	boxes := 1 + len(behind)
-	resp := awaitForce(ctx, version, func() []string {
-		behind = s.Peers.Behind(ctx, version, behind) // Only those that were behind are asked again.
+	resp := pollRollout(ctx, version, func() []string {
+		behind = s.Peers.Behind(ctx, version, behind) // Only boxes that were behind are asked again.
 		if c := s.Gateway.Config(); c == nil || c.Version < version {
 			return append(slices.Clone(behind), s.Box.Name)
 		}
--- a/internal/ops/peers.go
+++ b/internal/ops/peers.go
@@ -13,7 +13,7 @@
 // peerServer answers the other boxes.
 type peerServer struct{ s *Server }
 
-// State tells how far this box is.
+// State returns this box's readiness and configuration version.
 func (p *peerServer) State(context.Context, *connect.Request[v1.StateRequest]) (*connect.Response[v1.StateResponse], error) {
 	out := &v1.StateResponse{Box: p.s.Box.Name, Incarnation: p.s.Incarnation, Ready: p.s.Gateway.Ready()}
 	if c := p.s.Gateway.Config(); c != nil {
@@ -22,7 +22,7 @@
 	return connect.NewResponse(out), nil
 }
 
-// PassConfig passes on the version in force here, which the table has accepted.
+// PassConfig returns the version in force here, which the table has accepted.
 func (p *peerServer) PassConfig(_ context.Context, r *connect.Request[v1.PassConfigRequest]) (*connect.Response[v1.PassConfigResponse], error) {
 	out := &v1.PassConfigResponse{}
 	if c := p.s.Gateway.Config(); c != nil {
@@ -47,14 +47,14 @@
 	return connect.NewResponse(&v1.GetRecordResponse{RecordJson: string(b)}), nil
 }
 
-// Grant gives a box its shares of the limits of clients whose home is this box.
+// Grant assigns another box its shares of the limits of the clients that this box owns.
 func (p *peerServer) Grant(_ context.Context, r *connect.Request[v1.GrantRequest]) (*connect.Response[v1.GrantResponse], error) {
 	demands := make([]limit.Demand, len(r.Msg.Demands))
 	for i, d := range r.Msg.Demands {
 		demands[i] = limit.Demand{Client: d.Client, Requests: float64(d.Requests)}
 	}
 	out := &v1.GrantResponse{}
-	for _, s := range p.s.Grants.Hear(r.Msg.Box, demands) {
+	for _, s := range p.s.Grants.HandleDemands(r.Msg.Box, demands) {
 		out.Parts = append(out.Parts, float32(s.Part))
 	}
 	return connect.NewResponse(out), nil
--- a/internal/ops/relay.go
+++ b/internal/ops/relay.go
@@ -18,30 +18,30 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// RelayServer answers the operators of a box on the platform. Routes and endpoints are the
-// platform's; the configuration here is what is left to say: policies, rules, operators.
+// RelayServer answers the operators of a box on the platform. The platform configures routes and
+// endpoints; the shared configuration here holds only policies, rules and operators.
 type RelayServer struct {
 	Versions
 	Name, Region, Hall string
-	Relay              Rules
+	Relay              RelayState
 	Records            *record.Ring
 	Archive            *archive.ByTime
 	Metrics            *telemetry.Metrics
-	// Operator tells whether a key lets its bearer in.
+	// Operator reports whether a key is authorized.
 	Operator func(key string) bool
-	// OpenMetrics lets everybody who reaches the address read the metrics.
+	// OpenMetrics serves the metrics without a key.
 	OpenMetrics bool
 	// Stop starts a planned stop and does not wait for it.
 	Stop func()
-	// NearLimit tells which client accounts whose home the box is have little left of what they may
-	// have at once, with the share that is left; nil if that is not known.
+	// NearLimit returns the client accounts owned by this box that have little
+	// of their burst capacity left, with the share that is left. It is nil if that is not known.
 	NearLimit func() map[string]float64
 }
 
-// Rules is a box that follows the shared configuration.
-type Rules interface {
-	Serving
-	// PolicyVersion is the version of it in force; 0 before the first.
+// RelayState is the state of a box that follows the shared configuration.
+type RelayState interface {
+	BoxState
+	// PolicyVersion is the version of the policies in force; 0 before the first.
 	PolicyVersion() int64
 }
 
@@ -50,7 +50,7 @@
 // Handler serves everything on the operators' address.
 func (s *RelayServer) Handler() http.Handler {
 	mux := operatorMux(s, s.Metrics)
-	guarded := guard(s.Operator, mux)
+	guarded := requireKey(s.Operator, mux)
 	if !s.OpenMetrics {
 		return guarded
 	}
@@ -60,36 +60,36 @@
 	return all
 }
 
-// Status tells what the box sees and does.
+// Status returns the state of the box.
 func (s *RelayServer) Status(context.Context, *connect.Request[v1.StatusRequest]) (*connect.Response[v1.StatusResponse], error) {
 	out := status(s.Name, s.Region, s.Hall, s.Relay)
 	if v := s.Relay.PolicyVersion(); v > 0 {
 		out.Notes = append(out.Notes, fmt.Sprintf("policies and operators of version %d are in force", v))
 	}
 	if s.NearLimit != nil {
-		out.Notes = append(out.Notes, nearLimit(s.NearLimit())...)
+		out.Notes = append(out.Notes, nearLimitNotes(s.NearLimit())...)
 	}
 	return connect.NewResponse(out), nil
 }
 
-// mostNear bounds the accounts that a status names.
-const mostNear = 10
+// maxNearLimitNotes bounds the accounts that a status names.
+const maxNearLimitNotes = 10
 
-// nearLimit says which client accounts have least left of what they may have at once.
-func nearLimit(left map[string]float64) (out []string) {
+// nearLimitNotes describes the client accounts with the smallest share of their burst capacity left.
+func nearLimitNotes(left map[string]float64) (out []string) {
 	names := slices.SortedFunc(maps.Keys(left), func(a, b string) int {
 		return cmp.Or(cmp.Compare(left[a], left[b]), cmp.Compare(a, b))
 	})
-	for _, name := range names[:min(len(names), mostNear)] {
+	for _, name := range names[:min(len(names), maxNearLimitNotes)] {
 		out = append(out, fmt.Sprintf("client account %s, whose home this box is, has %.0f%% of what it may have at once left", name, 100*left[name]))
 	}
 	return out
 }
 
 // ForceHere waits until an accepted version is in force on this box. Other boxes follow
-// the platform's store by themselves; this one does not know them, and so it names none.
+// the platform's store independently; this box does not know them and names none.
 func (s *RelayServer) ForceHere(ctx context.Context, version int64) *v1.ApplyConfigResponse {
-	return awaitForce(ctx, version, func() []string {
+	return pollRollout(ctx, version, func() []string {
 		if s.Relay.PolicyVersion() >= version {
 			return nil
 		}
@@ -97,10 +97,10 @@
 	})
 }
 
-// Why explains a request that this box served lately, or any box wrote the record of.
+// Why explains a request that this box served recently or whose record any box archived.
 func (s *RelayServer) Why(ctx context.Context, r *connect.Request[v1.WhyRequest]) (*connect.Response[v1.WhyResponse], error) {
 	if rec := s.Records.Get(r.Msg.Id); rec != nil {
-		return why(rec)
+		return explain(rec)
 	}
 	rec, err := s.Archive.Find(ctx, r.Msg.Id)
 	if errors.Is(err, archive.ErrNotFound) {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, fmt.Errorf("the record of request %q is not on this box, and the object store does not answer: %w", r.Msg.Id, err))
 	}
-	return why(rec)
+	return explain(rec)
 }
 
 // Drain starts a planned stop.
--- a/internal/ops/versions.go
+++ b/internal/ops/versions.go
@@ -13,12 +13,12 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// Versions are the calls about the shared configuration, which both kinds of box answer.
+// Versions implements the calls on the shared configuration, which are the same for both kinds of box.
 type Versions struct {
 	Store *control.Store
-	// Check returns what is wrong with a text; nil if nothing is.
+	// Check returns the problems of a text, or nil.
 	Check func(text string) error
-	// Force waits until an accepted version is in force and says where it is.
+	// Force waits until an accepted version is in force and reports where it is not.
 	Force func(ctx context.Context, version int64) *v1.ApplyConfigResponse
 }
 
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// ApplyConfig accepts a text.
+// ApplyConfig checks and stores a text as the next version, then waits for its rollout.
 func (s *Versions) ApplyConfig(ctx context.Context, r *connect.Request[v1.ApplyConfigRequest]) (*connect.Response[v1.ApplyConfigResponse], error) {
 	if problems := s.problems(r.Msg.Text); len(problems) > 0 {
 		return connect.NewResponse(&v1.ApplyConfigResponse{Problems: problems}), nil
@@ -88,23 +88,23 @@
 }
 
 const (
-	// forceLimit is how long an accepted version may take to be in force everywhere.
-	forceLimit = 5 * time.Second
-	forcePause = 250 * time.Millisecond
+	// rolloutTimeout is how long an accepted version may take to be in force everywhere.
+	rolloutTimeout      = 5 * time.Second
+	rolloutPollInterval = 250 * time.Millisecond
 )
 
-// awaitForce asks every forcePause which boxes lag, until none does or forceLimit is over.
-func awaitForce(ctx context.Context, version int64, lagging func() []string) *v1.ApplyConfigResponse {
+// pollRollout asks every rolloutPollInterval which boxes lag, until none does or rolloutTimeout is over.
+func pollRollout(ctx context.Context, version int64, lagging func() []string) *v1.ApplyConfigResponse {
 	start := time.Now()
 	resp := &v1.ApplyConfigResponse{Version: version}
 	for {
 		resp.Missing = lagging()
 		resp.InForceMs = time.Since(start).Milliseconds()
-		if len(resp.Missing) == 0 || time.Since(start) > forceLimit {
+		if len(resp.Missing) == 0 || time.Since(start) > rolloutTimeout {
 			return resp
 		}
 		select {
-		case <-time.After(forcePause):
+		case <-time.After(rolloutPollInterval):
 		case <-ctx.Done():
 			return resp
 		}
--- a/internal/peer/grants.go
+++ b/internal/peer/grants.go
@@ -14,26 +14,26 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// Grants keeps a box's shares of its clients' limits up to date, and gives other
-// boxes theirs where this box is the client's home.
+// Grants keeps a box's shares of its clients' limits up to date, and assigns shares
+// to other boxes for the clients that this box owns.
 type Grants struct {
 	peers *Peers
 	table *limit.Table
 
-	mu   sync.Mutex
-	home *limit.Home
+	mu    sync.Mutex
+	owner *limit.Home
 }
 
 // NewGrants returns the grants of a box.
 func NewGrants(p *Peers, t *limit.Table) *Grants {
-	return &Grants{peers: p, table: t, home: limit.NewHome()}
+	return &Grants{peers: p, table: t, owner: limit.NewHome()}
 }
 
 const (
-	// grantEvery is how often demands are told, slower in proportion with more than
-	// listSmall boxes, up to grantSlowest.
-	grantEvery   = time.Second
-	grantSlowest = 5
+	// grantInterval is how often demands are reported. With more than smallListSize
+	// boxes the interval grows in proportion, by a factor of up to maxGrantSlowdown.
+	grantInterval    = time.Second
+	maxGrantSlowdown = 5
 )
 
 // Run exchanges demands for shares until ctx ends.
@@ -42,7 +42,7 @@
 	for {
 		others := len(g.peers.Others())
 		select {
-		case <-time.After(grantEvery * time.Duration(min(grantSlowest, max(1, others/listSmall)))):
+		case <-time.After(grantInterval * time.Duration(min(maxGrantSlowdown, max(1, others/smallListSize)))):
 		case <-ctx.Done():
 			return
 		}
@@ -52,39 +52,39 @@
 	}
 }
 
-// Exchange tells each home the demands of its clients, and puts the answers in force.
-// Where a home does not answer, the careful default stands: one of all boxes' parts.
+// Exchange reports demands to the owner of each client and applies the shares returned.
+// If an owner does not answer, the default share of 1/(number of boxes) applies.
 func (g *Grants) Exchange(ctx context.Context, since time.Duration) {
 	boxes := g.peers.Others()
 	g.table.SetDefault(1 / float64(1+len(boxes)))
-	byHome := map[string][]limit.Demand{}
+	demandsByOwner := map[string][]limit.Demand{}
 	for _, d := range g.table.Demands(since) {
-		home := homeOf(g.peers.self, boxes, d.Client)
-		byHome[home] = append(byHome[home], d)
+		owner := ownerOf(g.peers.self, boxes, d.Client)
+		demandsByOwner[owner] = append(demandsByOwner[owner], d)
 	}
 	var wg sync.WaitGroup
 	for _, b := range boxes {
-		if demands := byHome[b.Name]; len(demands) > 0 {
-			wg.Go(func() { g.ask(ctx, b, demands) })
+		if demands := demandsByOwner[b.Name]; len(demands) > 0 {
+			wg.Go(func() { g.requestShares(ctx, b, demands) })
 		}
 	}
-	for _, s := range g.Hear(g.peers.self, byHome[g.peers.self]) {
+	for _, s := range g.HandleDemands(g.peers.self, demandsByOwner[g.peers.self]) {
 		g.table.SetShare(s)
 	}
 	wg.Wait()
 }
 
-// Hear takes the demands of a box as the home of its clients.
-func (g *Grants) Hear(box string, demands []limit.Demand) []limit.Share {
+// HandleDemands takes the demands of a box as the owner of its clients and returns the box's shares.
+func (g *Grants) HandleDemands(box string, demands []limit.Demand) []limit.Share {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	g.home.Forget(now)
-	return g.home.Hear(now, box, demands)
+	g.owner.Forget(now)
+	return g.owner.Hear(now, box, demands)
 }
 
-func (g *Grants) ask(ctx context.Context, b platform.BoxInfo, demands []limit.Demand) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+func (g *Grants) requestShares(ctx context.Context, b platform.BoxInfo, demands []limit.Demand) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req := &v1.GrantRequest{Box: g.peers.self}
 	for _, d := range demands {
@@ -100,13 +100,13 @@
 	}
 }
 
-// homeOf picks a client's home by rendezvous hashing: when a box comes or goes only
-// its own clients move.
-func homeOf(self string, boxes []platform.BoxInfo, client string) string {
-	best, most := self, xxhash.Sum64String(self+"\x00"+client)
+// ownerOf selects a client's owner by rendezvous hashing: when a box is added or removed,
+// only the clients it owns move.
+func ownerOf(self string, boxes []platform.BoxInfo, client string) string {
+	best, bestHash := self, xxhash.Sum64String(self+"\x00"+client)
 	for _, b := range boxes {
-		if h := xxhash.Sum64String(b.Name + "\x00" + client); h > most {
-			best, most = b.Name, h
+		if h := xxhash.Sum64String(b.Name + "\x00" + client); h > bestHash {
+			best, bestHash = b.Name, h
 		}
 	}
 	return best
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer is how boxes know of each other and talk: a list of boxes that the
-// platform keeps and that lags, corrected by direct contact. Boxes pass on only what
-// the platform's table has accepted; nothing is agreed between them.
+// Package peer is the communication between boxes. The platform's list of boxes lags and
+// is corrected by direct calls. Boxes pass on only what the platform's table has accepted;
+// there is no agreement protocol between them.
 package peer
 
 import (
@@ -22,17 +22,17 @@
 )
 
 const (
-	// listEvery is how often the platform's list of boxes is read when it has up to
-	// listSmall entries. A longer list is read less often in proportion, so that the
-	// bytes a second a box spends on it stay the same.
-	listEvery = 2 * time.Second
-	listSmall = 8
-	// callLimit bounds one call to a peer.
-	callLimit = time.Second
-	// askedAtOnce bounds the peers called at the same time.
-	askedAtOnce = 16
-	// configPeers is how many peers a box asks for a configuration in one go.
-	configPeers = 3
+	// listInterval is how often the platform's list of boxes is read when it has up to
+	// smallListSize entries. A longer list is read less often in proportion, which keeps
+	// the bandwidth per box constant.
+	listInterval  = 2 * time.Second
+	smallListSize = 8
+	// callTimeout bounds one call to a peer.
+	callTimeout = time.Second
+	// maxConcurrentCalls bounds the peers called at the same time.
+	maxConcurrentCalls = 16
+	// maxConfigPeers bounds the peers that one call of Config asks.
+	maxConfigPeers = 3
 )
 
 // Lister reads the platform's list of boxes.
@@ -40,12 +40,12 @@
 	Boxes(ctx context.Context) ([]platform.BoxInfo, error)
 }
 
-// Peers is what one box knows of the others.
+// Peers is one box's view of the other boxes.
 type Peers struct {
-	self string
-	key  string
-	list Lister
-	hc   *http.Client
+	self   string
+	key    string
+	lister Lister
+	hc     *http.Client
 
 	mu    sync.Mutex
 	boxes []platform.BoxInfo
@@ -53,29 +53,29 @@
 
 // New returns the peers of a box; the list is empty until Run has read it.
 func New(self, key string, list Lister, hc *http.Client) *Peers {
-	return &Peers{self: self, key: key, list: list, hc: hc}
+	return &Peers{self: self, key: key, lister: list, hc: hc}
 }
 
-// Run keeps the list up to date until ctx ends. While it cannot be read the last
-// one stands: a box that is gone just does not answer.
+// Run keeps the list up to date until ctx ends. While the list cannot be read, the last
+// one stays in use: calls to a box that is gone just fail.
 func (p *Peers) Run(ctx context.Context) {
 	for {
 		p.Refresh(ctx)
 		select {
-		case <-time.After(p.pause()):
+		case <-time.After(p.refreshInterval()):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (p *Peers) pause() time.Duration {
-	return listEvery * time.Duration(max(1, len(p.Others())/listSmall))
+func (p *Peers) refreshInterval() time.Duration {
+	return listInterval * time.Duration(max(1, len(p.Others())/smallListSize))
 }
 
 // Refresh reads the list once.
 func (p *Peers) Refresh(ctx context.Context) {
-	boxes, err := p.list.Boxes(ctx)
+	boxes, err := p.lister.Boxes(ctx)
 	if err != nil {
 		return
 	}
@@ -86,7 +86,7 @@
 	p.boxes = boxes
 }
 
-// Others lists the other boxes, by name.
+// Others returns the other boxes, sorted by name.
 func (p *Peers) Others() []platform.BoxInfo {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -110,12 +110,12 @@
 // ErrNoPeer means that no peer could help.
 var ErrNoPeer = errors.New("no peer answered")
 
-// Config asks a few random peers for a configuration newer than known. It returns
-// the newest; ErrNoPeer if none of them answered or had a newer one.
+// Config asks a few random peers for a configuration newer than known and returns the
+// newest. It returns ErrNoPeer if none of them answered or had a newer one.
 func (p *Peers) Config(ctx context.Context, known int64) (version int64, text string, err error) {
 	boxes := p.Others()
 	rand.Shuffle(len(boxes), func(i, j int) { boxes[i], boxes[j] = boxes[j], boxes[i] })
-	for _, b := range boxes[:min(configPeers, len(boxes))] {
+	for _, b := range boxes[:min(maxConfigPeers, len(boxes))] {
 		got, err := p.passConfig(ctx, b, known)
 		if err == nil && got.Version > max(known, version) && got.Text != "" {
 			version, text = got.Version, got.Text
@@ -128,7 +128,7 @@
 }
 
 func (p *Peers) passConfig(ctx context.Context, b platform.BoxInfo, known int64) (*v1.PassConfigResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := p.client(b).PassConfig(ctx, connect.NewRequest(&v1.PassConfigRequest{Known: known}))
 	if err != nil {
@@ -137,7 +137,7 @@
 	return resp.Msg, nil
 }
 
-// Serving names the other boxes that take requests.
+// Serving returns the names of the other boxes that are not leaving.
 func (p *Peers) Serving() []string {
 	var names []string
 	for _, b := range p.Others() {
@@ -148,14 +148,14 @@
 	return names
 }
 
-// Behind asks the boxes of these names and returns those that do not have the
-// version in force. One that does not answer counts as behind, since it may only be
-// cut off.
+// Behind asks the named boxes and returns those that do not have the version in force.
+// A box that does not answer counts as behind, since it may be unreachable but still
+// serving.
 func (p *Peers) Behind(ctx context.Context, version int64, names []string) []string {
 	var mu sync.Mutex
 	var behind []string
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, askedAtOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for _, b := range p.Others() {
 		if !slices.Contains(names, b.Name) {
 			continue
@@ -176,7 +176,7 @@
 }
 
 func (p *Peers) version(ctx context.Context, b platform.BoxInfo) int64 {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := p.client(b).State(ctx, connect.NewRequest(&v1.StateRequest{}))
 	if err != nil {
@@ -185,14 +185,14 @@
 	return resp.Msg.ConfigVersion
 }
 
-// Record asks the box that an id begins with for its record; empty if it is gone
-// or does not have it.
+// Record asks the box named by the prefix of a request id for its record. It returns an
+// empty text if that box is gone or does not have the record.
 func (p *Peers) Record(ctx context.Context, id string) string {
 	for _, b := range p.Others() {
 		if !strings.HasPrefix(id, b.Name+"-") {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, callLimit)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		resp, err := p.client(b).GetRecord(ctx, connect.NewRequest(&v1.GetRecordRequest{Id: id}))
 		if err == nil && resp.Msg.RecordJson != "" {
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -23,11 +23,11 @@
 	BoxesPath  = "/boxes"
 )
 
-// Errors a caller acts on. Every other error means that the service did not
+// Errors a caller acts on. Any other error means that the service did not
 // answer, and that a write may or may not have taken effect.
 var (
 	ErrNotFound = errors.New("platform: no such row")
-	// ErrUnchanged answers a conditional read of a version that is still current.
+	// ErrUnchanged is the result of a conditional read of a version that is still current.
 	ErrUnchanged = errors.New("platform: unchanged")
 	// ErrConflict means that the write did not take effect: the row has another version.
 	ErrConflict = errors.New("platform: the row has another version")
@@ -38,8 +38,8 @@
 	Key string `json:"key"`
 	// Version grows by one with every write; 0 means that the row does not exist.
 	Version int64 `json:"version"`
-	// Token is the writer's own, so that a writer whose answer was lost can tell
-	// whether the row is its work.
+	// Token is chosen by the writer, so that a writer whose answer was lost can tell
+	// whether the row is its own write.
 	Token string `json:"token"`
 	Value string `json:"value"`
 }
@@ -60,8 +60,8 @@
 }
 
 const (
-	callLimit = 2 * time.Second
-	maxRow    = 16 << 20
+	callTimeout      = 2 * time.Second
+	maxResponseBytes = 16 << 20
 )
 
 // Client calls the platform. It is safe for concurrent use.
@@ -71,14 +71,14 @@
 	hc   *http.Client
 }
 
-// NewClient returns a client of the services at base. The HTTP library sends a
-// write again only if it wrote nothing of it, because none carries an
-// Idempotency-Key; a lost answer is therefore always seen as an error here.
+// NewClient returns a client of the services at base. The HTTP library retries
+// a write only if it had sent nothing of it, because no write carries an
+// Idempotency-Key; a lost answer is therefore always reported as an error.
 func NewClient(base, key string) *Client {
-	return NewClientThrough(base, key, (&net.Dialer{Timeout: callLimit}).DialContext)
+	return NewClientThrough(base, key, (&net.Dialer{Timeout: callTimeout}).DialContext)
 }
 
-// NewClientThrough is NewClient with another way to dial, so that bytes can be counted.
+// NewClientThrough is NewClient with a custom dial function, for instance one that counts bytes.
 func NewClientThrough(base, key string, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *Client {
 	return &Client{base: base, key: key, hc: &http.Client{Transport: &http.Transport{
 		DialContext: dial, MaxIdleConnsPerHost: 8, IdleConnTimeout: time.Minute,
@@ -86,7 +86,7 @@
 }
 
 func (c *Client) do(ctx context.Context, method, path string, body []byte, header http.Header) (int, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -103,7 +103,7 @@
 		return 0, nil, fmt.Errorf("platform: %w", err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxRow))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("platform: %w", err)
 	}
@@ -158,7 +158,7 @@
 	return row.Version, nil
 }
 
-// Boxes reads the list of boxes, which lags behind what is true.
+// Boxes reads the list of boxes, which lags behind the actual state.
 func (c *Client) Boxes(ctx context.Context) ([]BoxInfo, error) {
 	status, b, err := c.do(ctx, http.MethodGet, BoxesPath, nil, nil)
 	if err != nil {
