--- a/cmd/stoatrampd/demo.go
+++ b/cmd/stoatrampd/demo.go
@@ -12,8 +12,8 @@
 )
 
 type demoCmd struct {
-	Callers   string `help:"Address for callers." default:"127.0.0.1:0"`
-	Operators string `help:"Address for operators." default:"127.0.0.1:0"`
+	Callers   string `help:"The box's caller address." default:"127.0.0.1:0"`
+	Operators string `help:"The box's operator address." default:"127.0.0.1:0"`
 	Platform  bool   `help:"Run the box on a stand-in of the platform."`
 }
 
--- a/internal/bench/admin.go
+++ b/internal/bench/admin.go
@@ -8,16 +8,16 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// siteAdmin tells the stand-ins to fail and what they saw.
+// siteAdmin serves the admin address of a site: it starts and ends an outage and reports the engines' state.
 type siteAdmin struct {
 	site  *demo.Site
 	boxes []platform.BoxInfo
 }
 
-// siteReport is what the engines saw and hold.
+// siteReport is what the engines received and what they have reserved.
 type siteReport struct {
-	Results int `json:"prefill_results_held"`
-	Tokens  int `json:"decode_tokens_held"`
+	PrefillResults int `json:"prefill_results_held"`
+	DecodeTokens   int `json:"decode_tokens_held"`
 	// Prompts counts the prefills of each prompt, by its hash.
 	Prompts map[uint64]int `json:"prompts"`
 }
@@ -39,8 +39,8 @@
 	rep := siteReport{Prompts: map[uint64]int{}}
 	for _, e := range append(a.site.Prefills, a.site.Decodes...) {
 		results, tokens := e.Held()
-		rep.Results += results
-		rep.Tokens += tokens
+		rep.PrefillResults += results
+		rep.DecodeTokens += tokens
 		for p, n := range e.Seen().Prompts {
 			rep.Prompts[p] += n
 		}
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -10,11 +10,11 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// rule is how a baseline chooses engines.
-type rule uint8
+// selectionRule is how a baseline selects engines.
+type selectionRule uint8
 
 const (
-	roundRobin rule = iota
+	roundRobin selectionRule = iota
 	leastLoaded
 	randomTwo
 	affinityOnly
@@ -22,17 +22,17 @@
 
 var ruleNames = [...]string{"round robin", "least loaded", "random two", "prefix affinity"}
 
-// baseline is a router as it is usually built: it chooses each engine by itself
-// when the request arrives, sends at once, holds nothing, refuses nothing, and
-// tries a failed request once more.
+// baseline is a conventional router: it selects each engine independently
+// when the request arrives, sends at once, reserves nothing, refuses nothing, and
+// retries a failed request once.
 type baseline struct {
-	rule     rule
-	rng      *rand.Rand
-	prefills []string
-	decodes  []string
-	reports  map[string]decide.Report
-	turn     int
-	flights  map[decide.ID]*baseFlight
+	rule      selectionRule
+	rng       *rand.Rand
+	prefills  []string
+	decodes   []string
+	reports   map[string]decide.Report
+	nextIndex int
+	flights   map[decide.ID]*baseFlight
 }
 
 type baseFlight struct {
@@ -44,11 +44,11 @@
 	retried         bool
 }
 
-func newBaseline(r rule, seed uint64) *baseline {
+func newBaseline(r selectionRule, seed uint64) *baseline {
 	return &baseline{rule: r, rng: rand.New(rand.NewPCG(seed, 3)), reports: map[string]decide.Report{}, flights: map[decide.ID]*baseFlight{}}
 }
 
-// Step implements stepper.
+// Step implements decider.
 func (b *baseline) Step(_ time.Time, ev decide.Event) []decide.Action {
 	switch ev := ev.(type) {
 	case decide.Fleet:
@@ -90,17 +90,17 @@
 	if len(f.Blocks) > 0 {
 		prefix = f.Blocks[0]
 	}
-	f.prefill = b.pick(b.prefills, prefix, func(r decide.Report) int { return r.QueuedTokens })
-	f.decode = b.pick(b.decodes, 0, func(r decide.Report) int { return r.Streams })
+	f.prefill = b.selectEngine(b.prefills, prefix, func(r decide.Report) int { return r.QueuedTokens })
+	f.decode = b.selectEngine(b.decodes, 0, func(r decide.Report) int { return r.Streams })
 	return []decide.Action{decide.StartPrefill{ID: f.ID, Attempt: f.attempt, Prefill: f.prefill, Decode: f.decode, Priority: int(f.ID)}}
 }
 
-func (b *baseline) pick(names []string, prefix uint64, load func(decide.Report) int) string {
+func (b *baseline) selectEngine(names []string, prefix uint64, load func(decide.Report) int) string {
 	byLoad := func(x, y string) int { return cmp.Compare(load(b.reports[x]), load(b.reports[y])) }
 	switch {
 	case b.rule == roundRobin:
-		b.turn++
-		return names[b.turn%len(names)]
+		b.nextIndex++
+		return names[b.nextIndex%len(names)]
 	case b.rule == leastLoaded:
 		return slices.MinFunc(names, byLoad)
 	case b.rule == affinityOnly && prefix != 0:
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -15,48 +15,48 @@
 	"github.com/stoatramp/stoatramp/internal/policy"
 )
 
-// CompareCmd runs all routers over the same arrivals.
+// CompareCmd runs all routers on the same arrivals.
 type CompareCmd struct {
 	Mix    string        `default:"kalbarri,norrvik" help:"Workloads: kalbarri, norrvik, letter."`
-	Loads  string        `default:"0.5,0.8,0.95,1.1,1.3" help:"Loads, as shares of the knee."`
-	Length time.Duration `default:"60s" help:"Length of the arrivals."`
+	Loads  string        `default:"0.5,0.8,0.95,1.1,1.3" help:"Loads, as shares of the site's saturation rate."`
+	Length time.Duration `default:"60s" help:"How long requests arrive."`
 	Seed   uint64        `default:"1" help:"The same seed gives the same figures."`
 	Fault  string        `default:"none" help:"none, prefill-dies, decode-dies, link, frozen, third, cancels, two, all, burst."`
 	Boxes  int           `default:"1" help:"How many boxes share the arrivals, each with its own decisions."`
-	Policy string        `help:"A policy program for our own router." type:"existingfile" optional:""`
+	Policy string        `help:"A policy program for the stoatramp router." type:"existingfile" optional:""`
 	Only   string        `help:"Run only this router."`
 	JSON   bool          `name:"json" help:"Print JSON."`
 }
 
-// Result is what one router came to.
+// Result is the result of one router.
 type Result struct {
-	Mix      string         `json:"mix"`
-	Load     float64        `json:"load"`
-	Router   string         `json:"router"`
-	Fault    string         `json:"fault"`
-	Arrivals int            `json:"arrivals"`
-	Good     int            `json:"good"`
-	Bound    int            `json:"bound"`
-	Answered int            `json:"answered"`
-	Refused  int            `json:"refused_not_run"`
-	Lost     int            `json:"lost"`
-	Gone     int            `json:"cancelled"`
-	Moves    int            `json:"moves"`
-	Retries  int            `json:"retries"`
-	Read     int            `json:"prefill_tokens"`
-	Wasted   int            `json:"wasted_tokens"`
-	First50  float64        `json:"first_p50_ms"`
-	First95  float64        `json:"first_p95_ms"`
-	Gap95    float64        `json:"between_p95_ms"`
-	Ends     map[string]int `json:"ends"`
-	// Kinds is the share of each client's requests that were good.
-	Kinds map[string]float64 `json:"good_by_client"`
-	// ByTime is the goodput of each second, as a share of that second's arrivals.
-	ByTime []float64 `json:"by_second"`
+	Mix           string         `json:"mix"`
+	Load          float64        `json:"load"`
+	Router        string         `json:"router"`
+	Fault         string         `json:"fault"`
+	Arrivals      int            `json:"arrivals"`
+	Good          int            `json:"good"`
+	Bound         int            `json:"bound"`
+	Answered      int            `json:"answered"`
+	Refused       int            `json:"refused_not_run"`
+	Lost          int            `json:"lost"`
+	Cancelled     int            `json:"cancelled"`
+	Moves         int            `json:"moves"`
+	Retries       int            `json:"retries"`
+	PrefillTokens int            `json:"prefill_tokens"`
+	WastedTokens  int            `json:"wasted_tokens"`
+	FirstP50MS    float64        `json:"first_p50_ms"`
+	FirstP95MS    float64        `json:"first_p95_ms"`
+	BetweenP95MS  float64        `json:"between_p95_ms"`
+	EndReasons    map[string]int `json:"ends"`
+	// GoodByClient is the share of each client's requests that met both targets.
+	GoodByClient map[string]float64 `json:"good_by_client"`
+	// GoodBySecond is the goodput of each second, as a share of that second's arrivals.
+	GoodBySecond []float64 `json:"by_second"`
 
-	firsts, gaps []time.Duration
-	goodAt       []time.Duration
-	goodIDs      map[decide.ID]bool
+	firstTokens, tokenGaps []time.Duration
+	goodAt                 []time.Duration
+	goodIDs                map[decide.ID]bool
 }
 
 func (c *CompareCmd) routers() []string {
@@ -77,7 +77,7 @@
 		if !strings.Contains(","+c.Mix+",", ","+m.name+",") {
 			continue
 		}
-		knee := m.knee()
+		saturation := m.saturationRate()
 		for _, fault := range faults {
 			for load := range strings.SplitSeq(c.Loads, ",") {
 				var share float64
@@ -85,7 +85,7 @@
 					return fmt.Errorf("--loads: %q is not a number", load)
 				}
 				for _, name := range c.routers() {
-					res, err := c.one(&m, knee, share, fault, name)
+					res, err := c.runOne(&m, saturation, share, fault, name)
 					if err != nil {
 						return err
 					}
@@ -101,17 +101,17 @@
 	return nil
 }
 
-func (c *CompareCmd) one(m *mix, knee, share float64, fault, router string) (Result, error) {
+func (c *CompareCmd) runOne(m *mix, saturation, share float64, fault, router string) (Result, error) {
 	cancels := 0.0
 	if fault == "cancels" || fault == "two" {
 		cancels = 0.1
 	}
-	reqs := m.arrivals(c.Seed, knee*share, c.Length, cancels)
+	reqs := m.arrivals(c.Seed, saturation*share, c.Length, cancels)
 	if fault == "burst" {
-		reqs = m.withBurst(c.Seed, reqs, knee*share, c.Length)
+		reqs = m.withBurst(c.Seed, reqs, saturation*share, c.Length)
 	}
-	r := newRun(m)
-	r.res = Result{Mix: m.name, Load: share, Router: router, Fault: fault, Arrivals: len(reqs), Ends: map[string]int{}, goodIDs: map[decide.ID]bool{}, Bound: m.bound(reqs, c.Length)}
+	r := newSimulation(m)
+	r.res = Result{Mix: m.name, Load: share, Router: router, Fault: fault, Arrivals: len(reqs), EndReasons: map[string]int{}, goodIDs: map[decide.ID]bool{}, Bound: m.bound(reqs, c.Length)}
 	for i := range c.Boxes {
 		s, err := c.router(router, c.Seed+uint64(i)*1000)
 		if err != nil {
@@ -122,15 +122,15 @@
 	if err := c.setPolicy(reqs); err != nil {
 		return Result{}, err
 	}
-	r.play(reqs, c.Seed, c.Length, fault)
-	r.sum(reqs, c.Length)
+	r.runArrivals(reqs, c.Seed, c.Length, fault)
+	r.summarize(reqs, c.Length)
 	return r.res, nil
 }
 
-func (c *CompareCmd) router(name string, seed uint64) (stepper, error) {
+func (c *CompareCmd) router(name string, seed uint64) (decider, error) {
 	for i, n := range ruleNames {
 		if n == name {
-			return newBaseline(rule(i), seed), nil
+			return newBaseline(selectionRule(i), seed), nil
 		}
 	}
 	if name == "stoatramp" {
@@ -157,45 +157,45 @@
 	return nil
 }
 
-func newRun(m *mix) *run {
+func newSimulation(m *mix) *simulation {
 	start := time.Unix(1800000000, 0)
-	r := &run{m: m, now: start, start: start, engines: map[string]*simEngine{}, flights: map[decide.ID]*simFlight{}}
+	r := &simulation{m: m, now: start, start: start, engines: map[string]*simEngine{}, flights: map[decide.ID]*simFlight{}}
 	for _, cfg := range m.fleet().Engines {
 		e := &simEngine{
-			r: r, name: cfg.Name, model: m.model, role: cfg.Role, free: m.model.KVTokens,
-			calls: map[callKey]*call{}, kept: map[callKey]*call{}, cache: map[uint64]int{},
+			r: r, name: cfg.Name, model: m.model, role: cfg.Role, freeKV: m.model.KVTokens,
+			calls: map[callKey]*call{}, results: map[callKey]*call{}, cache: map[uint64]int{},
 		}
 		r.engines[e.name] = e
-		r.order = append(r.order, e)
+		r.engineList = append(r.engineList, e)
 	}
 	return r
 }
 
-// play runs the arrivals to the end.
-func (r *run) play(reqs []*request, seed uint64, length time.Duration, fault string) {
+// runArrivals runs the simulation over the arrivals, and drainTime longer.
+func (r *simulation) runArrivals(reqs []*request, seed uint64, length time.Duration, fault string) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	for box := range r.boxes {
-		r.tell(box, r.m.fleet())
+		r.deliver(box, r.m.fleet())
 	}
 	for _, q := range reqs {
 		box := rng.IntN(len(r.boxes))
 		r.at(r.start.Add(q.at), func() { r.arrive(q, box) })
 	}
-	r.every(sampleEvery, func() {
-		for _, e := range r.order {
+	r.every(sampleInterval, func() {
+		for _, e := range r.engineList {
 			e.sample()
 		}
 	})
 	r.every(decide.TickEvery(), func() {
 		for box := range r.boxes {
-			r.tell(box, decide.Tick{})
+			r.deliver(box, decide.Tick{})
 		}
 	})
-	r.every(probeEngine, func() {
-		for _, e := range r.order {
+	r.every(probeInterval, func() {
+		for _, e := range r.engineList {
 			for box := range r.boxes {
 				if e.dead {
-					r.tell(box, decide.Silent{Engine: e.name})
+					r.deliver(box, decide.Silent{Engine: e.name})
 				} else {
 					e.report(box)
 				}
@@ -206,43 +206,43 @@
 	r.loop(r.start.Add(length + drainTime))
 }
 
-func (r *run) every(d time.Duration, do func()) {
+func (r *simulation) every(d time.Duration, do func()) {
 	r.after(d, func() {
 		do()
 		r.every(d, do)
 	})
 }
 
-func (r *run) arrive(q *request, box int) {
+func (r *simulation) arrive(q *request, box int) {
 	f := &simFlight{request: q, box: box, arrived: r.now}
 	r.flights[q.ID] = f
-	r.tell(box, decide.Arrive{Request: q.Request})
-	if q.cancel > 0 {
-		r.after(q.cancel, func() {
+	r.deliver(box, decide.Arrive{Request: q.Request})
+	if q.cancelAfter > 0 {
+		r.after(q.cancelAfter, func() {
 			if !f.ended {
 				f.ended = true
-				r.res.Gone++
-				r.wasteOf(f)
-				r.tell(box, decide.Cancel{ID: q.ID})
+				r.res.Cancelled++
+				r.countWaste(f)
+				r.deliver(box, decide.Cancel{ID: q.ID})
 			}
 		})
 	}
 }
 
-// sum works out the figures of the run.
-func (r *run) sum(reqs []*request, length time.Duration) {
+// summarize computes the figures of the run.
+func (r *simulation) summarize(reqs []*request, length time.Duration) {
 	for _, q := range reqs {
 		if f := r.flights[q.ID]; f != nil && !f.ended {
 			r.res.Lost++
-			r.res.Ends["unfinished"]++
-			r.wasteOf(f)
+			r.res.EndReasons["unfinished"]++
+			r.countWaste(f)
 		}
 	}
 	res := &r.res
-	res.First50 = ms(quantile(res.firsts, 0.5))
-	res.First95 = ms(quantile(res.firsts, 0.95))
-	res.Gap95 = ms(quantile(res.gaps, 0.95))
-	res.Kinds = goodByClient(reqs, res.goodIDs)
+	res.FirstP50MS = ms(quantile(res.firstTokens, 0.5))
+	res.FirstP95MS = ms(quantile(res.firstTokens, 0.95))
+	res.BetweenP95MS = ms(quantile(res.tokenGaps, 0.95))
+	res.GoodByClient = goodByClient(reqs, res.goodIDs)
 	n := int(length.Seconds())
 	arrived, good := make([]float64, n), make([]float64, n)
 	for _, q := range reqs {
@@ -256,7 +256,7 @@
 			good[i] /= arrived[i]
 		}
 	}
-	res.ByTime = good
+	res.GoodBySecond = good
 }
 
 func goodByClient(reqs []*request, good map[decide.ID]bool) map[string]float64 {
@@ -273,11 +273,11 @@
 	return all
 }
 
-// shares prints the clients' shares in a fixed order.
-func shares(kinds map[string]float64) string {
+// formatShares formats the clients' shares in alphabetical order.
+func formatShares(byClient map[string]float64) string {
 	var parts []string
-	for _, c := range slices.Sorted(maps.Keys(kinds)) {
-		parts = append(parts, fmt.Sprintf("%s %.3f", c, kinds[c]))
+	for _, c := range slices.Sorted(maps.Keys(byClient)) {
+		parts = append(parts, fmt.Sprintf("%s %.3f", c, byClient[c]))
 	}
 	return strings.Join(parts, ", ")
 }
@@ -287,8 +287,8 @@
 	fmt.Fprintln(t, "mix\tfault\tload\trouter\tarrivals\tgood\tof bound\tanswered\trefused\tlost\tcancelled\tmoves\tretries\twasted\tfirst p50\tfirst p95\tgap p95\tgood by client\t")
 	for _, r := range all {
 		fmt.Fprintf(t, "%s\t%s\t%.2f\t%s\t%d\t%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f%%\t%.0f ms\t%.0f ms\t%.1f ms\t%s\t\n",
-			r.Mix, r.Fault, r.Load, r.Router, r.Arrivals, r.Good, float64(r.Good)/float64(max(1, r.Bound)), r.Answered, r.Refused, r.Lost, r.Gone,
-			r.Moves, r.Retries, 100*float64(r.Wasted)/float64(max(1, r.Read)), r.First50, r.First95, r.Gap95, shares(r.Kinds))
+			r.Mix, r.Fault, r.Load, r.Router, r.Arrivals, r.Good, float64(r.Good)/float64(max(1, r.Bound)), r.Answered, r.Refused, r.Lost, r.Cancelled,
+			r.Moves, r.Retries, 100*float64(r.WastedTokens)/float64(max(1, r.PrefillTokens)), r.FirstP50MS, r.FirstP95MS, r.BetweenP95MS, formatShares(r.GoodByClient))
 	}
 	_ = t.Flush()
 }
--- a/internal/bench/drive.go
+++ b/internal/bench/drive.go
@@ -19,45 +19,45 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// DriveCmd loads several boxes as callers behind a balancer do, checks every
-// answer, and says what became of the requests.
+// DriveCmd sends load to several boxes as callers behind a load balancer do, checks every
+// answer, and counts the outcomes.
 type DriveCmd struct {
-	Name      string        `arg:"" help:"What to call this phase in the output."`
+	Name      string        `arg:"" help:"Name of this phase in the output."`
 	Boxes     int           `default:"8"`
 	FirstPort int           `default:"18100"`
-	Callers   int           `default:"40" help:"Callers at a time."`
+	Callers   int           `default:"40" help:"Concurrent callers."`
 	Tokens    int           `default:"100" help:"Tokens of each answer."`
 	Length    time.Duration `default:"20s"`
-	Once      float64       `default:"0.2" help:"Share of requests that may run once and have a key."`
+	Once      float64       `default:"0.2" help:"Share of requests that may run only once and have an idempotency key."`
 	Admin     string        `default:"127.0.0.1:18099"`
 
 	hc    *http.Client
 	ready atomic.Pointer[[]string]
 	salt  uint64
 
-	mu     sync.Mutex
-	counts driveCounts
-	once   map[uint64]bool // Prompts that may run once, by hash.
-	worst  time.Duration
+	mu      sync.Mutex
+	counts  outcomeCounts
+	once    map[uint64]bool // Prompts that may run once, by hash.
+	slowest time.Duration
 }
 
-// driveCounts is what became of the requests of a phase.
-type driveCounts struct {
-	Whole   int // Answered whole, its own answer.
-	Wrong   int // Ended like a whole answer and was not.
-	Cut     int // Broken in the middle, plainly.
-	Refused int // Refused as not run by every box tried.
-	Unknown int // May have run; not tried again.
-	Doubled int // One key answered twice.
-	Tries   int // Sent again to another box after a refusal as not run.
-	Reasons map[string]int
+// outcomeCounts counts the outcomes of a phase's requests.
+type outcomeCounts struct {
+	Complete      int // Answered completely, with its own answer.
+	Wrong         int // Ended like a complete answer, with the wrong content.
+	CutOff        int // Visibly cut off before the end.
+	Refused       int // Refused as not run by every box tried.
+	Unknown       int // May have run; not sent again.
+	AnsweredTwice int // One idempotency key answered twice.
+	Resent        int // Sent again to another box after a refusal as not run.
+	Reasons       map[string]int
 }
 
 var (
-	errNotRun  = errors.New("not run")
-	errUnknown = errors.New("may have run")
-	errCut     = errors.New("cut off")
-	errForged  = errors.New("not its own whole answer")
+	errNotRun      = errors.New("not run")
+	errUnknown     = errors.New("may have run")
+	errCut         = errors.New("cut off")
+	errWrongAnswer = errors.New("a complete answer with the wrong content")
 )
 
 // Run drives one phase.
@@ -67,10 +67,10 @@
 	c.counts.Reasons = map[string]int{}
 	ctx, cancel := context.WithTimeout(context.Background(), c.Length)
 	defer cancel()
-	c.balance()
+	c.refreshReady()
 	go func() {
 		for ctx.Err() == nil {
-			c.balance()
+			c.refreshReady()
 			time.Sleep(100 * time.Millisecond)
 		}
 	}()
@@ -78,7 +78,7 @@
 	for i := range c.Callers {
 		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				c.one(i, n)
+				c.runRequest(i, n)
 			}
 		})
 	}
@@ -86,8 +86,8 @@
 	return c.report()
 }
 
-// balance finds the boxes that are ready, as the platform's balancer does.
-func (c *DriveCmd) balance() {
+// refreshReady finds the boxes that are ready, as the platform's load balancer does.
+func (c *DriveCmd) refreshReady() {
 	var ready []string
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -117,8 +117,8 @@
 	c.ready.Store(&ready)
 }
 
-// one sends one request, to another box as long as it was not run.
-func (c *DriveCmd) one(caller, n int) {
+// runRequest sends one request, and sends it again to another box while it is refused as not run.
+func (c *DriveCmd) runRequest(caller, n int) {
 	prompt := fmt.Sprintf("%x caller %d question %d", c.salt, caller, n)
 	once := rand.Float64() < c.Once
 	if once {
@@ -127,34 +127,34 @@
 		c.once[standin.PromptHash(raw)] = true
 		c.mu.Unlock()
 	}
-	const tries = 20
+	const maxAttempts = 20
 	var err error
 	start := time.Now()
-	for range tries {
+	for range maxAttempts {
 		err = c.send(prompt, once)
 		if !errors.Is(err, errNotRun) {
 			break
 		}
-		c.count(func(d *driveCounts) { d.Tries++ })
+		c.count(func(d *outcomeCounts) { d.Resent++ })
 		time.Sleep(50 * time.Millisecond)
 	}
 	if err == nil && once {
-		// A caller that lost its answer asks again: the key must not be answered twice.
+		// A caller that lost its answer sends the request again: the key must not be answered twice.
 		if again := c.send(prompt, true); again == nil {
-			c.count(func(d *driveCounts) { d.Doubled++ })
+			c.count(func(d *outcomeCounts) { d.AnsweredTwice++ })
 		}
 	}
 	c.mu.Lock()
-	c.worst = max(c.worst, time.Since(start))
+	c.slowest = max(c.slowest, time.Since(start))
 	c.mu.Unlock()
-	c.count(func(d *driveCounts) {
+	c.count(func(d *outcomeCounts) {
 		switch {
 		case err == nil:
-			d.Whole++
-		case errors.Is(err, errForged):
+			d.Complete++
+		case errors.Is(err, errWrongAnswer):
 			d.Wrong++
 		case errors.Is(err, errCut):
-			d.Cut++
+			d.CutOff++
 		case errors.Is(err, errNotRun):
 			d.Refused++
 		default:
@@ -163,13 +163,13 @@
 	})
 }
 
-func (c *DriveCmd) count(fn func(*driveCounts)) {
+func (c *DriveCmd) count(fn func(*outcomeCounts)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fn(&c.counts)
 }
 
-// send asks one ready box.
+// send sends a request to a random ready box.
 func (c *DriveCmd) send(prompt string, once bool) error {
 	ready := *c.ready.Load()
 	if len(ready) == 0 {
@@ -187,30 +187,30 @@
 	resp, err := c.hc.Do(req)
 	if err != nil {
 		if strings.Contains(err.Error(), "refused") {
-			return errNotRun // Nobody listens there any more.
+			return errNotRun // No process listens there any more.
 		}
 		return errUnknown
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return c.refusal(resp)
+		return c.classifyRefusal(resp)
 	}
-	return c.read(resp, prompt)
+	return c.readAnswer(resp, prompt)
 }
 
-func (c *DriveCmd) refusal(resp *http.Response) error {
+func (c *DriveCmd) classifyRefusal(resp *http.Response) error {
 	var e struct {
 		Error struct{ Reason, Run string }
 	}
 	_ = json.NewDecoder(resp.Body).Decode(&e)
-	c.count(func(d *driveCounts) { d.Reasons[e.Error.Reason]++ })
+	c.count(func(d *outcomeCounts) { d.Reasons[e.Error.Reason]++ })
 	if e.Error.Run == "not_run" && !strings.HasPrefix(e.Error.Reason, "key_") {
 		return errNotRun
 	}
 	return errUnknown
 }
 
-func (c *DriveCmd) read(resp *http.Response, prompt string) error {
+func (c *DriveCmd) readAnswer(resp *http.Response, prompt string) error {
 	var text strings.Builder
 	sc := bufio.NewScanner(resp.Body)
 	for sc.Scan() {
@@ -223,17 +223,17 @@
 			continue
 		}
 		if text.String() != standin.Answer(prompt, c.Tokens) {
-			return errForged
+			return errWrongAnswer
 		}
 		return nil
 	}
 	return errCut
 }
 
-// report prints the counts, and what the engines saw and still hold.
+// report prints the outcomes, the runs that the engines saw, and the memory they still have reserved.
 func (c *DriveCmd) report() error {
 	var rep siteReport
-	freed := time.Now()
+	start := time.Now()
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 		resp, err := c.hc.Get("http://" + c.Admin + "/report")
 		if err != nil {
@@ -245,18 +245,18 @@
 		if err != nil {
 			return err
 		}
-		if rep.Results+rep.Tokens == 0 || time.Now().After(end) {
+		if rep.PrefillResults+rep.DecodeTokens == 0 || time.Now().After(end) {
 			break
 		}
 	}
-	twice := 0
+	ranTwice := 0
 	for p := range c.once {
 		if rep.Prompts[p] > 1 {
-			twice++
+			ranTwice++
 		}
 	}
 	d := c.counts
 	fmt.Printf("%s: whole %d, wrong %d, cut off %d, refused by all %d, may have run %d; keys answered twice %d; run-once requests run twice %d of %d; tried on another box %d; slowest %.1f s; all engine memory free %.1f s after the last answer (held: %d results, %d tokens); refusals %v\n",
-		c.Name, d.Whole, d.Wrong, d.Cut, d.Refused, d.Unknown, d.Doubled, twice, len(c.once), d.Tries, c.worst.Seconds(), time.Since(freed).Seconds(), rep.Results, rep.Tokens, d.Reasons)
+		c.Name, d.Complete, d.Wrong, d.CutOff, d.Refused, d.Unknown, d.AnsweredTwice, ranTwice, len(c.once), d.Resent, c.slowest.Seconds(), time.Since(start).Seconds(), rep.PrefillResults, rep.DecodeTokens, d.Reasons)
 	return nil
 }
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -7,20 +7,20 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// faultNames are the faults of a comparison with --fault all.
+// faultNames are the faults run by --fault all.
 var faultNames = []string{"none", "prefill-dies", "decode-dies", "link", "frozen", "third", "cancels", "two"}
 
-// faultLength is how long a passing fault lasts.
+// faultLength is the duration of a transient fault.
 const faultLength = 10 * time.Second
 
-// inject schedules a fault at a third of the run. Engines that die come back
+// inject schedules a fault after a third of the run. Engines that crash restart
 // empty after faultLength.
-func (r *run) inject(fault string, length time.Duration) {
+func (r *simulation) inject(fault string, length time.Duration) {
 	at := r.start.Add(length / 3)
-	prefills, decodes := r.order[:r.m.prefills], r.order[r.m.prefills:]
+	prefills, decodes := r.engineList[:r.m.prefills], r.engineList[r.m.prefills:]
 	kill := func(list []*simEngine) {
 		for _, e := range list {
-			r.at(at, e.die)
+			r.at(at, e.crash)
 			r.at(at.Add(faultLength), func() { e.dead, e.samples = false, nil })
 		}
 	}
@@ -37,24 +37,24 @@
 			r.at(at.Add(faultLength), func() { e.stalled = false })
 		}
 	case "frozen":
-		r.freeze(at)
+		r.freezeReports(at)
 	case "two":
 		kill(decodes[:max(1, len(decodes)/9)])
-		r.freeze(at)
+		r.freezeReports(at)
 	}
 }
 
-func (r *run) freeze(at time.Time) {
-	for _, e := range r.order {
+func (r *simulation) freezeReports(at time.Time) {
+	for _, e := range r.engineList {
 		r.at(at, func() { e.frozen = true })
 		r.at(at.Add(faultLength), func() { e.frozen = false })
 	}
 }
 
-// burstLength is how long a burst lasts.
+// burstLength is the duration of a burst.
 const burstLength = 5 * time.Second
 
-// withBurst adds as many arrivals again for a while.
+// withBurst doubles the arrival rate for burstLength, after a third of the run.
 func (m *mix) withBurst(seed uint64, reqs []*request, rate float64, length time.Duration) []*request {
 	for _, q := range m.arrivals(seed+77, rate, burstLength, 0) {
 		q.at += length / 3
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -21,29 +21,29 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// LoadCmd compares streams through a box with streams straight from the engines.
+// LoadCmd compares streams through a box with streams sent directly to the engines.
 type LoadCmd struct {
 	Dir       string        `arg:"" help:"The directory of a running site."`
-	Callers   string        `default:"127.0.0.1:18080" help:"The box's address for callers."`
-	Operators string        `default:"127.0.0.1:18081" help:"The box's address for operators."`
-	Streams   int           `default:"200" help:"Streams at a time."`
+	Callers   string        `default:"127.0.0.1:18080" help:"The box's caller address."`
+	Operators string        `default:"127.0.0.1:18081" help:"The box's operator address."`
+	Streams   int           `default:"200" help:"Concurrent streams."`
 	Tokens    int           `default:"100" help:"Tokens of each answer."`
-	Rounds    int           `default:"3" help:"Rounds of each way, in turns."`
-	Ready     time.Duration `default:"10s" help:"How long to wait for the box."`
-	Idle      time.Duration `help:"Measure the box's control traffic this long while nothing else happens."`
+	Rounds    int           `default:"3" help:"Rounds through the box and directly, alternating."`
+	Ready     time.Duration `default:"10s" help:"How long to wait for the box to become ready."`
+	Idle      time.Duration `help:"How long to measure the box's control traffic while it is idle; 0 skips it."`
 
-	hc  *http.Client
-	eng *engine.Client
-	at  siteFile
-	n   atomic.Int64
+	hc   *http.Client
+	eng  *engine.Client
+	site siteFile
+	n    atomic.Int64
 }
 
-// sample is what one way of calling came to.
-type sample struct {
-	mu     sync.Mutex
-	first  []time.Duration
-	tokens int
-	broken int
+// measurement collects the results of one way of sending the streams.
+type measurement struct {
+	mu          sync.Mutex
+	firstTokens []time.Duration
+	tokens      int
+	broken      int
 }
 
 // Run prints the comparison.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(b, &c.at); err != nil {
+	if err := json.Unmarshal(b, &c.site); err != nil {
 		return err
 	}
 	c.hc = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000, DisableCompression: true}}
@@ -61,27 +61,27 @@
 		return err
 	}
 	if c.Idle > 0 {
-		if err := c.idle(); err != nil {
+		if err := c.measureIdle(); err != nil {
 			return err
 		}
 	}
-	idle, err := c.process()
+	idle, err := c.readProcessStats()
 	if err != nil {
 		return err
 	}
-	var direct, routed sample
-	c.round(&sample{}, c.direct)
-	c.round(&sample{}, c.routed)
-	before, err := c.process()
+	var direct, routed measurement
+	c.round(&measurement{}, c.direct)
+	c.round(&measurement{}, c.routed)
+	before, err := c.readProcessStats()
 	if err != nil {
 		return err
 	}
 	peak := 0.0
 	for range c.Rounds {
 		c.round(&direct, c.direct)
-		peak = max(peak, c.roundWatched(&routed))
+		peak = max(peak, c.roundWithPeakRSS(&routed))
 	}
-	after, err := c.process()
+	after, err := c.readProcessStats()
 	if err != nil {
 		return err
 	}
@@ -89,11 +89,11 @@
 	return nil
 }
 
-func (c *LoadCmd) report(direct, routed *sample, cpu, idleRSS, peakRSS float64) {
+func (c *LoadCmd) report(direct, routed *measurement, cpu, idleRSS, peakRSS float64) {
 	fmt.Printf("%d streams at a time, %d tokens each, %d rounds each way; broken or wrong answers: direct %d, through the box %d\n",
 		c.Streams, c.Tokens, c.Rounds, direct.broken, routed.broken)
 	for _, p := range []float64{0.50, 0.99} {
-		d, r := quantile(direct.first, p), quantile(routed.first, p)
+		d, r := quantile(direct.firstTokens, p), quantile(routed.firstTokens, p)
 		fmt.Printf("first token p%.0f: direct %.3f ms, through the box %.3f ms, added %.3f ms, ratio %.3f\n",
 			p*100, ms(d), ms(r), ms(r-d), float64(r)/float64(d))
 	}
@@ -111,8 +111,8 @@
 	return v[min(len(v)-1, int(p*float64(len(v))))]
 }
 
-// round runs all streams once, a little apart so that they do not move in step.
-func (c *LoadCmd) round(s *sample, call func(context.Context, string) (time.Duration, int, error)) {
+// round runs all streams once, with staggered starts so that they don't run in lockstep.
+func (c *LoadCmd) round(s *measurement, call func(context.Context, string) (time.Duration, int, error)) {
 	var wg sync.WaitGroup
 	for i := range c.Streams {
 		wg.Go(func() {
@@ -126,20 +126,20 @@
 				s.broken++
 				return
 			}
-			s.first = append(s.first, first)
+			s.firstTokens = append(s.firstTokens, first)
 		})
 	}
 	wg.Wait()
 }
 
-// roundWatched runs a round through the box and returns its largest memory.
-func (c *LoadCmd) roundWatched(s *sample) float64 {
+// roundWithPeakRSS runs a round through the box and returns the box's peak memory.
+func (c *LoadCmd) roundWithPeakRSS(s *measurement) float64 {
 	done := make(chan struct{})
 	peak := make(chan float64, 1)
 	go func() {
 		most := 0.0
 		for {
-			if p, err := c.process(); err == nil {
+			if p, err := c.readProcessStats(); err == nil {
 				most = max(most, p.rss)
 			}
 			select {
@@ -155,14 +155,14 @@
 	return <-peak
 }
 
-// completionBody asks for a streamed completion.
+// completionBody is the request body of a streamed completion.
 func completionBody(prompt string, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, demo.Model, prompt, tokens)
 }
 
-var errWrong = errors.New("not the whole answer to its own request")
+var errBadAnswer = errors.New("the answer is incomplete or belongs to another request")
 
-// routed asks the box.
+// routed sends a request to the box.
 func (c *LoadCmd) routed(ctx context.Context, prompt string) (time.Duration, int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Callers+engine.CompletionPath, strings.NewReader(completionBody(prompt, c.Tokens)))
 	if err != nil {
@@ -186,7 +186,7 @@
 		}
 		if data == "[DONE]" {
 			if text.String() != standin.Answer(prompt, c.Tokens) {
-				return first, n, errWrong
+				return first, n, errBadAnswer
 			}
 			return first, n, nil
 		}
@@ -196,7 +196,7 @@
 		n++
 		text.WriteString(chunkText(data))
 	}
-	return first, n, errWrong
+	return first, n, errBadAnswer
 }
 
 func chunkText(data string) string {
@@ -207,15 +207,15 @@
 	return v.Choices[0].Text
 }
 
-// direct does what the box does, without it: a prefill and a decode, on engines in turn.
+// direct sends a prefill and a decode to the engines as the box does, in round-robin order.
 func (c *LoadCmd) direct(ctx context.Context, prompt string) (time.Duration, int, error) {
 	i := int(c.n.Add(1))
 	start := time.Now()
 	call := engine.Call{
-		Address: c.at.Prefills[i%len(c.at.Prefills)], Path: engine.CompletionPath, RequestID: fmt.Sprintf("direct-%d-1", i),
+		Address: c.site.Prefills[i%len(c.site.Prefills)], Path: engine.CompletionPath, RequestID: fmt.Sprintf("direct-%d-1", i),
 		MaxTokens: c.Tokens,
 	}
-	rest, err := directRest(prompt)
+	rest, err := directBody(prompt)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -224,7 +224,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	call.Address, call.RequestID = c.at.Decodes[i%len(c.at.Decodes)], fmt.Sprintf("direct-%d-2", i)
+	call.Address, call.RequestID = c.site.Decodes[i%len(c.site.Decodes)], fmt.Sprintf("direct-%d-2", i)
 	s, err := c.eng.Decode(ctx, call, pre.KV)
 	if err != nil {
 		return 0, 0, err
@@ -245,12 +245,12 @@
 		return nil
 	})
 	if err == nil && text.String() != standin.Answer(prompt, c.Tokens) {
-		err = errWrong
+		err = errBadAnswer
 	}
 	return first, n, err
 }
 
-func directRest(prompt string) ([]byte, error) {
+func directBody(prompt string) ([]byte, error) {
 	return json.Marshal(map[string]string{"model": demo.Model, "prompt": prompt})
 }
 
@@ -268,46 +268,46 @@
 	return errors.New("the box did not become ready")
 }
 
-// idle measures what a box spends on control alone.
-func (c *LoadCmd) idle() error {
-	time.Sleep(time.Second) // The start is over.
-	before, err := c.process()
+// measureIdle measures the control traffic and CPU time of an idle box.
+func (c *LoadCmd) measureIdle() error {
+	time.Sleep(time.Second) // Wait until the box has started up.
+	before, err := c.readProcessStats()
 	if err != nil {
 		return err
 	}
 	time.Sleep(c.Idle)
-	after, err := c.process()
+	after, err := c.readProcessStats()
 	if err != nil {
 		return err
 	}
 	s := c.Idle.Seconds()
 	fmt.Printf("control of an idle box before %d engines: %.0f bytes a second on the wire, %.2f%% of a core, %.1f MB\n",
-		len(c.at.Prefills)+len(c.at.Decodes), (after.control-before.control)/s, 100*(after.cpu-before.cpu)/s, after.rss/1e6)
+		len(c.site.Prefills)+len(c.site.Decodes), (after.control-before.control)/s, 100*(after.cpu-before.cpu)/s, after.rss/1e6)
 	return nil
 }
 
-// process is what a box says of its own process.
-type process struct{ cpu, rss, control float64 }
+// processStats are a box's metrics of its own process.
+type processStats struct{ cpu, rss, control float64 }
 
-func (c *LoadCmd) process() (process, error) {
+func (c *LoadCmd) readProcessStats() (processStats, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+c.Operators+"/metrics", nil)
 	if err != nil {
-		return process{}, err
+		return processStats{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+demo.OperatorKey)
 	resp, err := c.hc.Do(req)
 	if err != nil {
-		return process{}, err
+		return processStats{}, err
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return process{}, err
+		return processStats{}, err
 	}
-	return process{cpu: metric(string(b), "process_cpu_seconds_total"), rss: metric(string(b), "process_resident_memory_anon_bytes"), control: metric(string(b), "stoatramp_control_bytes_total")}, nil
+	return processStats{cpu: parseMetric(string(b), "process_cpu_seconds_total"), rss: parseMetric(string(b), "process_resident_memory_anon_bytes"), control: parseMetric(string(b), "stoatramp_control_bytes_total")}, nil
 }
 
-func metric(text, name string) float64 {
+func parseMetric(text, name string) float64 {
 	for line := range strings.SplitSeq(text, "\n") {
 		if v, ok := strings.CutPrefix(line, name+" "); ok {
 			n, _ := strconv.ParseFloat(v, 64)
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -15,27 +15,27 @@
 	prefills, decodes int
 	halls             int
 	model             cost.Model
-	kinds             []kind
-	// wave is how far the rate swings around its mean, as in certification
-	// windows, and period how long one swing takes.
-	wave   float64
-	period time.Duration
+	classes           []requestClass
+	// rateAmplitude is the relative amplitude with which the arrival rate oscillates around its
+	// mean, as during certification windows; ratePeriod is the period.
+	rateAmplitude float64
+	ratePeriod    time.Duration
 }
 
-// kind is one sort of request.
-type kind struct {
-	share          float64
-	promptLow      int // Own prompt tokens, drawn evenly on a logarithmic scale.
-	promptHigh     int
-	prefixes       int // How many shared prefixes there are; 0 for none.
-	prefixTokens   int
-	outLow, outTop int
-	maxTokens      int
-	first, between time.Duration
-	client         string
+// requestClass is one class of requests.
+type requestClass struct {
+	share                     float64
+	promptLow                 int // Prompt tokens besides the prefix, selected log-uniformly.
+	promptHigh                int
+	prefixes                  int // Number of shared prefixes; 0 for none.
+	prefixTokens              int
+	outputLow, outputHigh     int
+	maxTokens                 int
+	firstToken, betweenTokens time.Duration
+	client                    string
 }
 
-// mixes are the workloads of the brief and of the users' first letter.
+// mixes are the workloads to measure: two sites of 9 engines and one of 600.
 func mixes() []mix {
 	small := cost.Model{
 		PrefillRate: 40000, PrefillBase: 4 * time.Millisecond, Step: 9 * time.Millisecond, StepPerStream: 450 * time.Microsecond,
@@ -43,24 +43,24 @@
 	}
 	large := small
 	large.PrefillRate, large.LinkRate = 60000, 25e9
-	question := kind{share: 0.75, promptLow: 40, promptHigh: 400, outLow: 40, outTop: 160, maxTokens: 200,
-		first: 430 * time.Millisecond, between: 27 * time.Millisecond, client: "fixtures"}
+	question := requestClass{share: 0.75, promptLow: 40, promptHigh: 400, outputLow: 40, outputHigh: 160, maxTokens: 200,
+		firstToken: 430 * time.Millisecond, betweenTokens: 27 * time.Millisecond, client: "fixtures"}
 	draft := question
-	draft.promptHigh, draft.outLow, draft.outTop, draft.maxTokens, draft.client = 600, 80, 240, 300, "staff"
+	draft.promptHigh, draft.outputLow, draft.outputHigh, draft.maxTokens, draft.client = 600, 80, 240, 300, "staff"
 	return []mix{
-		{name: "kalbarri", prefills: 3, decodes: 6, halls: 3, model: small, wave: 0.3, period: 20 * time.Second, kinds: []kind{
+		{name: "kalbarri", prefills: 3, decodes: 6, halls: 3, model: small, rateAmplitude: 0.3, ratePeriod: 20 * time.Second, classes: []requestClass{
 			question,
-			{share: 0.25, promptLow: 2000, promptHigh: 16000, prefixes: 20, prefixTokens: 512, outLow: 2, outTop: 8, maxTokens: 16,
-				first: 2 * time.Second, between: 27 * time.Millisecond, client: "certification"},
+			{share: 0.25, promptLow: 2000, promptHigh: 16000, prefixes: 20, prefixTokens: 512, outputLow: 2, outputHigh: 8, maxTokens: 16,
+				firstToken: 2 * time.Second, betweenTokens: 27 * time.Millisecond, client: "certification"},
 		}},
-		{name: "norrvik", prefills: 3, decodes: 6, halls: 3, model: small, kinds: []kind{
+		{name: "norrvik", prefills: 3, decodes: 6, halls: 3, model: small, classes: []requestClass{
 			draft,
-			{share: 0.25, promptLow: 300, promptHigh: 1500, prefixes: 20, prefixTokens: 12288, outLow: 1, outTop: 3, maxTokens: 8,
-				first: 2 * time.Second, between: 27 * time.Millisecond, client: "payrun"},
+			{share: 0.25, promptLow: 300, promptHigh: 1500, prefixes: 20, prefixTokens: 12288, outputLow: 1, outputHigh: 3, maxTokens: 8,
+				firstToken: 2 * time.Second, betweenTokens: 27 * time.Millisecond, client: "payrun"},
 		}},
-		{name: "letter", prefills: 240, decodes: 360, halls: 5, model: large, kinds: []kind{
-			{share: 1, promptLow: 40, promptHigh: 15000, prefixes: 400, prefixTokens: 512, outLow: 100, outTop: 500, maxTokens: 512,
-				first: 430 * time.Millisecond, between: 27 * time.Millisecond, client: "c"},
+		{name: "letter", prefills: 240, decodes: 360, halls: 5, model: large, classes: []requestClass{
+			{share: 1, promptLow: 40, promptHigh: 15000, prefixes: 400, prefixTokens: 512, outputLow: 100, outputHigh: 500, maxTokens: 512,
+				firstToken: 430 * time.Millisecond, betweenTokens: 27 * time.Millisecond, client: "c"},
 		}},
 	}
 }
@@ -68,12 +68,12 @@
 // request is one arrival.
 type request struct {
 	decide.Request
-	at     time.Duration
-	out    int
-	cancel time.Duration // After its arrival; 0 if the caller stays.
+	at           time.Duration
+	outputTokens int
+	cancelAfter  time.Duration // After its arrival; 0 if the caller stays.
 }
 
-// arrivals draws the requests of a run. The same seed gives the same requests,
+// arrivals generates the requests of a run. The same seed gives the same requests,
 // whatever router serves them.
 func (m *mix) arrivals(seed uint64, rate float64, length time.Duration, cancels float64) []*request {
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -84,49 +84,49 @@
 		if t >= length.Seconds() {
 			return out
 		}
-		r := m.draw(rng)
+		r := m.randomRequest(rng)
 		r.at = time.Duration(t * float64(time.Second))
 		r.ID = decide.ID(len(out) + 1)
 		if rng.Float64() < cancels {
-			r.cancel = time.Duration(rng.Float64() * float64(time.Second))
+			r.cancelAfter = time.Duration(rng.Float64() * float64(time.Second))
 		}
 		out = append(out, r)
 	}
 }
 
 func (m *mix) rateAt(rate, t float64) float64 {
-	if m.wave == 0 {
+	if m.rateAmplitude == 0 {
 		return rate
 	}
-	return rate * (1 + m.wave*math.Sin(2*math.Pi*t/m.period.Seconds()))
+	return rate * (1 + m.rateAmplitude*math.Sin(2*math.Pi*t/m.ratePeriod.Seconds()))
 }
 
-func (m *mix) draw(rng *rand.Rand) *request {
-	k := &m.kinds[0]
-	for u, i := rng.Float64(), 0; i < len(m.kinds); i++ {
-		k = &m.kinds[i]
+func (m *mix) randomRequest(rng *rand.Rand) *request {
+	k := &m.classes[0]
+	for u, i := rng.Float64(), 0; i < len(m.classes); i++ {
+		k = &m.classes[i]
 		if u -= k.share; u < 0 {
 			break
 		}
 	}
-	own := int(float64(k.promptLow) * math.Pow(float64(k.promptHigh)/float64(k.promptLow), rng.Float64()))
-	r := &request{out: k.outLow + rng.IntN(k.outTop-k.outLow+1)}
+	ownTokens := int(float64(k.promptLow) * math.Pow(float64(k.promptHigh)/float64(k.promptLow), rng.Float64()))
+	r := &request{outputTokens: k.outputLow + rng.IntN(k.outputHigh-k.outputLow+1)}
 	r.Request = decide.Request{
-		Pool: "p", Region: "r", Client: k.client, PromptTokens: own, MaxTokens: k.maxTokens,
-		FirstToken: k.first, BetweenTokens: k.between, Repeatable: true,
+		Pool: "p", Region: "r", Client: k.client, PromptTokens: ownTokens, MaxTokens: k.maxTokens,
+		FirstToken: k.firstToken, BetweenTokens: k.betweenTokens, Repeatable: true,
 	}
 	if k.prefixes > 0 {
 		r.PromptTokens += k.prefixTokens
 		prefix := uint64(rng.IntN(k.prefixes))
 		for i := range k.prefixTokens / decide.BlockTokens {
-			r.Blocks = append(r.Blocks, hash2(prefix+uint64(k.prefixTokens)<<32, uint64(i)))
+			r.Blocks = append(r.Blocks, hashPair(prefix+uint64(k.prefixTokens)<<32, uint64(i)))
 		}
 	}
 	return r
 }
 
-// hash2 mixes two numbers; any good mixer would do.
-func hash2(a, b uint64) uint64 {
+// hashPair hashes two numbers into one.
+func hashPair(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ b*0xbf58476d1ce4e5b9
 	x ^= x >> 31
 	x *= 0x94d049bb133111eb
--- a/internal/bench/site.go
+++ b/internal/bench/site.go
@@ -1,4 +1,4 @@
-// Package bench measures the router. It is not part of the product.
+// Package bench measures the router. Production code does not use it.
 package bench
 
 import (
@@ -17,24 +17,24 @@
 
 // SiteCmd runs the stand-ins in a process of their own.
 type SiteCmd struct {
-	Dir       string        `arg:"" help:"Where box.ini and site.json are written."`
+	Dir       string        `arg:"" help:"Directory that box.ini and site.json are written to."`
 	Prefills  int           `default:"4" help:"Prefill engines."`
 	Decodes   int           `default:"6" help:"Decode engines."`
 	Step      time.Duration `default:"10ms" help:"Time between tokens."`
-	Callers   string        `default:"127.0.0.1:0" help:"The box's address for callers."`
-	Operators string        `default:"127.0.0.1:0" help:"The box's address for operators."`
+	Callers   string        `default:"127.0.0.1:0" help:"The box's caller address."`
+	Operators string        `default:"127.0.0.1:0" help:"The box's operator address."`
 	Boxes     int           `help:"Also write settings for this many boxes, box1.ini and so on."`
-	FirstPort int           `default:"18100" help:"The first of two ports for each of them."`
-	Admin     string        `default:"127.0.0.1:18099" help:"Where the stand-ins are told to fail and asked what they saw."`
+	FirstPort int           `default:"18100" help:"The first port; each of these boxes takes two."`
+	Admin     string        `default:"127.0.0.1:18099" help:"Address of the site's admin interface, for faults and reports."`
 }
 
-// siteFile tells the load generator where the engines are.
+// siteFile gives the load generator the addresses of the engines.
 type siteFile struct {
 	Prefills []string `json:"prefills"`
 	Decodes  []string `json:"decodes"`
 }
 
-// Run serves until it is told to stop.
+// Run serves until the process is signalled to stop.
 func (c *SiteCmd) Run() error {
 	m := demo.DefaultModel()
 	m.Step, m.StepPerStream = c.Step, 0
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -22,14 +22,14 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// SlopesCmd prints the figures of one process that need no network.
+// SlopesCmd prints the costs per unit that can be measured in one process, without a network.
 type SlopesCmd struct{}
 
-// Run prints every slope.
+// Run prints every cost.
 func (c *SlopesCmd) Run() error {
 	for _, n := range []int{9, 60, 600} {
-		r := testing.Benchmark(func(b *testing.B) { BenchDecision(b, n, nil) })
-		fmt.Printf("decision, whole life of a request, %d workers: %d ns, %d allocations, %d bytes\n", n, r.NsPerOp(), r.AllocsPerOp(), r.AllocedBytesPerOp())
+		r := testing.Benchmark(func(b *testing.B) { benchmarkDecision(b, n, nil) })
+		fmt.Printf("decision, all events of a request, %d engines: %d ns, %d allocations, %d bytes\n", n, r.NsPerOp(), r.AllocsPerOp(), r.AllocedBytesPerOp())
 	}
 	printPolicy()
 	printCoreMemory()
@@ -43,8 +43,8 @@
 	return printClaims()
 }
 
-// fleetOf makes a pool of n workers, two fifths of them for prefill.
-func fleetOf(n int) decide.Fleet {
+// newFleet returns a pool of n engines, two fifths of them for prefill.
+func newFleet(n int) decide.Fleet {
 	f := decide.Fleet{Pools: []decide.Pool{{Name: "p", KVBytesPerToken: 131072, PrefillExpiry: 5 * time.Second}}}
 	for i := range n {
 		e := decide.Engine{
@@ -59,12 +59,12 @@
 	return f
 }
 
-// BenchDecision times all events of one request, from arrival to the end, in a
-// pool of n workers with some tens of requests in flight.
-func BenchDecision(b *testing.B, n int, p decide.Policy) {
+// benchmarkDecision measures all events of one request, from its arrival to its end, in a
+// pool of n engines with some tens of requests in flight.
+func benchmarkDecision(b *testing.B, n int, p decide.Policy) {
 	c := decide.New(rand.New(rand.NewPCG(1, 2)), 1000)
 	now := time.Unix(1800000000, 0)
-	c.Step(now, fleetOf(n))
+	c.Step(now, newFleet(n))
 	rng := rand.New(rand.NewPCG(3, 4))
 	blocks := make([][]uint64, 64)
 	for i := range blocks {
@@ -98,12 +98,12 @@
 	if err != nil {
 		panic(err)
 	}
-	r := testing.Benchmark(func(b *testing.B) { BenchDecision(b, 600, p) })
-	fmt.Printf("the same with a policy of both functions, 600 workers: %d ns, %d allocations\n", r.NsPerOp(), r.AllocsPerOp())
+	r := testing.Benchmark(func(b *testing.B) { benchmarkDecision(b, 600, p) })
+	fmt.Printf("the same with a policy of both functions, 600 engines: %d ns, %d allocations\n", r.NsPerOp(), r.AllocsPerOp())
 }
 
-// heapOf measures the bytes that what fn returns keeps alive.
-func heapOf(fn func() any) int64 {
+// retainedBytes measures the heap memory that the value returned by fn keeps alive.
+func retainedBytes(fn func() any) int64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -115,16 +115,16 @@
 }
 
 func printCoreMemory() {
-	n := heapOf(func() any {
+	n := retainedBytes(func() any {
 		c := decide.New(rand.New(rand.NewPCG(1, 2)), 1000)
-		c.Step(time.Unix(1800000000, 0), fleetOf(600))
+		c.Step(time.Unix(1800000000, 0), newFleet(600))
 		return c
 	})
-	fmt.Printf("decision core: %d bytes an engine, its prefix cache empty\n", n/600)
-	warm := heapOf(func() any {
+	fmt.Printf("decision core: %d bytes per engine with its prefix cache empty\n", n/600)
+	fullCache := retainedBytes(func() any {
 		c := decide.New(rand.New(rand.NewPCG(1, 2)), 1000)
 		now := time.Unix(1800000000, 0)
-		c.Step(now, fleetOf(5))
+		c.Step(now, newFleet(5))
 		rng := rand.New(rand.NewPCG(3, 4))
 		for id := decide.ID(1); id <= 4000; id++ {
 			blocks := make([]uint64, 16)
@@ -137,7 +137,7 @@
 		}
 		return c
 	})
-	fmt.Printf("decision core: %d bytes a prefill engine with its prefix cache full\n", warm/2)
+	fmt.Printf("decision core: %d bytes per prefill engine with its prefix cache full\n", fullCache/2)
 }
 
 func printLimits() {
@@ -148,7 +148,7 @@
 		names[i] = fmt.Sprintf("client-%05d", i)
 	}
 	now := time.Unix(1800000000, 0)
-	n := heapOf(func() any {
+	n := retainedBytes(func() any {
 		t := limit.NewTable()
 		for _, name := range names {
 			t.Take(now, name, set)
@@ -161,11 +161,12 @@
 			t.Take(now, names[i%clients], set)
 		}
 	})
-	fmt.Printf("client limits: %d bytes a client, %d ns a request\n", n/clients, r.NsPerOp())
+	fmt.Printf("client limits: %d bytes per client, %d ns per request\n", n/clients, r.NsPerOp())
 }
 
-// sharedText is a configuration of the size to design for.
-func sharedText(clients, engines int) string {
+// sharedConfigText is a configuration with the given numbers of clients and engines;
+// the design size is 10,000 clients and 600 engines.
+func sharedConfigText(clients, engines int) string {
 	var b strings.Builder
 	for i := range 6 {
 		fmt.Fprintf(&b, "[pool m%d]\n\n[route m%d]\nmodel = m%d\n\n", i, i, i)
@@ -184,7 +185,7 @@
 }
 
 func printConfig() error {
-	text := sharedText(10000, 600)
+	text := sharedConfigText(10000, 600)
 	if _, err := config.ParseShared("shared", []byte(text), nil); err != nil {
 		return err
 	}
@@ -193,17 +194,17 @@
 	for range tries {
 		_, _ = config.ParseShared("shared", []byte(text), nil)
 	}
-	took := time.Since(start) / tries
-	held := heapOf(func() any {
+	parseTime := time.Since(start) / tries
+	retained := retainedBytes(func() any {
 		c, _ := config.ParseShared("shared", []byte(text), nil)
 		return c
 	})
 	fmt.Printf("configuration of 10,000 clients and 600 engines: %d bytes, %d gzipped, parsed in %d ms, %d bytes in memory\n",
-		len(text), gzipped([]byte(text)), took.Milliseconds(), held)
+		len(text), gzipSize([]byte(text)), parseTime.Milliseconds(), retained)
 	return nil
 }
 
-func gzipped(b []byte) int {
+func gzipSize(b []byte) int {
 	var buf bytes.Buffer
 	w := gzip.NewWriter(&buf)
 	_, _ = w.Write(b)
@@ -211,7 +212,7 @@
 	return buf.Len()
 }
 
-// sampleRecord is the record of an ordinary request.
+// sampleRecord returns the record of an ordinary request.
 func sampleRecord(i int) *record.Record {
 	ch := &decide.Choice{Compared: 48}
 	for j := range 6 {
@@ -234,8 +235,8 @@
 }
 
 func printRecords() error {
-	const n = 600 // A minute of one box at size.
-	held := heapOf(func() any {
+	const n = 600 // One minute of a box at its design load.
+	retained := retainedBytes(func() any {
 		g := record.NewRing(n)
 		for i := range n {
 			g.Add(sampleRecord(i))
@@ -249,11 +250,11 @@
 			return err
 		}
 	}
-	fmt.Printf("decision records: %d bytes each in memory, %d as JSON, %d gzipped in batches of %d\n", held/n, all.Len()/n, gzipped(all.Bytes())/n, n)
+	fmt.Printf("decision records: %d bytes each in memory, %d as JSON, %d gzipped in batches of %d\n", retained/n, all.Len()/n, gzipSize(all.Bytes())/n, n)
 	return nil
 }
 
-// countingTable counts the calls a claim costs.
+// countingTable counts the table calls of a claim.
 type countingTable struct {
 	rows          map[string]platform.Row
 	reads, writes int
@@ -284,6 +285,6 @@
 	if err := c.Close(context.Background(), cl, outcome.Answered); err != nil {
 		return err
 	}
-	fmt.Printf("claim of a keyed request that may run once: %d reads and %d writes of the table\n", t.reads, t.writes)
+	fmt.Printf("claim of a request with a key that may run once: %d reads and %d writes of the table\n", t.reads, t.writes)
 	return nil
 }
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -18,30 +18,30 @@
 
 // stream is one request in a decode engine.
 type stream struct {
-	id       string
-	path     string
-	prompt   uint64
-	priority int
-	kv       int // Tokens of memory held once it runs.
-	tokens   int // Prompt tokens.
-	max      int
-	fault    Fault
+	id           string
+	path         string
+	promptHash   uint64
+	priority     int
+	kvTokens     int // Tokens of KV memory reserved once it runs.
+	promptTokens int
+	maxTokens    int
+	fault        Fault
 
-	mu        sync.Mutex
-	made      int  // Tokens generated so far.
-	ended     bool // Finished or freed.
-	more      chan struct{}
-	watchers  int
-	abandoned time.Time // When the last connection was lost.
+	mu             sync.Mutex
+	generated      int  // Tokens generated so far.
+	ended          bool // Finished or released.
+	updated        chan struct{}
+	connections    int
+	disconnectedAt time.Time // When the last connection was lost.
 }
 
-// streamHeap is kept as a sorted slice; the engine holds some tens of requests.
-type streamHeap []*stream
+// streamQueue is a slice sorted by priority; an engine has only some tens of waiting requests.
+type streamQueue []*stream
 
 // serveDecode imports the KV cache, waits for memory and streams the answer.
 func (e *Engine) serveDecode(w http.ResponseWriter, r *http.Request, req *completionRequest, f Fault) {
 	if f.Do == Stall {
-		wait(r, f.For)
+		sleep(r, f.For)
 		if r.Context().Err() != nil {
 			return
 		}
@@ -52,19 +52,19 @@
 		return
 	}
 	s := &stream{
-		id:       req.RequestID,
-		path:     r.URL.Path,
-		prompt:   kv.Prompt,
-		priority: req.Priority,
-		kv:       kv.Tokens + req.MaxTokens,
-		tokens:   kv.Tokens,
-		max:      req.MaxTokens,
-		fault:    f,
-		more:     make(chan struct{}, 1),
-		watchers: 1,
+		id:           req.RequestID,
+		path:         r.URL.Path,
+		promptHash:   kv.Prompt,
+		priority:     req.Priority,
+		kvTokens:     kv.Tokens + req.MaxTokens,
+		promptTokens: kv.Tokens,
+		maxTokens:    req.MaxTokens,
+		fault:        f,
+		updated:      make(chan struct{}, 1),
+		connections:  1,
 	}
 	e.mu.Lock()
-	if r.Context().Err() != nil || e.aborted[s.id] || s.kv > e.Model.KVTokens {
+	if r.Context().Err() != nil || e.aborted[s.id] || s.kvTokens > e.Model.KVTokens {
 		e.mu.Unlock()
 		writeError(w, http.StatusServiceUnavailable, engine.CodeNotRun, "no memory for the request")
 		return
@@ -73,12 +73,12 @@
 	e.waiting = append(e.waiting, s)
 	slices.SortStableFunc(e.waiting, func(a, b *stream) int { return cmp.Compare(a.priority, b.priority) })
 	e.mu.Unlock()
-	e.nudge()
-	e.send(w, r, s, 0)
+	e.wakeDecodeLoop()
+	e.sendChunks(w, r, s, 0)
 }
 
-// importKV takes the KV cache from the prefill engine and spends the time the
-// transfer needs on this engine's link, which its transfers share in turn.
+// importKV takes the KV cache from the prefill engine and waits for the time that the
+// transfer needs on this engine's link, where transfers run one after another.
 func (e *Engine) importKV(ctx context.Context, kv engine.KVParams) (takenKV, error) {
 	var got takenKV
 	b, err := json.Marshal(engine.TakeRequest{Handle: kv.Handle})
@@ -102,11 +102,11 @@
 	}
 	e.mu.Lock()
 	start := time.Now()
-	if start.Before(e.link) {
-		start = e.link
+	if start.Before(e.linkFreeAt) {
+		start = e.linkFreeAt
 	}
-	e.link = start.Add(e.Model.Transfer(got.Tokens))
-	until := e.link
+	e.linkFreeAt = start.Add(e.Model.Transfer(got.Tokens))
+	until := e.linkFreeAt
 	e.mu.Unlock()
 	select {
 	case <-time.After(time.Until(until)):
@@ -116,15 +116,15 @@
 	}
 }
 
-func (e *Engine) nudge() {
+func (e *Engine) wakeDecodeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// decodeLoop is the continuous batch: each step makes one token for every
-// running stream, and between steps streams join and leave.
+// decodeLoop runs the continuous batch: each step generates one token for every
+// running stream; streams join and leave between steps.
 func (e *Engine) decodeLoop() {
 	next := time.Now()
 	for {
@@ -147,15 +147,15 @@
 	}
 }
 
-// step admits waiting streams and makes one token for each running one. It
+// step admits waiting streams, generates one token for each running one and
 // returns how many run.
 func (e *Engine) step() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for len(e.waiting) > 0 && e.waiting[0].kv <= e.freeKV {
+	for len(e.waiting) > 0 && e.waiting[0].kvTokens <= e.freeKV {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.freeKV -= s.kv
+		e.freeKV -= s.kvTokens
 		e.running = append(e.running, s)
 	}
 	for _, s := range slices.Clone(e.running) {
@@ -166,49 +166,49 @@
 
 func (e *Engine) advance(s *stream) {
 	s.mu.Lock()
-	silent := s.fault.Do == GoSilent && s.made >= s.fault.After
-	if !silent && s.made < s.max {
-		s.made++
+	silent := s.fault.Do == GoSilent && s.generated >= s.fault.After
+	if !silent && s.generated < s.maxTokens {
+		s.generated++
 	}
-	finished := s.made >= s.max
-	gone := s.watchers == 0 && time.Since(s.abandoned) > resumeGrace
+	finished := s.generated >= s.maxTokens
+	abandoned := s.connections == 0 && time.Since(s.disconnectedAt) > resumeGrace
 	s.mu.Unlock()
 	select {
-	case s.more <- struct{}{}:
+	case s.updated <- struct{}{}:
 	default:
 	}
-	if gone {
-		e.free(s, "abandoned")
+	if abandoned {
+		e.release(s, "abandoned")
 	} else if finished {
-		e.free(s, "finished")
+		e.release(s, "finished")
 	}
 }
 
-// free gives back the memory of a stream, running or waiting. The caller holds e.mu.
-func (e *Engine) free(s *stream, why string) {
+// release frees the memory of a running or waiting stream. The caller holds e.mu.
+func (e *Engine) release(s *stream, cause string) {
 	if i := slices.Index(e.running, s); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
-		e.freeKV += s.kv
+		e.freeKV += s.kvTokens
 	}
 	if i := slices.Index(e.waiting, s); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
 	}
-	if why != "finished" {
+	if cause != "finished" {
 		delete(e.streams, s.id)
 	} else {
-		// A finished stream can be resumed for a while; it holds no memory.
+		// A finished stream can be resumed for a while; it uses no memory.
 		time.AfterFunc(resumeGrace, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			delete(e.streams, s.id)
 		})
 	}
-	e.seen.Freed["decode "+why]++
+	e.seen.Freed["decode "+cause]++
 	s.mu.Lock()
 	s.ended = true
 	s.mu.Unlock()
 	select {
-	case s.more <- struct{}{}:
+	case s.updated <- struct{}{}:
 	default:
 	}
 }
@@ -230,25 +230,25 @@
 		return
 	}
 	s.mu.Lock()
-	s.watchers++
+	s.connections++
 	s.fault = Fault{}
 	s.mu.Unlock()
-	e.send(w, r, s, last+1)
+	e.sendChunks(w, r, s, last+1)
 }
 
-// send writes the chunks of a stream from the given one on. The answer has one
-// chunk a token, then one with the usage, then the end mark.
-func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *stream, from int) {
-	defer e.unwatch(s)
+// sendChunks writes the chunks of a stream, starting with the given one. The answer has one
+// chunk per token, then one with the usage, then the end mark.
+func (e *Engine) sendChunks(w http.ResponseWriter, r *http.Request, s *stream, from int) {
+	defer e.disconnect(s)
 	w.Header().Set("Content-Type", "text/event-stream")
-	e.setLoad(w)
+	e.setLoadHeader(w)
 	rc := http.NewResponseController(w)
 	sent := from
 	for {
 		s.mu.Lock()
-		made, ended, f := s.made, s.ended, s.fault
+		generated, ended, f := s.generated, s.ended, s.fault
 		s.mu.Unlock()
-		for ; sent < made; sent++ {
+		for ; sent < generated; sent++ {
 			s.writeChunk(w, f, sent)
 			if f.Do == Truncate && sent+1 >= f.After {
 				_ = rc.Flush()
@@ -259,33 +259,33 @@
 				panic(http.ErrAbortHandler)
 			}
 		}
-		if ended && sent >= made {
+		if ended && sent >= generated {
 			break
 		}
 		if err := rc.Flush(); err != nil {
 			return
 		}
 		select {
-		case <-s.more:
+		case <-s.updated:
 		case <-r.Context().Done():
 			return
 		case <-e.stop:
 			panic(http.ErrAbortHandler)
 		}
 	}
-	if sent < s.max {
-		panic(http.ErrAbortHandler) // Freed before its end.
+	if sent < s.maxTokens {
+		panic(http.ErrAbortHandler) // Released before its end.
 	}
 	fmt.Fprintf(w, "id: %d\ndata: {\"id\":\"%s\",\"object\":%q,\"created\":%d,\"model\":\"stand-in\",\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"total_tokens\":%d}}\n\ndata: [DONE]\n\n",
-		sent, s.answerID(s.id), s.object(), time.Now().Unix(), s.tokens, s.max, s.tokens+s.max)
+		sent, s.answerID(s.id), s.object(), time.Now().Unix(), s.promptTokens, s.maxTokens, s.promptTokens+s.maxTokens)
 }
 
-func (e *Engine) unwatch(s *stream) {
+func (e *Engine) disconnect(s *stream) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watchers--
-	if s.watchers == 0 {
-		s.abandoned = time.Now()
+	s.connections--
+	if s.connections == 0 {
+		s.disconnectedAt = time.Now()
 	}
 }
 
@@ -303,30 +303,30 @@
 	return "text_completion"
 }
 
-// writeChunk writes one token, with whatever the fault does to it.
+// writeChunk writes one token and applies the fault to it.
 func (s *stream) writeChunk(w http.ResponseWriter, f Fault, i int) {
 	if f.Do == Cross && i == f.After {
 		s.writeToken(w, "another-request-7", 0xbad, i)
 	}
 	if f.Do == Repeat && i == f.After && i > 0 {
-		s.writeToken(w, s.id, s.prompt, i-1)
+		s.writeToken(w, s.id, s.promptHash, i-1)
 	}
 	if f.Do == Skip && i == f.After {
 		return
 	}
-	s.writeToken(w, s.id, s.prompt, i)
+	s.writeToken(w, s.id, s.promptHash, i)
 }
 
 func (s *stream) writeToken(w http.ResponseWriter, id string, prompt uint64, i int) {
 	finish := "null"
-	if i == s.max-1 {
+	if i == s.maxTokens-1 {
 		finish = `"length"`
 	}
-	choice := fmt.Sprintf(`"text":%q`, Word(prompt, i))
+	choice := fmt.Sprintf(`"text":%q`, AnswerToken(prompt, i))
 	if s.path == engine.ChatPath {
-		choice = fmt.Sprintf(`"delta":{"content":%q}`, Word(prompt, i))
+		choice = fmt.Sprintf(`"delta":{"content":%q}`, AnswerToken(prompt, i))
 		if i == 0 {
-			choice = fmt.Sprintf(`"delta":{"role":"assistant","content":%q}`, Word(prompt, i))
+			choice = fmt.Sprintf(`"delta":{"role":"assistant","content":%q}`, AnswerToken(prompt, i))
 		}
 	}
 	fmt.Fprintf(w, "id: %d\ndata: {\"id\":%q,\"object\":%q,\"created\":%d,\"model\":\"stand-in\",\"choices\":[{\"index\":0,%s,\"finish_reason\":%s}],\"usage\":null}\n\n",
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,7 +1,7 @@
 // Package standin holds small stand-ins for the systems around the router: model
-// engines, a plain service and the platform. They keep the published protocols
-// and the cost model, and can be told to fail. They are for tests, benchmarks
-// and the demo, and no production code calls them.
+// engines, a plain service and the platform. They implement the published protocols
+// and the cost model, and faults can be injected into them. They are for tests,
+// benchmarks and the demo; no production code uses them.
 package standin
 
 import (
@@ -20,72 +20,72 @@
 	"github.com/stoatramp/stoatramp/internal/engine"
 )
 
-// resumeGrace is how long a stream runs on without a connection.
+// resumeGrace is how long a stream keeps running without a connection.
 const resumeGrace = 2 * time.Second
 
 // Engine is a stand-in for one model engine, prefill or decode.
 type Engine struct {
 	Name string
-	// Addr is the ip:port it is reached at, set once it listens.
+	// Addr is the engine's ip:port, set once it listens.
 	Addr  string
 	Model cost.Model
-	// CacheBlocks bounds the prefix cache; 0 means maxCached.
+	// CacheBlocks is the capacity of the prefix cache; 0 means defaultCacheBlocks.
 	CacheBlocks int
-	// EventLag is how many of the newest cache events are held back.
+	// EventLag is how many of the newest cache events are not published yet.
 	EventLag int
 	// ReportLag is how old load reports are.
 	ReportLag time.Duration
 
-	mu         sync.Mutex
-	faults     []armed
-	kept       map[string]*keptKV // Prefill results by handle.
-	streams    map[string]*stream // Decode streams by request id, running or waiting.
-	waiting    streamHeap
-	running    []*stream
-	freeKV     int
-	queued     int // Uncached prompt tokens not yet read.
-	prefill    prefillHeap
-	busy       bool
-	link       time.Time // When the link is free.
-	cache      map[uint64]bool
-	leaving    bool
-	reports    []timedLoad
-	seen       Seen
-	fenced     bool
-	epoch      int64
-	orders     []engine.Order
-	events     []uint64
-	eventsFrom int64           // The number of the first event kept.
-	aborted    map[string]bool // Calls aborted a short while ago.
-	wake       chan struct{}
-	stop       chan struct{}
-	hc         *http.Client
-}
-
-// Seen counts what reached the engine, for tests.
+	mu           sync.Mutex
+	faults       []pendingFault
+	results      map[string]*prefillResult // Prefill results by handle.
+	streams      map[string]*stream        // Decode streams by request id, running or waiting.
+	waiting      streamQueue
+	running      []*stream
+	freeKV       int
+	queuedTokens int // Uncached prompt tokens whose prefill is not done.
+	prefill      prefillHeap
+	prefilling   bool
+	linkFreeAt   time.Time // When the link is free.
+	cache        map[uint64]bool
+	leaving      bool
+	reports      []loadReport
+	seen         Seen
+	fenced       bool
+	epoch        int64
+	orders       []engine.Order
+	events       []uint64
+	firstEvent   int64           // The number of the oldest event kept.
+	aborted      map[string]bool // Request ids aborted recently.
+	wake         chan struct{}
+	stop         chan struct{}
+	hc           *http.Client
+}
+
+// Seen counts the calls and events of an engine, for tests.
 type Seen struct {
 	Prefills, Decodes, Aborts, Resumes int
 	// Runs counts the calls for each request id.
 	Runs map[string]int
-	// Prompts counts the prefills of each prompt that was asked to run once.
+	// Prompts counts the prefills of each prompt, by its hash.
 	Prompts map[uint64]int
 	// CachedTokens sums the prompt tokens that were cached.
 	CachedTokens int
-	// Freed says why memory was given back, by cause.
+	// Freed counts the causes for which memory was freed.
 	Freed map[string]int
 }
 
-type keptKV struct {
-	handle    string
-	requestID string
-	tokens    int
-	prompt    uint64
-	timer     *time.Timer
+type prefillResult struct {
+	handle     string
+	requestID  string
+	tokens     int
+	promptHash uint64
+	timer      *time.Timer
 }
 
-type timedLoad struct {
-	at time.Time
-	l  engine.Load
+type loadReport struct {
+	at   time.Time
+	load engine.Load
 }
 
 // NewEngine returns an engine that is not yet listening.
@@ -93,7 +93,7 @@
 	e := &Engine{
 		Name:    name,
 		Model:   m,
-		kept:    map[string]*keptKV{},
+		results: map[string]*prefillResult{},
 		streams: map[string]*stream{},
 		freeKV:  m.KVTokens,
 		cache:   map[uint64]bool{},
@@ -107,7 +107,7 @@
 	return e
 }
 
-// Close ends the engine's loop; every stream is lost.
+// Close stops the engine's loop; every stream is lost.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,11 +119,11 @@
 	e.hc.CloseIdleConnections()
 }
 
-// Held says how much memory is held: prefill results and decode tokens.
+// Held returns the memory in use: the number of prefill results and the decode tokens reserved.
 func (e *Engine) Held() (results, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.kept), e.Model.KVTokens - e.freeKV
+	return len(e.results), e.Model.KVTokens - e.freeKV
 }
 
 // Seen returns a copy of the counts.
@@ -156,13 +156,13 @@
 	mux.HandleFunc("POST "+engine.AbortPath, e.abort)
 	mux.HandleFunc("POST "+engine.ResumePath, e.resume)
 	mux.HandleFunc("POST "+engine.TakePath, e.take)
-	mux.HandleFunc("GET "+engine.LoadPath, e.load)
+	mux.HandleFunc("GET "+engine.LoadPath, e.serveLoad)
 	mux.HandleFunc("GET "+engine.EventsPath, e.cacheEvents)
 	mux.HandleFunc("POST "+engine.OrderPath, e.order)
 	return mux
 }
 
-// completionRequest is the part of a request that the stand-in looks at.
+// completionRequest is the part of a request that the stand-in reads.
 type completionRequest struct {
 	engine.Params
 	Model    string          `json:"model"`
@@ -177,26 +177,26 @@
 	return r.Prompt
 }
 
-// PromptTokens is the stand-in's tokenizer: four bytes a token.
+// PromptTokens is the stand-in's tokenizer: four bytes per token.
 func PromptTokens(text []byte) int { return max(1, len(text)/4) }
 
-// PromptHash is what the stand-in's answers are made of.
+// PromptHash identifies a prompt; the stand-in's answers are derived from it.
 func PromptHash(text []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(text)
 	return h.Sum64()
 }
 
-// Word is the token at position i of the answer to a prompt.
-func Word(prompt uint64, i int) string { return fmt.Sprintf("%08x.%d ", uint32(prompt), i) }
+// AnswerToken is the token at position i of the answer to a prompt.
+func AnswerToken(prompt uint64, i int) string { return fmt.Sprintf("%08x.%d ", uint32(prompt), i) }
 
-// Answer is the first n tokens of the answer to a prompt that was sent as a JSON string.
+// Answer returns the first n tokens of the answer to a prompt that was sent as a JSON string.
 func Answer(prompt string, n int) string {
 	raw, _ := json.Marshal(prompt) // A string always encodes.
 	hash := PromptHash(raw)
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(Word(hash, i))
+		b.WriteString(AnswerToken(hash, i))
 	}
 	return b.String()
 }
@@ -256,57 +256,57 @@
 	defer e.mu.Unlock()
 	e.seen.Aborts++
 	if s := e.streams[req.RequestID]; s != nil {
-		e.free(s, "abort")
+		e.release(s, "abort")
 	}
-	for _, k := range e.kept {
+	for _, k := range e.results {
 		if k.requestID == req.RequestID {
-			e.forget(k, "abort")
+			e.dropResult(k, "abort")
 		}
 	}
 	e.rememberAbort(req.RequestID)
 	writeJSON(w, struct{}{})
 }
 
-// abortMemory is how long an abort also stops a call that comes after it.
-const abortMemory = 5 * time.Second
+// abortRetention is how long an abort also stops calls that arrive after it.
+const abortRetention = 5 * time.Second
 
-// rememberAbort stops a call that is still on its way in, or in the middle of a
-// prefill or transfer: it finds its id here before it would hold memory.
+// rememberAbort stops a call that is not received yet, or in the middle of a prefill
+// or transfer: the call finds its id here before it would reserve memory.
 func (e *Engine) rememberAbort(id string) {
 	e.aborted[id] = true
-	time.AfterFunc(abortMemory, func() {
+	time.AfterFunc(abortRetention, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		delete(e.aborted, id)
 	})
 }
 
-// forget drops a prefill result.
-func (e *Engine) forget(k *keptKV, why string) {
-	if e.kept[k.handle] == k {
+// dropResult drops a prefill result.
+func (e *Engine) dropResult(k *prefillResult, cause string) {
+	if e.results[k.handle] == k {
 		k.timer.Stop()
-		delete(e.kept, k.handle)
-		e.seen.Freed["prefill "+why]++
+		delete(e.results, k.handle)
+		e.seen.Freed["prefill "+cause]++
 	}
 }
 
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.currentLoad()) }
+func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.currentLoad()) }
 
-// setLoad puts the load report on an answer.
-func (e *Engine) setLoad(w http.ResponseWriter) {
+// setLoadHeader adds the load report to an answer.
+func (e *Engine) setLoadHeader(w http.ResponseWriter) {
 	b, err := json.Marshal(e.currentLoad())
 	if err == nil {
 		w.Header().Set(engine.LoadHeader, string(b))
 	}
 }
 
-// currentLoad is the newest report that is at least ReportLag old.
+// currentLoad returns the newest report that is at least ReportLag old.
 func (e *Engine) currentLoad() engine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	e.reports = append(e.reports, timedLoad{now, engine.Load{
-		QueuedTokens: e.queued,
+	e.reports = append(e.reports, loadReport{now, engine.Load{
+		QueuedTokens: e.queuedTokens,
 		FreeKV:       e.freeKV,
 		Streams:      len(e.running) + len(e.waiting),
 		Leaving:      e.leaving,
@@ -316,20 +316,20 @@
 		i++
 	}
 	e.reports = slices.Delete(e.reports, 0, i)
-	l := e.reports[0].l
+	l := e.reports[0].load
 	l.AgeMS = now.Sub(e.reports[0].at).Milliseconds()
 	return l
 }
 
 // prefillJob is one prompt in the queue of a prefill engine.
 type prefillJob struct {
-	requestID string
-	priority  int
-	seq       int
-	tokens    int // Uncached tokens.
-	cached    int
-	cancelled bool
-	done      chan struct{}
+	requestID      string
+	priority       int
+	seq            int
+	uncachedTokens int // Uncached tokens.
+	cachedTokens   int
+	cancelled      bool
+	done           chan struct{}
 }
 
 type prefillHeap struct {
@@ -351,21 +351,21 @@
 	return j
 }
 
-// servePrefill reads the prompt in its turn and keeps the KV cache.
+// servePrefill queues the prompt, waits for its prefill and keeps the KV cache.
 func (e *Engine) servePrefill(w http.ResponseWriter, r *http.Request, req *completionRequest, f Fault) {
 	text := req.text()
 	tokens := PromptTokens(text)
 	job := &prefillJob{requestID: req.RequestID, priority: req.Priority, done: make(chan struct{})}
 	e.mu.Lock()
-	job.cached = min(e.cachedTokens(text), tokens-1)
-	job.tokens = tokens - job.cached
-	e.seen.CachedTokens += job.cached
-	e.queued += job.tokens
+	job.cachedTokens = min(e.cachedTokens(text), tokens-1)
+	job.uncachedTokens = tokens - job.cachedTokens
+	e.seen.CachedTokens += job.cachedTokens
+	e.queuedTokens += job.uncachedTokens
 	e.prefill.seq++
 	job.seq = e.prefill.seq
 	heap.Push(&e.prefill, job)
-	if !e.busy {
-		e.busy = true
+	if !e.prefilling {
+		e.prefilling = true
 		go e.prefillLoop()
 	}
 	e.mu.Unlock()
@@ -375,7 +375,7 @@
 	}
 	switch f.Do {
 	case Stall:
-		wait(r, f.For)
+		sleep(r, f.For)
 	case DropAfterRun:
 		panic(http.ErrAbortHandler)
 	}
@@ -389,7 +389,7 @@
 }
 
 func (e *Engine) answerPrefill(w http.ResponseWriter, req *completionRequest, job *prefillJob, f Fault, text []byte, tokens int) {
-	k := &keptKV{handle: "kv-" + e.Name + "-" + req.RequestID, requestID: req.RequestID, tokens: tokens, prompt: PromptHash(text)}
+	k := &prefillResult{handle: "kv-" + e.Name + "-" + req.RequestID, requestID: req.RequestID, tokens: tokens, promptHash: PromptHash(text)}
 	e.mu.Lock()
 	if e.aborted[req.RequestID] {
 		e.mu.Unlock()
@@ -399,19 +399,19 @@
 		k.timer = time.AfterFunc(e.Model.Expiry, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			e.forget(k, "expiry")
+			e.dropResult(k, "expiry")
 		})
-		e.kept[k.handle] = k
+		e.results[k.handle] = k
 	}
 	e.mu.Unlock()
 	id := req.RequestID
 	if f.Do == Cross {
 		id = "another-request-1"
 	}
-	e.setLoad(w)
+	e.setLoadHeader(w)
 	writeJSON(w, engine.PrefillAnswer{
 		ID:    "cmpl-" + id,
-		Usage: engine.Usage{PromptTokens: tokens, CompletionTokens: 1, TotalTokens: tokens + 1, Details: &engine.PromptDetails{CachedTokens: job.cached}},
+		Usage: engine.Usage{PromptTokens: tokens, CompletionTokens: 1, TotalTokens: tokens + 1, Details: &engine.PromptDetails{CachedTokens: job.cachedTokens}},
 		KV: engine.KVParams{
 			Handle:    k.handle,
 			ExpiresMS: e.Model.Expiry.Milliseconds(),
@@ -420,12 +420,12 @@
 	})
 }
 
-// prefillLoop reads prompts one after another until none is left.
+// prefillLoop runs the queued prefills one after another until none is left.
 func (e *Engine) prefillLoop() {
 	for {
 		e.mu.Lock()
 		if len(e.prefill.jobs) == 0 {
-			e.busy = false
+			e.prefilling = false
 			e.mu.Unlock()
 			return
 		}
@@ -433,26 +433,26 @@
 		cancelled := job.cancelled || e.aborted[job.requestID]
 		e.mu.Unlock()
 		if !cancelled {
-			time.Sleep(e.Model.Prefill(job.tokens, 0))
+			time.Sleep(e.Model.Prefill(job.uncachedTokens, 0))
 		}
 		e.mu.Lock()
-		e.queued -= job.tokens
+		e.queuedTokens -= job.uncachedTokens
 		e.mu.Unlock()
 		close(job.done)
 	}
 }
 
-// maxCached is how many blocks the prefix cache holds.
-const maxCached = 4096
+// defaultCacheBlocks is the default capacity of the prefix cache.
+const defaultCacheBlocks = 4096
 
-// cachedTokens looks the prompt's prefix up in the cache and adds the rest. The
-// blocks dropped for it are any but its own.
+// cachedTokens returns how many tokens of the prompt's prefix are cached, and caches the
+// remaining blocks. It evicts arbitrary blocks if the cache is full.
 func (e *Engine) cachedTokens(text []byte) int {
-	hit, unbroken := 0, true
+	hits, contiguous := 0, true
 	for _, sum := range blockHashes(text) {
-		unbroken = unbroken && e.cache[sum]
-		if unbroken {
-			hit++
+		contiguous = contiguous && e.cache[sum]
+		if contiguous {
+			hits++
 			continue
 		}
 		for old := range e.cache {
@@ -460,22 +460,22 @@
 				break
 			}
 			delete(e.cache, old)
-			e.evicted(old)
+			e.recordEviction(old)
 		}
 		e.cache[sum] = true
 	}
-	return hit * engine.CacheBlockBytes / 4
+	return hits * engine.CacheBlockBytes / 4
 }
 
-// CacheLimit is how many blocks the prefix cache holds.
+// CacheLimit is the capacity of the prefix cache in blocks.
 func (e *Engine) CacheLimit() int {
 	if e.CacheBlocks > 0 {
 		return e.CacheBlocks
 	}
-	return maxCached
+	return defaultCacheBlocks
 }
 
-// take gives a kept KV cache to a decode engine, once.
+// take hands a kept KV cache to a decode engine, once.
 func (e *Engine) take(w http.ResponseWriter, r *http.Request) {
 	var req engine.TakeRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -484,13 +484,13 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k := e.kept[req.Handle]
+	k := e.results[req.Handle]
 	if k == nil {
 		writeError(w, http.StatusGone, engine.CodeKVExpired, "no such KV cache")
 		return
 	}
-	e.forget(k, "taken")
-	writeJSON(w, takenKV{Tokens: k.tokens, Prompt: k.prompt})
+	e.dropResult(k, "taken")
+	writeJSON(w, takenKV{Tokens: k.tokens, Prompt: k.promptHash})
 }
 
 // takenKV stands for the KV cache itself.
@@ -499,7 +499,7 @@
 	Prompt uint64 `json:"prompt"`
 }
 
-func wait(r *http.Request, d time.Duration) {
+func sleep(r *http.Request, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Do is what a fault makes an engine do.
+// Do is the kind of a fault.
 type Do uint8
 
 // The faults.
@@ -15,16 +15,16 @@
 	DropAfterRead    // Read the request, run nothing, drop the connection.
 	DropAfterRun     // Run the prefill, keep its result, drop the connection.
 	Stall            // Wait for For before answering.
-	ExpireAtOnce     // Forget the prefill's result at once.
+	ExpireAtOnce     // Drop the prefill result at once.
 	Cross            // Send the answer, or chunk After, of another request.
 	Repeat           // Send the chunk before After twice.
 	Skip             // Leave out chunk After.
 	Truncate         // Close the stream cleanly after After chunks.
 	DropMidway       // Drop the connection after After chunks.
-	GoSilent         // Make no more tokens after After.
+	GoSilent         // Generate no more tokens after After.
 )
 
-// At says at which call a fault strikes.
+// At is the kind of call that a fault applies to.
 type At uint8
 
 // The calls.
@@ -39,33 +39,33 @@
 	Do    Do
 	After int
 	For   time.Duration
-	// Times is how many calls it strikes; 0 means one.
+	// Times is how many calls the fault applies to; 0 means one.
 	Times int
 }
 
-// armed is a fault that waits for its calls, perhaps on several engines.
-type armed struct {
+// pendingFault is a fault that has not yet been applied to all of its calls. Several engines may share it.
+type pendingFault struct {
 	Fault
-	left *atomic.Int32
+	remaining *atomic.Int32
 }
 
-// Fail scripts a fault for the next calls that reach any of the engines.
+// Fail applies a fault to the next calls that reach any of the engines.
 func Fail(f Fault, engines ...*Engine) {
-	left := &atomic.Int32{}
-	left.Store(int32(max(1, f.Times)))
+	remaining := &atomic.Int32{}
+	remaining.Store(int32(max(1, f.Times)))
 	for _, e := range engines {
 		e.mu.Lock()
-		e.faults = append(e.faults, armed{f, left})
+		e.faults = append(e.faults, pendingFault{f, remaining})
 		e.mu.Unlock()
 	}
 }
 
-// takeFault returns the fault that strikes this call, if any.
+// takeFault returns the fault to apply to this call, if any.
 func (e *Engine) takeFault(at At) Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range e.faults {
-		if e.faults[i].At == at && e.faults[i].left.Add(-1) >= 0 {
+		if e.faults[i].At == at && e.faults[i].remaining.Add(-1) >= 0 {
 			return e.faults[i].Fault
 		}
 	}
--- a/internal/standin/memtable.go
+++ b/internal/standin/memtable.go
@@ -10,30 +10,30 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// ErrNoAnswer is what a caller of a MemTable sees when its answer is lost.
+// ErrNoAnswer is the error that a caller of a MemTable gets when the answer is lost.
 var ErrNoAnswer = errors.New("the table did not answer")
 
-// MemTable is a table without a network, for history checks. With faults on,
-// calls fail before or after they took effect, and take their time.
+// MemTable is an in-memory table without a network, for history checks. Calls take a random
+// time and, with faults on, fail before or after they took effect.
 type MemTable struct {
 	mu   sync.Mutex
 	rows map[string]platform.Row
 	rng  *rand.Rand
-	// Lost and Down are the chances that an answer is lost after the effect, and
-	// that a call fails before it.
+	// Lost is the probability that an answer is lost after the call took effect; Down is the
+	// probability that a call fails without an effect.
 	Lost, Down float64
-	// Late is the chance that a lost write takes effect only after its caller was
-	// told of the failure.
+	// Late is the probability that a write with a lost answer takes effect only after its
+	// caller got the error.
 	Late float64
 }
 
-// NewMemTable returns an empty table whose faults follow the seed.
+// NewMemTable returns an empty table that selects faults by the seed.
 func NewMemTable(seed uint64) *MemTable {
 	return &MemTable{rows: map[string]platform.Row{}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// roll draws one fault and a pause.
-func (t *MemTable) roll() (lost, down, late bool, pause time.Duration) {
+// selectFaults selects the faults of one call and its duration.
+func (t *MemTable) selectFaults() (lost, down, late bool, pause time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rng.Float64() < t.Lost, t.rng.Float64() < t.Down, t.rng.Float64() < t.Late,
@@ -42,7 +42,7 @@
 
 // Get reads a row.
 func (t *MemTable) Get(_ context.Context, key string, known int64) (platform.Row, error) {
-	lost, down, _, pause := t.roll()
+	lost, down, _, pause := t.selectFaults()
 	time.Sleep(pause)
 	if lost || down {
 		return platform.Row{}, ErrNoAnswer
@@ -61,7 +61,7 @@
 
 // Put writes a row if its version is still the expected one.
 func (t *MemTable) Put(_ context.Context, key string, w platform.Write) (int64, error) {
-	lost, down, late, pause := t.roll()
+	lost, down, late, pause := t.selectFaults()
 	time.Sleep(pause)
 	if down {
 		return 0, ErrNoAnswer
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -10,15 +10,15 @@
 	"github.com/stoatramp/stoatramp/internal/engine"
 )
 
-// SetCache bounds the prefix cache and says how many of the newest events are held
-// back.
+// SetCache sets the capacity of the prefix cache and how many of the newest events are
+// not published yet.
 func (e *Engine) SetCache(blocks, lag int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.CacheBlocks, e.EventLag = blocks, lag
 }
 
-// SetFenced says whether the engine checks the epoch of an order. It is set before
+// SetFenced sets whether the engine checks the epoch of an order. Call it before
 // the engine listens.
 func (e *Engine) SetFenced(v bool) {
 	e.mu.Lock()
@@ -26,15 +26,15 @@
 	e.fenced = v
 }
 
-// Orders lists the orders the engine carried out, in turn.
+// Orders returns the orders that the engine carried out, in order.
 func (e *Engine) Orders() []engine.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]engine.Order(nil), e.orders...)
 }
 
-// order carries out an order. With a fence, one of an older epoch than the newest
-// seen is refused; without, any order is carried out, late ones included.
+// order carries out an order. With fencing, an order of an older epoch than the newest
+// seen is refused; without it, every order is carried out, however late.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -52,20 +52,20 @@
 	writeJSON(w, struct{}{})
 }
 
-// maxEvents bounds the cache events kept: who asks too late finds a gap.
+// maxEvents bounds the cache events kept: a client that asks too late finds a gap.
 const maxEvents = 256
 
-// evicted notes that a block left the cache.
-func (e *Engine) evicted(block uint64) {
+// recordEviction records that a block was evicted from the cache.
+func (e *Engine) recordEviction(block uint64) {
 	e.events = append(e.events, block)
 	if over := len(e.events) - maxEvents; over > 0 {
 		e.events = e.events[over:]
-		e.eventsFrom += int64(over)
+		e.firstEvent += int64(over)
 	}
 }
 
-// cacheEvents answers with the blocks evicted since an event, but for the newest
-// EventLag of them, which it publishes later.
+// cacheEvents answers with the blocks evicted since an event, except for the newest
+// EventLag of them, which are published later.
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -74,16 +74,16 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	end := max(e.eventsFrom, e.eventsFrom+int64(len(e.events)-e.EventLag))
-	out := engine.CacheEvents{Next: end, Gap: after < e.eventsFrom}
-	for n := max(after, e.eventsFrom); n < end; n++ {
-		out.Removed = append(out.Removed, e.events[n-e.eventsFrom])
+	end := max(e.firstEvent, e.firstEvent+int64(len(e.events)-e.EventLag))
+	out := engine.CacheEvents{Next: end, Gap: after < e.firstEvent}
+	for n := max(after, e.firstEvent); n < end; n++ {
+		out.Removed = append(out.Removed, e.events[n-e.firstEvent])
 	}
 	writeJSON(w, out)
 }
 
-// blockHashes chains the hashes of a prompt's leading blocks, as the published
-// events name them.
+// blockHashes returns the chained hashes of a prompt's leading blocks, which identify
+// the blocks in the published events.
 func blockHashes(text []byte) []uint64 {
 	var out []uint64
 	h := xxhash.New()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -18,12 +18,12 @@
 	rows    map[string]platform.Row
 	objects map[string][]byte
 	boxes   []platform.BoxInfo
-	// down answers nothing; loseWrites lets that many writes take effect and
-	// then drops the answer.
-	down       bool
-	loseWrites int
-	Reads      int
-	Writes     int
+	// down drops every connection. lostAnswers is how many of the next writes take effect
+	// without an answer.
+	down        bool
+	lostAnswers int
+	Reads       int
+	Writes      int
 }
 
 // NewPlatform returns an empty platform.
@@ -42,7 +42,7 @@
 func (p *Platform) LoseWrites(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loseWrites = n
+	p.lostAnswers = n
 }
 
 // SetBoxes sets the list of boxes.
@@ -106,8 +106,8 @@
 	row = platform.Row{Key: key, Version: row.Version + 1, Token: req.Token, Value: req.Value}
 	p.rows[key] = row
 	p.Writes++
-	if p.loseWrites > 0 {
-		p.loseWrites--
+	if p.lostAnswers > 0 {
+		p.lostAnswers--
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, platform.Row{Key: key, Version: row.Version})
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Server is a stand-in that listens on a loopback port of its own.
+// Server is a stand-in listening on its own loopback port.
 type Server struct {
 	Addr string
 	srv  *http.Server
@@ -28,5 +28,5 @@
 	return s, nil
 }
 
-// Close drops every connection, as a process that dies does.
+// Close drops every connection, like a process that crashes.
 func (s *Server) Close() { _ = s.srv.Close() }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -7,22 +7,22 @@
 	"sync"
 )
 
-// Service is a stand-in for one process of a plain service. It echoes what it
-// was sent and counts the calls.
+// Service is a stand-in for one process of a plain service. It echoes requests
+// and records the calls.
 type Service struct {
-	mu    sync.Mutex
-	calls []string // Method and path of each call, in order.
-	drop  int      // How many calls to read and then drop without an answer.
+	mu        sync.Mutex
+	calls     []string // Method and path of each call, in order.
+	dropsLeft int      // How many more calls to read and then drop without an answer.
 }
 
-// Drop makes the next n calls lose their connection after the request was read.
+// Drop drops the connections of the next n calls after their requests were read.
 func (s *Service) Drop(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop = n
+	s.dropsLeft = n
 }
 
-// Calls lists the calls received.
+// Calls returns the calls received, in order.
 func (s *Service) Calls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,9 +33,9 @@
 	b, err := io.ReadAll(r.Body)
 	s.mu.Lock()
 	s.calls = append(s.calls, r.Method+" "+r.URL.Path)
-	drop := s.drop > 0
+	drop := s.dropsLeft > 0
 	if drop {
-		s.drop--
+		s.dropsLeft--
 	}
 	s.mu.Unlock()
 	if drop || err != nil {
