--- a/cmd/stoatrampd/main.go
+++ b/cmd/stoatrampd/main.go
@@ -79,13 +79,13 @@
 // not count: socket buffers and the C library.
 const heapFraction = 0.75
 
-// gcPercent is the garbage collection target (GOGC), in percent of the live heap. Boxes before 10,000
+// gcPercent is the garbage collection target (GOGC), in percent of the live heap. Boxes in front of 10,000
 // endpoints keep some 10 MB each and are idle most of the time: the default of 100 would keep as much
 // garbage again uncollected in each of 986 processes.
 const gcPercent = 50
 
 // limitMemory keeps the process within mb megabytes; 0 means no limit. Without it, 2 of 301 boxes
-// before 3,000 endpoints exceeded their limit of 134 MB and were killed.
+// in front of 3,000 endpoints exceeded their limit of 134 MB and were killed.
 func limitMemory(mb float64) {
 	runtime.MemProfileRate = 0 // Nothing reads the profile, and sampling for it takes 0.8 MB (16.3 MB with, 15.5 MB without).
 	debug.SetGCPercent(gcPercent)
