--- a/internal/box/operator.go
+++ b/internal/box/operator.go
@@ -17,10 +17,10 @@
 	seen    map[relay.Digest]bool // Texts already seen under that version.
 }
 
-// take reports whether a text is newer, and if so records it as being in force. An operator whose change was
+// recordIfNewer reports whether a text is newer, and if so records it as being in force. An operator whose change was
 // lost in a restore may write a different text under the same version; a text that was already seen under that
 // version is older.
-func (s *textHistory) take(version int64, d relay.Digest) bool {
+func (s *textHistory) recordIfNewer(version int64, d relay.Digest) bool {
 	switch {
 	case version < s.version || version == s.version && s.seen[d]:
 		return false
@@ -69,7 +69,7 @@
 
 // pin remembers the state of the halls that the older snapshot changes back.
 func (e *evacuations) pin(listed map[string]bool, now time.Time) {
-	e.pinned, e.pinnedUntil = map[string]bool{}, now.Add(lapseGrace)
+	e.pinned, e.pinnedUntil = map[string]bool{}, now.Add(expiredEntryGrace)
 	for hall := range e.halls {
 		if !listed[hall] {
 			e.pinned[hall] = true
@@ -106,7 +106,7 @@
 	now := clock.Now()
 	b.Relay.SetEvacuated(b.evacuations.update(b.site.Evacuated(rows), b.configRestored, now))
 	if b.configRestored && len(b.evacuations.pinned) > 0 {
-		time.AfterFunc(lapseGrace, func() { b.tables[tableConfig].Again(func() {}) })
+		time.AfterFunc(expiredEntryGrace, func() { b.tables[tableConfig].Again(func() {}) })
 	}
 	b.configRestored = false
 }
--- a/internal/box/operator_test.go
+++ b/internal/box/operator_test.go
@@ -15,7 +15,7 @@
 		text    byte
 		taken   bool
 	}{{4, 1, true}, {4, 1, false}, {5, 1, true}, {5, 2, true}, {5, 1, false}, {4, 3, false}, {5, 3, true}, {5, 2, false}, {6, 1, true}} {
-		if got := known.take(x.version, relay.Digest{x.text}); got != x.taken {
+		if got := known.recordIfNewer(x.version, relay.Digest{x.text}); got != x.taken {
 			t.Errorf("step %d, text %d of version %d: expected taken %t, got %t", n, x.text, x.version, x.taken, got)
 		}
 	}
@@ -41,6 +41,6 @@
 	expect("the snapshot still has it", both, true, time.Second, "h2")
 	expect("it is removed again", []string{"h2"}, false, time.Second, "h2")
 	expect("a snapshot lacks both and nobody writes them again", nil, true, time.Minute, "h2")
-	expect("after the time to write again", nil, false, lapseGrace)
+	expect("after the time to write again", nil, false, expiredEntryGrace)
 	expect("a new one, first seen after a restore", []string{"h3"}, true, time.Minute, "h3")
 }
--- a/internal/box/relay.go
+++ b/internal/box/relay.go
@@ -125,8 +125,8 @@
 	listRestored    bool
 	gone            map[string]goneEndpoint
 	hasReplacements bool
-	// keepingLapsed means that endpoints are kept whose entries may have expired.
-	keepingLapsed bool
+	// keepingExpired means that endpoints are kept whose entries may have expired.
+	keepingExpired bool
 	// startedAt is when the process started: retries spent before that are unknown.
 	startedAt time.Time
 	stop      stopPlan
--- a/internal/box/relay_follow.go
+++ b/internal/box/relay_follow.go
@@ -177,7 +177,7 @@
 		b.book.Log.Belief("configuration rejected", zap.Error(err))
 		return
 	}
-	if c == nil || !b.configTexts.take(c.Version, c.Digest) {
+	if c == nil || !b.configTexts.recordIfNewer(c.Version, c.Digest) {
 		return
 	}
 	old := b.Relay.Version()
@@ -193,7 +193,7 @@
 		b.rewriteShared()
 	}
 	v, err := control.Current(rows, b.site.Versioned)
-	if err == nil && (v == nil || !b.ruleTexts.take(v.Number, sha256.Sum256([]byte(v.Text)))) {
+	if err == nil && (v == nil || !b.ruleTexts.recordIfNewer(v.Number, sha256.Sum256([]byte(v.Text)))) {
 		return
 	}
 	var c *config.Rules
@@ -254,15 +254,15 @@
 	at time.Time
 }
 
-// lapseGrace is how long after the store is reachable again a missing endpoint is kept: its entry may have
+// expiredEntryGrace is how long after the store is reachable again a missing endpoint is kept: its entry may have
 // expired during the outage, and a live endpoint writes it again within two seconds.
-const lapseGrace = 2100 * time.Millisecond
+const expiredEntryGrace = 2100 * time.Millisecond
 
-// keepLapsed keeps endpoints that are missing since the store is reachable again, and checks again when they
+// keepExpired keeps endpoints that are missing since the store is reachable again, and checks again when they
 // should have been written again.
-func (b *RelayBox) keepLapsed(next map[string]listedEndpoint) {
-	left := lapseGrace - b.listBack()
-	if left <= 0 {
+func (b *RelayBox) keepExpired(next map[string]listedEndpoint) {
+	remaining := expiredEntryGrace - b.timeSinceRecovery()
+	if remaining <= 0 {
 		return
 	}
 	kept := 0
@@ -272,15 +272,15 @@
 			kept++
 		}
 	}
-	if kept > 0 && !b.keepingLapsed {
-		b.keepingLapsed = true
-		b.book.Log.Belief("endpoints kept whose entries expired during the store outage", zap.Int("endpoints", kept), zap.Duration("for", left))
-		time.AfterFunc(left+time.Millisecond, func() { b.tables[tableEndpoints].Again(func() { b.keepingLapsed = false }) })
+	if kept > 0 && !b.keepingExpired {
+		b.keepingExpired = true
+		b.book.Log.Belief("endpoints kept whose entries expired during the store outage", zap.Int("endpoints", kept), zap.Duration("for", remaining))
+		time.AfterFunc(remaining+time.Millisecond, func() { b.tables[tableEndpoints].Again(func() { b.keepingExpired = false }) })
 	}
 }
 
-// listBack is the time since the store answered again after an outage.
-func (b *RelayBox) listBack() time.Duration { return b.tables[tableEndpoints].BackSince() }
+// timeSinceRecovery is the time since the store answered again after an outage.
+func (b *RelayBox) timeSinceRecovery() time.Duration { return b.tables[tableEndpoints].BackSince() }
 
 // applyList takes a new list of endpoints. Most rows are unchanged, and most changed rows say nothing new
 // about their endpoint: only changed text is parsed, and only actual changes are passed on.
@@ -292,7 +292,7 @@
 		changed = b.applyReplacements(next, now) || changed
 	}
 	if !inPlace {
-		b.keepLapsed(next)
+		b.keepExpired(next)
 		b.recordGone(b.listed, next, now)
 	}
 	b.listed = next
--- a/internal/box/restored.go
+++ b/internal/box/restored.go
@@ -29,25 +29,25 @@
 
 // restoredRow corrects a row of the older snapshot by what the box knew; known is false if the list had no row
 // with that key.
-func (b *RelayBox) restoredRow(key string, read, old listedEndpoint, known bool) listedEndpoint {
-	if read.foreign {
-		return read
+func (b *RelayBox) restoredRow(key string, row, old listedEndpoint, known bool) listedEndpoint {
+	if row.foreign {
+		return row
 	}
 	known = known && !old.foreign
 	gone, wasGone := b.gone[key]
 	switch {
-	case known && old.endpoint.ID == read.endpoint.ID:
-		read.endpoint.Leaving = read.endpoint.Leaving || old.endpoint.Leaving
-	case known && old.endpoint.Started > read.endpoint.Started:
-		foreignRow := read
+	case known && old.endpoint.ID == row.endpoint.ID:
+		row.endpoint.Leaving = row.endpoint.Leaving || old.endpoint.Leaving
+	case known && old.endpoint.Started > row.endpoint.Started:
+		foreignRow := row
 		foreignRow.foreign = true
-		read.endpoint, read.replacement = old.endpoint, b.scheduleReplacement(foreignRow, lapseGrace)
-	case !known && wasGone && gone.id == read.endpoint.ID:
-		relisted := read
-		read.foreign, read.replacement = true, b.scheduleReplacement(relisted, goneGrace)
+		row.endpoint, row.replacement = old.endpoint, b.scheduleReplacement(foreignRow, expiredEntryGrace)
+	case !known && wasGone && gone.id == row.endpoint.ID:
+		relisted := row
+		row.foreign, row.replacement = true, b.scheduleReplacement(relisted, goneGrace)
 		b.book.Log.Belief("removed endpoint listed again by an older snapshot", zap.String("endpoint", gone.id), zap.Duration("not_used_for", goneGrace))
 	}
-	return read
+	return row
 }
 
 // scheduleReplacement returns the replacement of a row after a time, and sets a timer that applies it.
--- a/internal/box/restored_test.go
+++ b/internal/box/restored_test.go
@@ -127,7 +127,7 @@
 		x.update(states{"a": "ready 2", "b": "ready 1"})
 		x.restore(states{"a": "ready 1", "b": "ready 1"})
 		x.expect("at the return", states{"a@2": "ready", "b@1": "ready"})
-		time.Sleep(lapseGrace + time.Millisecond)
+		time.Sleep(expiredEntryGrace + time.Millisecond)
 		x.expect("where it has not written again", states{"b@1": "ready"})
 		x.update(states{"a": "ready 2", "b": "ready 1"})
 		x.expect("where it has", states{"a@2": "ready", "b@1": "ready"})
@@ -141,7 +141,7 @@
 		x.update(states{"a": "ready 1", "b": "ready 1"})
 		x.restore(states{"b": "ready 1"})
 		x.expect("at the return", states{"a@1": "ready", "b@1": "ready"})
-		time.Sleep(lapseGrace + time.Millisecond)
+		time.Sleep(expiredEntryGrace + time.Millisecond)
 		x.expect("where it has not written again", states{"b@1": "ready"})
 	})
 }
--- a/internal/box/stop_test.go
+++ b/internal/box/stop_test.go
@@ -28,9 +28,9 @@
 				t.Errorf("%s: expected requests to have most of it, got %s", total, requests.Sub(began))
 			}
 			time.Sleep(time.Until(requests))
-			time.Sleep(min(finalFlushTimeout, time.Until(began.Add(total))-leastClosing)) // The last records.
+			time.Sleep(min(finalFlushTimeout, time.Until(began.Add(total))-minClosing)) // The last records.
 			_ = plannedServer{neverClosed{}, &p}.Stop(context.Background())
-			if took := time.Since(began); took > total+leastClosing {
+			if took := time.Since(began); took > total+minClosing {
 				t.Errorf("expected a stop of %s, got %s", total, took)
 			}
 		})
--- a/internal/decide/arrive.go
+++ b/internal/decide/arrive.go
@@ -42,8 +42,8 @@
 	c.enqueue(f)
 }
 
-// comeBack is the retry delay for a reason that is temporary but whose end is unknown.
-const comeBack = time.Second
+// defaultRetryAfter is the retry delay for a reason that is temporary but whose end is unknown.
+const defaultRetryAfter = time.Second
 
 // checkCapacity refuses a request that is too large for every engine of the pool, or that
 // has no engine in its region at all.
@@ -51,9 +51,9 @@
 	g := f.pool.in(f.Region)
 	switch {
 	case g.stayingPrefills == 0 && f.pool.SelfRead == 0:
-		c.endWithRetryAfter(f, outcome.NoPrefill, comeBack)
+		c.endWithRetryAfter(f, outcome.NoPrefill, defaultRetryAfter)
 	case g.maxKV == 0:
-		c.endWithRetryAfter(f, outcome.NoDecode, comeBack)
+		c.endWithRetryAfter(f, outcome.NoDecode, defaultRetryAfter)
 	case f.kvNeed() > g.maxKV:
 		c.end(f, outcome.PromptTooLong, fmt.Sprintf("it needs %d tokens of memory and the largest engine has %d", f.kvNeed(), g.maxKV))
 	default:
@@ -106,7 +106,7 @@
 		c.emit(Ruled{f.ID, v})
 	}
 	if v.Refuse {
-		c.endWithRetryAfter(f, outcome.PolicyRefused, comeBack)
+		c.endWithRetryAfter(f, outcome.PolicyRefused, defaultRetryAfter)
 		return false
 	}
 	f.mayBeLate = f.mayBeLate || v.Wait
@@ -134,7 +134,7 @@
 // it would otherwise cut off a stream that has begun.
 func (c *Core) enqueue(f *flight) {
 	p := f.pool
-	if len(p.queue.items) >= c.maxWaiting && f.brokeAt.IsZero() {
+	if len(p.queue.items) >= c.maxWaiting && f.connectionLostAt.IsZero() {
 		c.endWithRetryAfter(f, outcome.QueueFull, c.retryAfter(f))
 		return
 	}
@@ -234,8 +234,8 @@
 // counts from the loss of its connection.
 func (f *flight) startDeadline() time.Time {
 	switch {
-	case !f.brokeAt.IsZero():
-		return f.brokeAt.Add(f.maxWait())
+	case !f.connectionLostAt.IsZero():
+		return f.connectionLostAt.Add(f.maxWait())
 	case f.mayBeLate:
 		return f.arrived.Add(f.maxWait())
 	}
--- a/internal/decide/core.go
+++ b/internal/decide/core.go
@@ -70,8 +70,8 @@
 	order time.Time
 	// mayBeLate requests wait past their target.
 	mayBeLate bool
-	// brokeAt is when the connection of a running stream was last lost; zero if it never was.
-	brokeAt time.Time
+	// connectionLostAt is when the connection of a running stream was last lost; zero if it never was.
+	connectionLostAt time.Time
 	// yieldsToOnTime requests go behind all requests that can still be on time.
 	yieldsToOnTime bool
 	attempt        Attempt
@@ -310,7 +310,7 @@
 		c.handleReport(ev)
 	case Sent:
 		if e := c.engines[ev.Engine]; e != nil {
-			e.heardSent(ev)
+			e.addRemotePlacement(ev)
 			if ev.KV > 0 {
 				c.remote.addStart(ev.At)
 				c.pools[e.Pool].observeRemote(ev)
--- a/internal/decide/failure.go
+++ b/internal/decide/failure.go
@@ -42,7 +42,7 @@
 			// The caller waits in the middle of its answer, and there is no target left to
 			// miss: any pair is better than none.
 			f.mayBeLate = true
-			f.brokeAt = c.now
+			f.connectionLostAt = c.now
 			f.order = f.latestStart
 			c.abandonTry(f, reason, ran)
 			return
@@ -213,7 +213,7 @@
 func (c *Core) end(f *flight, reason outcome.Reason, detail string) {
 	o := outcome.Outcome{Kind: f.kindWithoutAnswer(), Reason: reason, Detail: detail}
 	if o.Kind == outcome.NotRun && reason.Passes() {
-		o.RetryAfter = comeBack
+		o.RetryAfter = defaultRetryAfter
 	}
 	c.finish(f, o)
 }
--- a/internal/decide/ledger.go
+++ b/internal/decide/ledger.go
@@ -184,8 +184,8 @@
 	e.addPlacement(placement{id: id, at: now, reservation: b, streams: weight})
 }
 
-// heardSent books a placement of another box, until a report includes it.
-func (e *engine) heardSent(s Sent) {
+// addRemotePlacement books a placement of another box, until a report includes it.
+func (e *engine) addRemotePlacement(s Sent) {
 	if e.reported && !s.At.After(e.report.At) {
 		return
 	}
--- a/internal/decide/queue.go
+++ b/internal/decide/queue.go
@@ -144,19 +144,19 @@
 // largestOfBusiestClient returns the largest request of the client with the most work.
 func largestOfBusiestClient(items []*flight, role EngineRole) *flight {
 	total := map[string]time.Duration{}
-	greatest := ""
+	busiestClient := ""
 	for _, f := range items {
 		if f.mayBeLate {
 			continue
 		}
 		total[f.Client] += f.work[role]
-		if t := total[f.Client]; greatest == "" || t > total[greatest] {
-			greatest = f.Client
+		if t := total[f.Client]; busiestClient == "" || t > total[busiestClient] {
+			busiestClient = f.Client
 		}
 	}
 	var best *flight
 	for _, f := range items {
-		if !f.mayBeLate && f.Client == greatest && (best == nil || f.work[role] > best.work[role]) {
+		if !f.mayBeLate && f.Client == busiestClient && (best == nil || f.work[role] > best.work[role]) {
 			best = f
 		}
 	}
--- a/internal/follow/feed.go
+++ b/internal/follow/feed.go
@@ -202,7 +202,7 @@
 	t.Fresh.markAnsweredAgo(p.Age)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.relief.until = clock.Now().Add(min(duration, t.o.Stale-p.Age))
+	t.delegation.until = clock.Now().Add(min(duration, t.o.Stale-p.Age))
 	return true
 }
 
@@ -248,10 +248,10 @@
 // EndDelegation ends the delegation: the other box no longer sends the table.
 func (t *Table) EndDelegation() {
 	t.mu.Lock()
-	t.relief.until = time.Time{}
+	t.delegation.until = time.Time{}
 	t.mu.Unlock()
 	select {
-	case t.relief.ended <- struct{}{}:
+	case t.delegation.ended <- struct{}{}:
 	default:
 	}
 }
@@ -260,23 +260,23 @@
 func (t *Table) delegated() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return clock.Until(t.relief.until) > 0
+	return clock.Until(t.delegation.until) > 0
 }
 
 // awaitDelegationEnd waits while another box reads the table, and reports whether it had to wait.
 func (t *Table) awaitDelegationEnd(ctx context.Context) (waited bool) {
 	for {
 		t.mu.Lock()
-		left := clock.Until(t.relief.until)
+		remaining := clock.Until(t.delegation.until)
 		t.mu.Unlock()
-		if left <= 0 || ctx.Err() != nil {
+		if remaining <= 0 || ctx.Err() != nil {
 			return waited
 		}
 		waited = true
-		timer := time.NewTimer(left)
+		timer := time.NewTimer(remaining)
 		select {
 		case <-timer.C:
-		case <-t.relief.ended:
+		case <-t.delegation.ended:
 		case <-ctx.Done():
 		}
 		timer.Stop()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -109,15 +109,15 @@
 	src Source
 	o   Options
 
-	// mu guards the fields below up to relief, and is held while Apply is called.
+	// mu guards the fields below up to delegation, and is held while Apply is called.
 	mu sync.Mutex
 	// rows is the table as of ver; nil before it was read whole.
 	rows map[string][]byte
 	ver  Version
 	// reread means that the store no longer has the changes since ver.
-	reread  bool
-	changes changeLog
-	relief  delegation
+	reread     bool
+	changes    changeLog
+	delegation delegation
 
 	// Apply is called with the whole table after each change and must neither keep the map
 	// nor change it. Calls do not overlap.
@@ -156,7 +156,7 @@
 		o.Link = &Link{}
 	}
 	t := &Table{src: src, o: o, Apply: apply, Fresh: &Freshness{}}
-	t.relief.ended, t.paceChanged = make(chan struct{}, 1), make(chan struct{}, 1)
+	t.delegation.ended, t.paceChanged = make(chan struct{}, 1), make(chan struct{}, 1)
 	return t
 }
 
@@ -322,15 +322,15 @@
 
 // merge applies the rows that changed from one version to another, and reports whether there was
 // any. An answer older than the known version must not revert anything, and one
-// that starts after it would leave a gap. Skips means that the rows do not name all changes between: such
+// that starts after it would leave a gap. Incomplete means that the rows do not name all changes between: such
 // rows are valid only for the state at since.
-func (t *Table) merge(rows []Row, since, ver Version, skips bool) bool {
+func (t *Table) merge(rows []Row, since, ver Version, incomplete bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.rows == nil || ver.Before(t.ver) || t.ver.Before(since) || skips && since != t.ver {
+	if t.rows == nil || ver.Before(t.ver) || t.ver.Before(since) || incomplete && since != t.ver {
 		return false
 	}
-	if skips {
+	if incomplete {
 		t.changes.addGap(gap{t.ver, ver})
 	}
 	restored := t.setVersion(ver)
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -79,7 +79,7 @@
 	boxesVersion int64
 	nextRenewal  time.Time
 	leaving      bool
-	restBy       time.Time // When the rest of this box ends; zero if none was requested.
+	pausedUntil  time.Time // When the pause requested of this box ends; zero if none was requested.
 	// malformed is the last malformed notice, as of malformedAt: an endpoint may send another one each time.
 	malformed    string
 	malformedAt  time.Time
@@ -133,8 +133,8 @@
 		e.leaving = true
 		changes = append(changes, Leaves)
 	}
-	if restUntil := now.Add(a.Notice.Rest); a.Notice.Rest > 0 && restUntil.After(e.restBy) {
-		e.restBy = restUntil
+	if pauseEnd := now.Add(a.Notice.Rest); a.Notice.Rest > 0 && pauseEnd.After(e.pausedUntil) {
+		e.pausedUntil = pauseEnd
 		changes = append(changes, RestAsked)
 	}
 	if differs := e.malformed != a.Notice.Unread; a.Notice.Unread != "" && differs && now.Sub(e.malformedAt) >= repeatInterval {
@@ -205,7 +205,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.byID[id]
-	return e != nil && now.Before(e.restBy)
+	return e != nil && now.Before(e.pausedUntil)
 }
 
 // Wait is how long an endpoint accepts no new requests from this box; 0 if it accepts one now.
@@ -219,12 +219,12 @@
 	if e == nil {
 		return 0
 	}
-	rest := max(0, e.restBy.Sub(now))
+	remainingPause := max(0, e.pausedUntil.Sub(now))
 	if e.limit == 0 {
-		return rest
+		return remainingPause
 	}
 	t.renewShare(e, id, now)
-	return max(rest, e.pacer.Wait(now, t.epoch))
+	return max(remainingPause, e.pacer.Wait(now, t.epoch))
 }
 
 // Sent accounts for a request that was sent to an endpoint and accepted.
@@ -272,7 +272,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, e := range t.byID {
-		inForce := e.limit > 0 || e.leaving || now.Before(e.restBy)
+		inForce := e.limit > 0 || e.leaving || now.Before(e.pausedUntil)
 		if now.Sub(e.lastNoticeAt) > endpointTTL && !(inForce && listed(id)) {
 			t.clearLimit(e)
 			delete(t.byID, id)
--- a/internal/overlay/accounts.go
+++ b/internal/overlay/accounts.go
@@ -266,7 +266,7 @@
 
 // Lend accepts the parts of another box.
 func (s *server) Lend(_ context.Context, r *connect.Request[v1.LendRequest]) (*connect.Response[v1.LendResponse], error) {
-	if err := s.n.allowed(r.Header()); err != nil {
+	if err := s.n.authenticate(r.Header()); err != nil {
 		return nil, err
 	}
 	groups := make([]int, len(r.Msg.Groups))
@@ -283,7 +283,7 @@
 
 // Allow answers for an account that this box owns.
 func (s *server) Allow(_ context.Context, r *connect.Request[v1.AllowRequest]) (*connect.Response[v1.AllowResponse], error) {
-	if err := s.n.allowed(r.Header()); err != nil {
+	if err := s.n.authenticate(r.Header()); err != nil {
 		return nil, err
 	}
 	if !(r.Msg.Units >= 0 && r.Msg.Units <= maxUnits && r.Msg.AheadUnits >= 0 && r.Msg.AheadUnits <= maxUnits) {
--- a/internal/overlay/home.go
+++ b/internal/overlay/owner.go
@@ -110,7 +110,7 @@
 
 // Room answers for an engine that this box owns.
 func (s *server) Room(_ context.Context, r *connect.Request[v1.RoomRequest]) (*connect.Response[v1.RoomResponse], error) {
-	if err := s.n.allowed(r.Header()); err != nil {
+	if err := s.n.authenticate(r.Header()); err != nil {
 		return nil, err
 	}
 	room, ok := decodeRoom(r.Msg)
--- a/internal/overlay/serve.go
+++ b/internal/overlay/serve.go
@@ -46,8 +46,8 @@
 
 func authorize(h http.Header, key string) { h.Set("Authorization", bearer+key) }
 
-// allowed returns an error unless a call comes from a box that knows the key of the platform's store.
-func (n *Node) allowed(h http.Header) error {
+// authenticate returns an error unless a call comes from a box that knows the key of the platform's store.
+func (n *Node) authenticate(h http.Header) error {
 	key := n.members.sharedKey()
 	if key == "" || subtle.ConstantTimeCompare([]byte(h.Get("Authorization")), []byte(bearer+key)) != 1 {
 		n.count.refused.Inc()
@@ -81,7 +81,7 @@
 
 // Follow sends a follower the tables as they change and the gossip messages.
 func (s *server) Follow(ctx context.Context, r *connect.Request[v1.FollowRequest], stream *connect.ServerStream[v1.Update]) error {
-	if err := s.n.allowed(r.Header()); err != nil {
+	if err := s.n.authenticate(r.Header()); err != nil {
 		return err
 	}
 	if r.Msg.Protocol != protocolVersion {
@@ -201,7 +201,7 @@
 
 // Tell receives the messages of a follower.
 func (s *server) Tell(_ context.Context, r *connect.Request[v1.TellRequest]) (*connect.Response[v1.TellResponse], error) {
-	if err := s.n.allowed(r.Header()); err != nil {
+	if err := s.n.authenticate(r.Header()); err != nil {
 		return nil, err
 	}
 	from := s.n.followerNamed(r.Msg.Box)
--- a/internal/overlay/tree.go
+++ b/internal/overlay/tree.go
@@ -27,16 +27,16 @@
 // Example: in a hall of 59 the eight after the oldest follow the oldest, and each of the other
 // fifty follows one of those eight.
 func parent(hall []Member, self Member) (m Member, ok bool) {
-	elders := 0
-	for elders < len(hall) && compareAge(hall[elders], self) < 0 {
-		elders++
+	olderCount := 0
+	for olderCount < len(hall) && compareAge(hall[olderCount], self) < 0 {
+		olderCount++
 	}
 	size := len(hall) + 1
 	middle := int(math.Ceil(math.Sqrt(float64(size))))
 	switch {
-	case elders == 0:
+	case olderCount == 0:
 		return Member{}, false
-	case size <= maxFlatHall || elders <= middle:
+	case size <= maxFlatHall || olderCount <= middle:
 		return hall[0], true
 	}
 	return rendezvous(hall[1:middle+1], self.Name), true
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -16,9 +16,9 @@
 	// at least three of nine engines crashed in each ten seconds because of two requests, which is 0.03
 	// to 0.1 per second.
 	baselineCrashesPerSecond = 0.1
-	// mostBits caps the evidence of one crash so that two never reach Enough: unrelated
+	// maxCrashBits caps the evidence of one crash so that two never reach Enough: unrelated
 	// endpoints also crash together.
-	mostBits = 5
+	maxCrashBits = 5
 	// minCrashBits is the least evidence that is recorded; it corresponds to a run of 2.9 s.
 	minCrashBits = 2
 	// Enough is the total at which a request is quarantined. Where endpoints crash 0.02, 0.05 and
@@ -54,7 +54,7 @@
 	}
 	p := -math.Expm1(-baselineCrashesPerSecond * max(0, e.Ran.Seconds()))
 	if p <= 0 {
-		return mostBits
+		return maxCrashBits
 	}
-	return min(mostBits, -math.Log2(p))
+	return min(maxCrashBits, -math.Log2(p))
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -91,10 +91,10 @@
 	removing       map[string]bool
 	quarantined    map[Fingerprint]bool
 	recentlyServed servedSet
-	// restored says that the next SetRows comes from a restored older copy of the table, and
+	// restorePending says that the next SetRows comes from a restored older copy of the table, and
 	// rewriteSpread is the time over which boxes write again the crashes that the copy lacks.
-	restored      bool
-	rewriteSpread time.Duration
+	restorePending bool
+	rewriteSpread  time.Duration
 	// pendingWrites wakes the Keeper.
 	pendingWrites chan struct{}
 }
@@ -125,8 +125,8 @@
 // maxRan bounds the run time that a row may claim.
 const maxRan = time.Hour
 
-// parse decodes a row; ok is false for one that no box can have written.
-func parse(key string, text []byte) (e End, ok bool) {
+// parseRow decodes a row; ok is false for one that no box can have written.
+func parseRow(key string, text []byte) (e End, ok bool) {
 	fingerprint, _, found := strings.Cut(key, ".")
 	raw, err := hex.DecodeString(fingerprint)
 	var doc rowDoc
@@ -216,8 +216,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
-	older := l.restored
-	if l.restored = false; older {
+	restored := l.restorePending
+	if l.restorePending = false; restored {
 		l.scheduleRewrites(rows, now)
 	}
 	for key, k := range l.crashes {
@@ -235,9 +235,9 @@
 			k.writeAttempted, k.writeAcked, k.seenInTable = true, true, true
 			continue
 		}
-		if e, ok := parse(key, text); ok && !l.isRemoving(key) {
+		if e, ok := parseRow(key, text); ok && !l.isRemoving(key) {
 			l.add(&crashRecord{End: e, observedAt: now, writeAttempted: true, writeAcked: true, seenInTable: true})
-			if older && l.recentlyServed.contains(e.Request, now) {
+			if restored && l.recentlyServed.contains(e.Request, now) {
 				l.drop(key, true)
 			}
 		}
@@ -254,7 +254,7 @@
 func (l *List) Restored(spread time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.restored, l.rewriteSpread = true, spread
+	l.restorePending, l.rewriteSpread = true, spread
 }
 
 // scheduleRewrites schedules the writes of crashes that a restored table lacks, and the removals of rows
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -212,7 +212,7 @@
 	f.Fuzz(func(t *testing.T, key string, text []byte) {
 		l := NewList()
 		l.SetRows(map[string][]byte{key: text})
-		if e, ok := parse(key, text); ok && e.key() != key {
+		if e, ok := parseRow(key, text); ok && e.key() != key {
 			t.Errorf("expected the key %s, got %s", key, e.key())
 		}
 	})
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -52,15 +52,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lend, back := map[string][]int{}, map[string][]int{}
-	for g, home := range want {
-		had := &l.lent[g]
+	for g, owner := range want {
+		current := &l.lent[g]
 		switch {
-		case home == "":
-		case had.to == home || had.to == "" || !now.Before(had.until):
-			*had = loan{home, now.Add(maxCallDelay + lentFor)}
-			lend[home] = append(lend[home], g)
+		case owner == "":
+		case current.to == owner || current.to == "" || !now.Before(current.until):
+			*current = loan{owner, now.Add(maxCallDelay + lentFor)}
+			lend[owner] = append(lend[owner], g)
 		default:
-			back[had.to] = append(back[had.to], g)
+			back[current.to] = append(back[current.to], g)
 		}
 	}
 	return append(buildCalls(back, true, lentFor), buildCalls(lend, false, lentFor)...)
@@ -88,16 +88,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range c.Groups {
-		had := &l.lent[g]
-		if had.to != c.To {
+		current := &l.lent[g]
+		if current.to != c.To {
 			continue
 		}
 		switch {
 		case r == Gone || c.Back && r == Delivered:
-			*had = loan{}
+			*current = loan{}
 			again = true
 		case r == Delivered:
-			had.until = now.Add(c.For)
+			current.until = now.Add(c.For)
 		}
 	}
 	return again
--- a/internal/relay/callerconn.go
+++ b/internal/relay/callerconn.go
@@ -14,8 +14,8 @@
 // whenever the caller takes data. It is enough to send data that is ready, and short compared to callerWriteTimeout.
 const stalledWriteTimeout = 250 * time.Millisecond
 
-// mostStalls limits the retries of one write whose deadline had passed before it was tried.
-const mostStalls = 8
+// maxStallRetries limits the retries of one write whose deadline had passed before it was tried.
+const maxStallRetries = 8
 
 // callerListener accepts callers' connections.
 type callerListener struct{ *net.TCPListener }
@@ -78,7 +78,7 @@
 			continue
 		}
 		// A write that failed at once was not tried, because its deadline had passed before.
-		if stalls++; time.Since(began) > stalledWriteTimeout/2 || stalls > mostStalls {
+		if stalls++; time.Since(began) > stalledWriteTimeout/2 || stalls > maxStallRetries {
 			return n, err
 		}
 	}
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -37,7 +37,7 @@
 		return
 	}
 	address := x.r.disp.Address(a.Prefill)
-	ctx, cancel := linger(ctx, readLinger)
+	ctx, cancel := withGracePeriod(ctx, prefillGracePeriod)
 	defer cancel()
 	sent := clock.Now()
 	resp, err := x.r.callerPool.Do(ctx, x.request(address, Run{Instance: a.Prefill, ReadOnly: true}))
@@ -61,13 +61,13 @@
 	}
 }
 
-// readLinger is how long the answer to a prefill that is no longer needed is still waited for: an engine that has
-// just finished it stores the result under a name that only its answer contains. A prefill that takes longer is
+// prefillGracePeriod is how long the answer to a prefill that is no longer needed is still waited for: an engine that
+// has just finished it stores the result under a name that only its answer contains. A prefill that takes longer is
 // stopped by the close of its connection.
-const readLinger = 50 * time.Millisecond
+const prefillGracePeriod = 50 * time.Millisecond
 
-// linger returns a context that ends a grace period after ctx.
-func linger(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
+// withGracePeriod returns a context that ends a grace period after ctx.
+func withGracePeriod(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	out, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
 		t := time.NewTimer(d)
@@ -102,7 +102,7 @@
 		f.send(flightEvent{attempt: a, noRoom: &noRoom{owner}})
 		return res, false
 	}
-	timeout := time.AfterFunc(sideLimit, func() {
+	timeout := time.AfterFunc(sideCallTimeout, func() {
 		if ctx.Err() == nil {
 			f.send(flightEvent{attempt: a, noRoom: &noRoom{}})
 		}
@@ -126,7 +126,7 @@
 func (r *Relay) requestReservation(ctx context.Context, engine string, x *exchange) string {
 	ttl := min(x.service.Engines.HoldFor, reservationTTL)
 	c := r.wire.TakeHold(x.meta.PromptTokens+min(x.reservedAhead(), x.reservedOutput()), ttl)
-	resp, body, err := r.sidePool.Call(context.WithoutCancel(ctx), sideLimit+ttl, sideRequest(engine, r.disp.Address(engine), c), maxSideAnswer)
+	resp, body, err := r.sidePool.Call(context.WithoutCancel(ctx), sideCallTimeout+ttl, sideRequest(engine, r.disp.Address(engine), c), maxSideAnswer)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return ""
 	}
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -25,8 +25,8 @@
 	hall   string
 	region string
 	halls  map[string]string
-	// left reports whether an endpoint has announced in an answer that it leaves.
-	left func(id string) bool
+	// hasAnnouncedLeaving reports whether an endpoint has announced in an answer that it leaves.
+	hasAnnouncedLeaving func(id string) bool
 
 	mu        sync.Mutex
 	cfg       *Config
--- a/internal/relay/halls.go
+++ b/internal/relay/halls.go
@@ -33,7 +33,8 @@
 func (f *fleet) describe(i int) knownEndpoint {
 	e := knownEndpoint{Endpoint: f.endpoints[i]}
 	e.Role = f.roles[e.ID].role()
-	e.Leaving = e.Leaving || f.left != nil && f.left(e.ID) // The list may be older than the answer.
+	// The list may be older than the answer.
+	e.Leaving = e.Leaving || f.hasAnnouncedLeaving != nil && f.hasAnnouncedLeaving(e.ID)
 	e.Region, e.Closed = f.regionOf(e.Hall), f.evacuated[e.Hall]
 	return e
 }
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -40,8 +40,8 @@
 	// resumed is set once the next call was made, and atSource if it was made to the first engine. bound is set once
 	// the attempt is bound to a call.
 	resumed, atSource, bound bool
-	// rested counts the calls that were made to an engine that had asked for rest.
-	rested int
+	// pauseRetries counts the calls that were made to an engine that had asked for a pause.
+	pauseRetries int
 }
 
 // is reports whether an attempt is that of the migration; false for a nil migration.
@@ -74,9 +74,9 @@
 	// reofferDelay is the pause before a stopped run is offered again to the engines that refused it: they store its
 	// memory, and streams end several times a second on a busy engine.
 	reofferDelay = 100 * time.Millisecond
-	// restCalls is how often a stopped run is offered to an engine that asked for rest and stores its memory: no other
-	// engine can resume it, and its request came before the rest.
-	restCalls = 2
+	// maxPauseRetries is how often a stopped run is offered to an engine that asked for a pause and stores its
+	// memory: no other engine can resume it, and its request came before the pause.
+	maxPauseRetries = 2
 	// migrateAnswerTimeout is how long the answer to a migration request is waited for once the run has ended, before a
 	// resumable stream is prefilled again elsewhere: callers abandon a stream that pauses for some seconds.
 	migrateAnswerTimeout = 2 * time.Second
@@ -97,9 +97,9 @@
 // memory, so a late answer does not mean that the run continues, and only the answer names the memory. The call
 // therefore lasts until the caller's deadline, plus the time for which the engine keeps the memory.
 func (f *flight) callMigrate(a decide.Migrate) {
-	kept := f.x.service.Engines.HandleFor
-	limit := f.x.left() + kept
-	ctx, cancel := linger(f.ctx, kept)
+	gracePeriod := f.x.service.Engines.HandleFor
+	limit := f.x.timeLeft() + gracePeriod
+	ctx, cancel := withGracePeriod(f.ctx, gracePeriod)
 	defer cancel()
 	address := f.x.r.disp.Address(a.From)
 	call := f.x.r.wire.Migrate(f.x.meta.ID, f.x.r.disp.Address(a.To))
@@ -126,7 +126,7 @@
 		}
 		break
 	}
-	f.send(flightEvent{attempt: a.Attempt, moved: out})
+	f.send(flightEvent{attempt: a.Attempt, migrated: out})
 }
 
 // sleepCtx returns after a duration, or when ctx ends.
@@ -143,8 +143,8 @@
 func (f *flight) handleMigrationEvent(ev flightEvent) bool {
 	m := f.migration
 	switch {
-	case ev.moved != nil:
-		f.applyMigrationResult(ev.moved)
+	case ev.migrated != nil:
+		f.applyMigrationResult(ev.migrated)
 	case ev.overdue:
 		if !m.resumed {
 			f.stopDecode()
@@ -242,7 +242,7 @@
 }
 
 // resumeWhenStopped makes the next call once the run is stopped and its call has ended. It resumes at the source a
-// stream that was quarantined meanwhile, or whose other engine asked for rest.
+// stream that was quarantined meanwhile, or whose other engine asked for a pause.
 func (f *flight) resumeWhenStopped() {
 	m := f.migration
 	if m.source.Handle == "" || m.sourceEnd == nil || m.resumed {
@@ -291,7 +291,7 @@
 		f.callResume(true, 0)
 		return
 	}
-	if m.atSource && e.reason == outcome.EndpointRefused && f.mayOffer() {
+	if m.atSource && e.reason == outcome.EndpointRefused && f.canReoffer() {
 		f.recordFailure(m.attempt, m.from, &e)
 		f.stopDecode()
 		f.callResume(f.mustResumeAtSource(), reofferDelay)
@@ -304,9 +304,9 @@
 	f.handleFailure(f.decodeAttempt, e)
 }
 
-// mayOffer reports whether a stopped run that its engine refused may be offered again: while its memory is kept, and
-// within the limits for rests and retries.
-func (f *flight) mayOffer() bool {
+// canReoffer reports whether a stopped run that its engine refused may be offered again: while its memory is kept, and
+// within the limits for pauses and retries.
+func (f *flight) canReoffer() bool {
 	m, now := f.migration, clock.Now()
 	if f.ctx.Err() != nil || now.Add(reofferDelay).After(m.keptUntil) {
 		return false
@@ -315,7 +315,7 @@
 		return f.x.r.disp.TakeRetries(2) // One for the target, and one for the first engine after it.
 	}
 	if f.x.r.notices.Rests(m.from, now) {
-		if m.rested++; m.rested > restCalls {
+		if m.pauseRetries++; m.pauseRetries > maxPauseRetries {
 			return false
 		}
 	}
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -205,8 +205,8 @@
 	return o
 }
 
-// promises reports whether callers take a status to mean that the request did not run.
-func promises(status int) bool {
+// impliesNotRun reports whether callers take a status to mean that the request did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -228,7 +228,7 @@
 // writeStatus begins the answer with the status of an endpoint that ran the request. A status that implies that the
 // request did not run is replaced, and the endpoint's signature removed.
 func (x *exchange) writeStatus(status int) {
-	if promises(status) {
+	if impliesNotRun(status) {
 		status = http.StatusBadGateway
 		x.r.wire.Vouch(x.w.Header())
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -129,7 +129,7 @@
 	}
 	r.notices = notice.NewTable(o.Box, r.boxes)
 	r.plain.notices = r.notices
-	r.fleet.left = r.notices.Leaving
+	r.fleet.hasAnnouncedLeaving = r.notices.Leaving
 	o.Core.SetNotices(r.notices)
 	r.fleet.box, r.fleet.hall, r.fleet.region, r.fleet.halls = o.Box, o.Hall, o.Region, o.Halls
 	r.memory.limit = o.Memory
@@ -240,16 +240,16 @@
 }
 
 // Close begins a planned stop with a deadline: the box is no longer ready, but still serves what it can finish.
-func (r *Relay) Close(by time.Time) { r.stopDeadline.Store(by.UnixNano()) }
+func (r *Relay) Close(deadline time.Time) { r.stopDeadline.Store(deadline.UnixNano()) }
 
 // outlastsStop reports whether a stream that starts now would be cut off by a planned stop.
 func (r *Relay) outlastsStop(now time.Time, service string, tokens int) bool {
-	by := r.stopDeadline.Load()
-	if by == 0 {
+	deadline := r.stopDeadline.Load()
+	if deadline == 0 {
 		return false
 	}
 	estimate := lengthGuessMargin * r.disp.StreamTime(service, tokens).Seconds()
-	return now.Add(time.Duration(estimate*float64(time.Second))).UnixNano() > by
+	return now.Add(time.Duration(estimate*float64(time.Second))).UnixNano() > deadline
 }
 
 // lengthGuessMargin is a safety factor for output length estimates that are too low.
@@ -260,7 +260,7 @@
 
 func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	x := r.newExchange(w, req)
-	defer x.endPanic()
+	defer x.recoverPanic()
 	x.unwatchUndelivered()
 	if r.stopDeadline.Load() != 0 {
 		w.Header().Set("Connection", "close")
@@ -274,9 +274,9 @@
 	x.watchUndelivered()
 }
 
-// endPanic closes the account of a request whose handler panicked for any reason but to close its connection. The
+// recoverPanic closes the account of a request whose handler panicked for any reason but to close its connection. The
 // server alone would close the connection without logging the request's id.
-func (x *exchange) endPanic() {
+func (x *exchange) recoverPanic() {
 	v := recover()
 	switch {
 	case v == nil:
@@ -447,8 +447,8 @@
 	return b, err
 }
 
-// left returns the time until the deadline, and at least a millisecond.
-func (x *exchange) left() time.Duration { return max(time.Millisecond, clock.Until(x.deadline)) }
+// timeLeft returns the time until the deadline, and at least a millisecond.
+func (x *exchange) timeLeft() time.Duration { return max(time.Millisecond, clock.Until(x.deadline)) }
 
 // request builds the request for one endpoint from the caller's.
 func (x *exchange) request(address string, run Run) *h1.Request {
@@ -456,7 +456,7 @@
 	h1.CopyHeaders(h, x.req.Header)
 	h.Del("Content-Length") // Set again from the body.
 	h.Del("Expect")
-	run.Left = x.left()
+	run.Left = x.timeLeft()
 	run.Account = x.account
 	x.dispatched = true
 	if run.LastEvent == "" {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -20,8 +20,8 @@
 const (
 	// eventBuffer is the number of events buffered for a slow caller.
 	eventBuffer = 32
-	// sideLimit limits the wait for a call that reserves memory, and for a call that frees it.
-	sideLimit = 700 * time.Millisecond
+	// sideCallTimeout limits the wait for a call that reserves memory, and for a call that frees it.
+	sideCallTimeout = 700 * time.Millisecond
 	// releaseTries is the number of attempts to free memory if the engine does not answer, and releaseRetryDelay the
 	// pause between them.
 	releaseTries      = 3
@@ -86,7 +86,7 @@
 	unframed bool
 	final    *finalPart
 	err      *callError
-	moved    *migrationResult // An engine answered a migration request.
+	migrated *migrationResult // An engine answered a migration request.
 	overdue  bool             // A call stopped for a migration has not ended in time.
 	// unanswered is set if a migration was not answered in time after its run has ended.
 	unanswered bool
@@ -223,7 +223,7 @@
 	for {
 		select {
 		case <-f.ctx.Done():
-			return f.rest()
+			return f.finishExpired()
 		case <-f.call.Wake:
 			for _, a := range f.call.Take() {
 				if o, end := f.apply(a); end {
@@ -232,7 +232,7 @@
 			}
 		case ev := <-f.events:
 			if f.ctx.Err() != nil {
-				return f.rest(ev) // The calls of a request are canceled with it.
+				return f.finishExpired(ev) // The calls of a request are canceled with it.
 			}
 			if o, end := f.handleEvent(ev); end {
 				return o
@@ -241,9 +241,9 @@
 	}
 }
 
-// rest delivers an answer whose end was already received when the request's context ended: a box that was not
+// finishExpired delivers an answer whose end was already received when the request's context ended: a box that was not
 // scheduled for a while finds both at once. An answer that is incomplete and has not begun is not begun.
-func (f *flight) rest(taken ...flightEvent) outcome.Outcome {
+func (f *flight) finishExpired(taken ...flightEvent) outcome.Outcome {
 	list, whole := f.collectUntilEnd(taken)
 	for _, ev := range list {
 		if !whole || f.x.req.Context().Err() != nil {
@@ -254,7 +254,7 @@
 			return o
 		}
 	}
-	return f.over()
+	return f.expiredOutcome()
 }
 
 // collectUntilEnd appends the events reported by calls up to the end of an answer or an error, and reports whether
@@ -275,8 +275,8 @@
 	}
 }
 
-// over returns the outcome of a request whose context has ended.
-func (f *flight) over() outcome.Outcome {
+// expiredOutcome returns the outcome of a request whose context has ended.
+func (f *flight) expiredOutcome() outcome.Outcome {
 	if f.x.req.Context().Err() != nil {
 		return callerGoneOutcome()
 	}
@@ -437,8 +437,8 @@
 	if ev.prefilled != nil {
 		f.x.r.drop(ev.prefilled.Engine, ev.prefilled.Address, f.x.r.wire.DropHandle(ev.prefilled.Handle))
 	}
-	if ev.moved != nil {
-		ev.moved.drop(f.x.r)
+	if ev.migrated != nil {
+		ev.migrated.drop(f.x.r)
 	}
 }
 
@@ -549,7 +549,7 @@
 	r.m.Aborts.Inc()
 	r.cleanups.Go(func() {
 		for range releaseTries {
-			_, _, err := r.sidePool.Call(context.Background(), sideLimit, sideRequest(engine, address, c), maxSideAnswer)
+			_, _, err := r.sidePool.Call(context.Background(), sideCallTimeout, sideRequest(engine, address, c), maxSideAnswer)
 			if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 				return
 			}
