--- a/internal/rpc/stoatrampv1/stoatrampv1connect/operator.connect.go
+++ b/internal/rpc/stoatrampv1/stoatrampv1connect/operator.connect.go
@@ -2,7 +2,8 @@
 //
 // Source: stoatramp/v1/operator.proto
 
-// Package stoatramp.v1 is the interface between the operators' tool and a box.
+// Package stoatramp.v1 defines the interfaces of a box: Operator for the operators' command-line
+// tool, Peer and Overlay for other boxes.
 package stoatrampv1connect
 
 import (
@@ -52,19 +53,21 @@
 
 // OperatorClient is a client for the stoatramp.v1.Operator service.
 type OperatorClient interface {
-	// Status tells what the box sees and does.
+	// Status returns the state of the box and of the engines as the box observes them.
 	Status(context.Context, *connect.Request[stoatrampv1.StatusRequest]) (*connect.Response[stoatrampv1.StatusResponse], error)
-	// Why tells what became of a request and why.
+	// Why explains how a request was routed and how it ended.
 	Why(context.Context, *connect.Request[stoatrampv1.WhyRequest]) (*connect.Response[stoatrampv1.WhyResponse], error)
 	// GetConfig returns the accepted configuration.
 	GetConfig(context.Context, *connect.Request[stoatrampv1.GetConfigRequest]) (*connect.Response[stoatrampv1.GetConfigResponse], error)
-	// CheckConfig checks a configuration and changes nothing.
+	// CheckConfig validates a configuration without applying it.
 	CheckConfig(context.Context, *connect.Request[stoatrampv1.CheckConfigRequest]) (*connect.Response[stoatrampv1.CheckConfigResponse], error)
-	// ApplyConfig makes a configuration the accepted one, if nobody else changed it meanwhile.
+	// ApplyConfig makes a configuration the accepted one, unless another version was accepted since the
+	// one that it is based on. It waits until the new version is in force, up to a timeout.
 	ApplyConfig(context.Context, *connect.Request[stoatrampv1.ApplyConfigRequest]) (*connect.Response[stoatrampv1.ApplyConfigResponse], error)
-	// ConfigHistory lists the versions before.
+	// ConfigHistory lists the latest accepted versions, newest first.
 	ConfigHistory(context.Context, *connect.Request[stoatrampv1.ConfigHistoryRequest]) (*connect.Response[stoatrampv1.ConfigHistoryResponse], error)
-	// Drain has the box take no new work, finish what runs and exit.
+	// Drain starts a graceful shutdown: the box accepts no new requests, finishes the running ones and
+	// exits.
 	Drain(context.Context, *connect.Request[stoatrampv1.DrainRequest]) (*connect.Response[stoatrampv1.DrainResponse], error)
 }
 
@@ -172,19 +175,21 @@
 
 // OperatorHandler is an implementation of the stoatramp.v1.Operator service.
 type OperatorHandler interface {
-	// Status tells what the box sees and does.
+	// Status returns the state of the box and of the engines as the box observes them.
 	Status(context.Context, *connect.Request[stoatrampv1.StatusRequest]) (*connect.Response[stoatrampv1.StatusResponse], error)
-	// Why tells what became of a request and why.
+	// Why explains how a request was routed and how it ended.
 	Why(context.Context, *connect.Request[stoatrampv1.WhyRequest]) (*connect.Response[stoatrampv1.WhyResponse], error)
 	// GetConfig returns the accepted configuration.
 	GetConfig(context.Context, *connect.Request[stoatrampv1.GetConfigRequest]) (*connect.Response[stoatrampv1.GetConfigResponse], error)
-	// CheckConfig checks a configuration and changes nothing.
+	// CheckConfig validates a configuration without applying it.
 	CheckConfig(context.Context, *connect.Request[stoatrampv1.CheckConfigRequest]) (*connect.Response[stoatrampv1.CheckConfigResponse], error)
-	// ApplyConfig makes a configuration the accepted one, if nobody else changed it meanwhile.
+	// ApplyConfig makes a configuration the accepted one, unless another version was accepted since the
+	// one that it is based on. It waits until the new version is in force, up to a timeout.
 	ApplyConfig(context.Context, *connect.Request[stoatrampv1.ApplyConfigRequest]) (*connect.Response[stoatrampv1.ApplyConfigResponse], error)
-	// ConfigHistory lists the versions before.
+	// ConfigHistory lists the latest accepted versions, newest first.
 	ConfigHistory(context.Context, *connect.Request[stoatrampv1.ConfigHistoryRequest]) (*connect.Response[stoatrampv1.ConfigHistoryResponse], error)
-	// Drain has the box take no new work, finish what runs and exit.
+	// Drain starts a graceful shutdown: the box accepts no new requests, finishes the running ones and
+	// exits.
 	Drain(context.Context, *connect.Request[stoatrampv1.DrainRequest]) (*connect.Response[stoatrampv1.DrainResponse], error)
 }
 
--- a/internal/rpc/stoatrampv1/stoatrampv1connect/overlay.connect.go
+++ b/internal/rpc/stoatrampv1/stoatrampv1connect/overlay.connect.go
@@ -49,19 +49,19 @@
 
 // OverlayClient is a client for the stoatramp.v1.Overlay service.
 type OverlayClient interface {
-	// Follow sends the tables as they change and what is learned, until either side ends it.
+	// Follow streams table changes and gossip messages to a follower until either side ends the stream.
 	Follow(context.Context, *connect.Request[stoatrampv1.FollowRequest]) (*connect.ServerStreamForClient[stoatrampv1.Update], error)
-	// Tell passes on what a follower learned.
+	// Tell sends the gossip messages of a follower to its upstream.
 	Tell(context.Context, *connect.Request[stoatrampv1.TellRequest]) (*connect.Response[stoatrampv1.TellResponse], error)
-	// Tables returns the tables once, to a box that starts while the store is away. It needs
-	// no key.
+	// Tables returns the open tables once, to a box that starts while the store is unavailable. It
+	// requires no key.
 	Tables(context.Context, *connect.Request[stoatrampv1.TablesRequest]) (*connect.Response[stoatrampv1.Update], error)
-	// Room asks the home of an engine whether a stream fits there, and books it if so.
+	// Room asks the owner of an engine whether the engine has room for a stream, and reserves it if so.
 	Room(context.Context, *connect.Request[stoatrampv1.RoomRequest]) (*connect.Response[stoatrampv1.RoomResponse], error)
-	// Lend gives the box's parts of client accounts' limits to the home of these accounts for a
-	// short time, or takes them back.
+	// Lend lends the calling box's shares of client accounts' limits to the owner of these accounts for
+	// a short time, or takes them back.
 	Lend(context.Context, *connect.Request[stoatrampv1.LendRequest]) (*connect.Response[stoatrampv1.LendResponse], error)
-	// Allow asks the home of a client account for a part of the account's limit.
+	// Allow asks the owner of a client account for units of the account's limit.
 	Allow(context.Context, *connect.Request[stoatrampv1.AllowRequest]) (*connect.Response[stoatrampv1.AllowResponse], error)
 }
 
@@ -157,19 +157,19 @@
 
 // OverlayHandler is an implementation of the stoatramp.v1.Overlay service.
 type OverlayHandler interface {
-	// Follow sends the tables as they change and what is learned, until either side ends it.
+	// Follow streams table changes and gossip messages to a follower until either side ends the stream.
 	Follow(context.Context, *connect.Request[stoatrampv1.FollowRequest], *connect.ServerStream[stoatrampv1.Update]) error
-	// Tell passes on what a follower learned.
+	// Tell sends the gossip messages of a follower to its upstream.
 	Tell(context.Context, *connect.Request[stoatrampv1.TellRequest]) (*connect.Response[stoatrampv1.TellResponse], error)
-	// Tables returns the tables once, to a box that starts while the store is away. It needs
-	// no key.
+	// Tables returns the open tables once, to a box that starts while the store is unavailable. It
+	// requires no key.
 	Tables(context.Context, *connect.Request[stoatrampv1.TablesRequest]) (*connect.Response[stoatrampv1.Update], error)
-	// Room asks the home of an engine whether a stream fits there, and books it if so.
+	// Room asks the owner of an engine whether the engine has room for a stream, and reserves it if so.
 	Room(context.Context, *connect.Request[stoatrampv1.RoomRequest]) (*connect.Response[stoatrampv1.RoomResponse], error)
-	// Lend gives the box's parts of client accounts' limits to the home of these accounts for a
-	// short time, or takes them back.
+	// Lend lends the calling box's shares of client accounts' limits to the owner of these accounts for
+	// a short time, or takes them back.
 	Lend(context.Context, *connect.Request[stoatrampv1.LendRequest]) (*connect.Response[stoatrampv1.LendResponse], error)
-	// Allow asks the home of a client account for a part of the account's limit.
+	// Allow asks the owner of a client account for units of the account's limit.
 	Allow(context.Context, *connect.Request[stoatrampv1.AllowRequest]) (*connect.Response[stoatrampv1.AllowResponse], error)
 }
 
--- a/internal/rpc/stoatrampv1/stoatrampv1connect/peer.connect.go
+++ b/internal/rpc/stoatrampv1/stoatrampv1connect/peer.connect.go
@@ -45,13 +45,14 @@
 
 // PeerClient is a client for the stoatramp.v1.Peer service.
 type PeerClient interface {
-	// State tells how far a box is.
+	// State returns the readiness and the configuration version of a box.
 	State(context.Context, *connect.Request[stoatrampv1.StateRequest]) (*connect.Response[stoatrampv1.StateResponse], error)
 	// PassConfig returns the accepted configuration that is in force on a box.
 	PassConfig(context.Context, *connect.Request[stoatrampv1.PassConfigRequest]) (*connect.Response[stoatrampv1.PassConfigResponse], error)
 	// GetRecord returns the record of a request that a box served.
 	GetRecord(context.Context, *connect.Request[stoatrampv1.GetRecordRequest]) (*connect.Response[stoatrampv1.GetRecordResponse], error)
-	// Grant tells a client's home box what was asked elsewhere, for a share of its limits.
+	// Grant reports the demand of clients at the calling box to the owner of these clients, and returns
+	// the calling box's shares of their limits.
 	Grant(context.Context, *connect.Request[stoatrampv1.GrantRequest]) (*connect.Response[stoatrampv1.GrantResponse], error)
 }
 
@@ -123,13 +124,14 @@
 
 // PeerHandler is an implementation of the stoatramp.v1.Peer service.
 type PeerHandler interface {
-	// State tells how far a box is.
+	// State returns the readiness and the configuration version of a box.
 	State(context.Context, *connect.Request[stoatrampv1.StateRequest]) (*connect.Response[stoatrampv1.StateResponse], error)
 	// PassConfig returns the accepted configuration that is in force on a box.
 	PassConfig(context.Context, *connect.Request[stoatrampv1.PassConfigRequest]) (*connect.Response[stoatrampv1.PassConfigResponse], error)
 	// GetRecord returns the record of a request that a box served.
 	GetRecord(context.Context, *connect.Request[stoatrampv1.GetRecordRequest]) (*connect.Response[stoatrampv1.GetRecordResponse], error)
-	// Grant tells a client's home box what was asked elsewhere, for a share of its limits.
+	// Grant reports the demand of clients at the calling box to the owner of these clients, and returns
+	// the calling box's shares of their limits.
 	Grant(context.Context, *connect.Request[stoatrampv1.GrantRequest]) (*connect.Response[stoatrampv1.GrantResponse], error)
 }
 
