--- a/cmd/stoatrampd/older_test.go
+++ b/cmd/stoatrampd/older_test.go
@@ -104,7 +104,7 @@
 	if out := x.runTool("policy", "history"); !strings.Contains(out, "2") {
 		t.Errorf("expected both versions, got %s", out)
 	}
-	x.until("the log to say so", func() bool { return x.log.has("shared configuration written again", `"version":2`) })
+	x.until("the log to say so", func() bool { return x.log.has("shared configuration rewritten", `"version":2`) })
 }
 
 func TestPoliciesAcceptedWhenTheStoreCameBackOlderGetTheNextNumber(t *testing.T) {
--- a/cmd/stoatrampd/quarantine_test.go
+++ b/cmd/stoatrampd/quarantine_test.go
@@ -157,7 +157,7 @@
 	for n, l := range s.logs {
 		l.mu.Lock()
 		for line := range strings.Lines(l.text.String()) {
-			if strings.Contains(line, "ended under") || strings.Contains(line, "request held") || strings.Contains(line, "end not known") || strings.Contains(line, "not written") || strings.Contains(line, "endpoint seen") {
+			if strings.Contains(line, "crashed under") || strings.Contains(line, "request quarantined") || strings.Contains(line, "crash unconfirmed") || strings.Contains(line, "not written") || strings.Contains(line, "endpoint seen") {
 				s.t.Logf("box %d: %s", n, strings.TrimSpace(line))
 			}
 		}
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -37,8 +37,8 @@
 
 // Trace tracks one request. It is not safe for concurrent use.
 type Trace struct {
-	book *Recorder
-	Rec  *record.Record
+	recorder *Recorder
+	Rec      *record.Record
 	// arrived has a monotonic clock reading, which Rec.At loses in the archive.
 	arrived time.Time
 	// logged means that each decision is logged as it is made. Otherwise the lines are written
@@ -50,7 +50,7 @@
 
 // Open starts tracking a request; the record's At is when it arrived.
 func (b *Recorder) Open(rec *record.Record) *Trace {
-	return &Trace{book: b, Rec: rec, arrived: rec.At, logged: b.Log.Sample(time.Now())}
+	return &Trace{recorder: b, Rec: rec, arrived: rec.At, logged: b.Log.Sample(time.Now())}
 }
 
 // Step adds a decision.
@@ -58,7 +58,7 @@
 	s.After = time.Since(a.arrived)
 	a.Rec.Steps = append(a.Rec.Steps, s)
 	if a.logged {
-		a.book.Log.step(a.Rec, &a.Rec.Steps[len(a.Rec.Steps)-1])
+		a.recorder.Log.step(a.Rec, &a.Rec.Steps[len(a.Rec.Steps)-1])
 	}
 }
 
@@ -70,10 +70,10 @@
 	a.closed = true
 	a.Rec.Kind, a.Rec.Reason, a.Rec.Detail = o.Kind, o.Reason, o.Detail
 	a.Rec.Duration = time.Since(a.arrived)
-	a.book.Records.Add(a.Rec)
-	a.book.Archive.Add(a.Rec)
-	a.book.Metrics.CountEnd(o)
-	a.book.Metrics.ObserveTimes(a.Rec)
+	a.recorder.Records.Add(a.Rec)
+	a.recorder.Archive.Add(a.Rec)
+	a.recorder.Metrics.CountEnd(o)
+	a.recorder.Metrics.ObserveTimes(a.Rec)
 	a.writeLog()
 }
 
@@ -83,13 +83,13 @@
 	case a.logged:
 	case alwaysLogged(a.Rec):
 		for i := range a.Rec.Steps {
-			a.book.Log.step(a.Rec, &a.Rec.Steps[i])
+			a.recorder.Log.step(a.Rec, &a.Rec.Steps[i])
 		}
 	default:
-		a.book.Log.countLeftOut()
+		a.recorder.Log.countLeftOut()
 		return
 	}
-	a.book.Log.end(a.Rec, a.book.conditions())
+	a.recorder.Log.end(a.Rec, a.recorder.conditions())
 }
 
 func (b *Recorder) conditions() Conditions {
@@ -113,7 +113,7 @@
 	}
 	for i := range r.Steps {
 		switch r.Steps[i].Kind {
-		case record.StepRetry, record.StepResume, record.StepWaste, record.StepFailed, record.StepNoRoom, record.StepPolicy:
+		case record.StepRetry, record.StepResume, record.StepWastedPrefill, record.StepFailed, record.StepNoRoom, record.StepPolicy:
 			return true
 		}
 	}
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -20,8 +20,8 @@
 
 func (noArchive) Add(*record.Record) {}
 
-// newBook returns a book that logs up to rate requests per second to the buffer.
-func newBook(rate float64) (*Recorder, *bytes.Buffer) {
+// newRecorder returns a book that logs up to rate requests per second to the buffer.
+func newRecorder(rate float64) (*Recorder, *bytes.Buffer) {
 	var out bytes.Buffer
 	m := telemetry.NewMetrics()
 	return &Recorder{
@@ -57,7 +57,7 @@
 // The line of a decision contains the request's id and the inputs with their age, and the last
 // line the version of the configuration.
 func TestLines(t *testing.T) {
-	b, out := newBook(10)
+	b, out := newRecorder(10)
 	b.runRequest("id-1", outcome.Outcome{Kind: outcome.Answered}, record.Step{Kind: record.StepFirst, Decode: "d"})
 	got := parseLines(t, out)
 	if len(got) != 3 {
@@ -81,7 +81,7 @@
 // whatever the rate, and requests left out are counted.
 func TestSampling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, out := newBook(10)
+		b, out := newRecorder(10)
 		const requestsPerSecond, seconds = 200, 10 // 20 times the rate.
 		refused, retried := 0, 0
 		for n := range requestsPerSecond * seconds {
@@ -125,7 +125,7 @@
 
 // While the log writer falls behind, successful requests are not logged.
 func TestBusyLog(t *testing.T) {
-	b, out := newBook(1000)
+	b, out := newRecorder(1000)
 	b.Log.busy = func() bool { return true }
 	b.runRequest("well", outcome.Outcome{Kind: outcome.Answered})
 	b.runRequest("cut", outcome.Outcome{Kind: outcome.CutOff, Reason: outcome.Truncated})
@@ -145,7 +145,7 @@
 	hang := make(chan struct{})
 	out := telemetry.NewAsync(hangingWriter{hang})
 	m := telemetry.NewMetrics()
-	book := &Recorder{
+	recorder := &Recorder{
 		Records: record.NewRing(4096), Archive: noArchive{}, Metrics: m,
 		Log: NewLog(telemetry.NewLogger(out), 40, out.Busy, m.LogLeftOut),
 	}
@@ -153,10 +153,10 @@
 	n := 0
 	for b.Loop() {
 		if n++; n%10 == 0 {
-			book.runRequest("refused", outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.TooLate})
+			recorder.runRequest("refused", outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.TooLate})
 			continue
 		}
-		book.runRequest("well", outcome.Outcome{Kind: outcome.Answered})
+		recorder.runRequest("well", outcome.Outcome{Kind: outcome.Answered})
 	}
 	out.Register(m.Set)
 	b.ReportMetric(float64(m.LogLeftOut.Get())/float64(n), "left_out/req")
@@ -172,7 +172,7 @@
 
 // An answer that was cut off is logged as a warning, which operators search for, with the state of the box, whatever the rate.
 func TestAnswerThatWasCutOffIsAWarningWithTheBoxsConditions(t *testing.T) {
-	b, out := newBook(0)
+	b, out := newRecorder(0)
 	b.Conditions = func() Conditions {
 		return Conditions{ConfigAge: 120 * time.Millisecond, Stall: time.Second, StallAge: 30 * time.Millisecond}
 	}
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -179,7 +179,7 @@
 	}
 	for _, q := range reqs {
 		box := rng.IntN(len(r.boxes))
-		r.at(r.start.Add(q.at), func() { r.arrive(q, box) })
+		r.at(r.start.Add(q.at), func() { r.submit(q, box) })
 	}
 	r.every(sampleInterval, func() {
 		for _, e := range r.engineList {
@@ -213,7 +213,7 @@
 	})
 }
 
-func (r *simulation) arrive(q *request, box int) {
+func (r *simulation) submit(q *request, box int) {
 	f := &simFlight{request: q, box: box, arrived: r.now}
 	r.flights[q.ID] = f
 	r.deliver(box, decide.Submit{Request: q.Request})
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -81,7 +81,7 @@
 	b.store = control.NewStore(controlClient)
 	b.archive = archive.New(controlClient, b.Metrics.RecordsLost)
 	b.peers = peer.New(cfg.Name, cfg.PeerKey, controlClient, &http.Client{Transport: &http.Transport{DialContext: countedDial, IdleConnTimeout: time.Minute}})
-	book := &account.Recorder{
+	recorder := &account.Recorder{
 		Records: records, Archive: b.archive, Metrics: b.Metrics,
 		Log: account.NewLog(log, loggedRequestsPerSecond, nil, b.Metrics.LogLeftOut),
 	}
@@ -89,13 +89,13 @@
 	b.limits = limits
 	b.grants = peer.NewGrants(b.peers, limits)
 	b.Gateway = gateway.New(gateway.Options{
-		Limits:  limits,
-		Box:     cfg,
-		Core:    decide.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), cfg.Queue),
-		Engines: b.engines,
-		Claims:  claim.New(claimClient),
-		Book:    book,
-		Log:     log,
+		Limits:   limits,
+		Box:      cfg,
+		Core:     decide.New(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), cfg.Queue),
+		Engines:  b.engines,
+		Claims:   claim.New(claimClient),
+		Recorder: recorder,
+		Log:      log,
 	})
 	b.probes = newProber(b.engines, b.Gateway)
 	b.engines.OnLoad = b.probes.receiveReport
--- a/internal/box/eras.go
+++ b/internal/box/eras.go
@@ -36,7 +36,7 @@
 		previous = last.era
 		b.archive.StoreRestored()
 	}
-	b.book.Log.StateChange("store era", zap.Int64("era", era), zap.Int64("before", previous))
+	b.recorder.Log.StateChange("store era", zap.Int64("era", era), zap.Int64("before", previous))
 }
 
 // eraObserved returns when this box first observed an era, and whether it knew an earlier one.
@@ -50,7 +50,7 @@
 // watchEras subscribes to changes of the store's era.
 func (b *RelayBox) watchEras() {
 	if b.site.WatchEras != nil {
-		b.site.WatchEras(b.observeEra, func(err error) { b.book.Log.StateChange("store era not read", zap.Error(err)) })
+		b.site.WatchEras(b.observeEra, func(err error) { b.recorder.Log.StateChange("store era not read", zap.Error(err)) })
 	}
 }
 
--- a/internal/box/list_test.go
+++ b/internal/box/list_test.go
@@ -40,11 +40,11 @@
 
 // newListBox returns a box that can only apply lists of endpoints.
 func newListBox() *RelayBox {
-	book := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
-	x := &RelayBox{log: zap.NewNop(), book: book, site: Site{ParseEndpoint: func(key string, text []byte) (relay.Endpoint, error) {
+	recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
+	x := &RelayBox{log: zap.NewNop(), recorder: recorder, site: Site{ParseEndpoint: func(key string, text []byte) (relay.Endpoint, error) {
 		return relay.Endpoint{ID: key, Service: "llm", Hall: key[len(key)-1:], Role: decide.Decode, Leaving: string(text) == "leaving"}, nil
 	}}}
-	x.Relay = relay.New(relay.Options{Box: "a", Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: book})
+	x.Relay = relay.New(relay.Options{Box: "a", Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: recorder})
 	x.Relay.SetConfig(&relay.Config{Services: map[string]*relay.Service{"llm": {Name: "llm", Engines: &relay.EngineConfig{KVTokens: 1000}}}})
 	x.tables = map[string]*follow.Table{tableEndpoints: follow.New(nil, follow.Options{}, x.applyList)}
 	return x
--- a/internal/box/relay.go
+++ b/internal/box/relay.go
@@ -64,7 +64,7 @@
 	Leases lease.Rows
 	// Learned is the table in which boxes share what they learned about engines.
 	Learned lease.Rows
-	// SuspectedCrashes is the table of requests under which endpoints are suspected to have crashed; EndsChanges follows it.
+	// SuspectedCrashes is the table of requests under which endpoints are suspected to have crashed; SuspectedCrashChanges follows it.
 	SuspectedCrashes      quarantine.Table
 	SuspectedCrashChanges follow.Source
 	// WatchEras calls rose with each new era of the store: every era after the first means that the store was
@@ -82,10 +82,10 @@
 	// Reload reads the settings again; nil if that is not possible.
 	Reload func() (*config.Relay, error)
 	// rules are the policies and operators in force; never nil.
-	rules  atomic.Pointer[config.Rules]
-	store  *control.Store
-	shared *durableTable
-	book   *account.Recorder
+	rules    atomic.Pointer[config.Rules]
+	store    *control.Store
+	shared   *durableTable
+	recorder *account.Recorder
 	// How fresh each table is that the box follows.
 	configFreshness, listFreshness, rulesFreshness, membersFreshness, crashesFreshness follow.Freshness
 
@@ -148,7 +148,7 @@
 	b.shared = b.newSharedTable(site)
 	b.store = control.NewStore(b.shared)
 	b.archive = archive.NewTimeArchive(site.Objects, cfg.Name, b.Metrics.RecordsLost)
-	b.book = &account.Recorder{
+	b.recorder = &account.Recorder{
 		Records: record.NewRing(ops.RecordCapacity), Archive: b.archive, Metrics: b.Metrics,
 		Log: account.NewLog(log, cfg.LoggedRate, busy, b.Metrics.LogLeftOut),
 	}
@@ -166,12 +166,12 @@
 	}
 	b.Relay = relay.New(relay.Options{
 		Box: cfg.Name, Hall: cfg.Hall, Region: cfg.Region, Halls: cfg.Halls, Protocol: site.Protocol,
-		Core: core, Recorder: b.book, Peers: peers, ListFreshness: &b.listFreshness,
+		Core: core, Recorder: b.recorder, Peers: peers, ListFreshness: &b.listFreshness,
 		Memory:     int64(requestMemoryShare * cfg.MemoryMB * (1 << 20)),
 		ColdLimits: pacing.ColdLimits{Factor: cfg.ColdRateFactor, Slack: cfg.ColdRateSlack},
 		Limits:     b.quotaGrants, Crashes: b.crashes, Keys: relay.KeyPolicy{Strict: cfg.StrictRevocation, Within: cfg.RevokedWithin, Age: b.configFreshness.Age},
 	})
-	b.book.Conditions = b.Relay.Conditions
+	b.recorder.Conditions = b.Relay.Conditions
 	b.registerGauges()
 	servers, err := b.listeners()
 	if err != nil {
@@ -240,8 +240,8 @@
 	go b.Relay.PublishWaiting(b.ctx)
 	go b.Relay.PollLoads(b.ctx)
 	go b.roleManager().Run(b.ctx)
-	go b.learnedKeeper().Run(b.ctx)
-	go b.crashKeeper().Run(b.ctx)
+	go b.estimatesSyncer().Run(b.ctx)
+	go b.crashWriter().Run(b.ctx)
 	go b.archive.Run(b.ctx)
 	go b.node.RunLimits(b.ctx, cfg.Peers == "")
 	if cfg.Peers != "" {
@@ -268,54 +268,54 @@
 	return &roles.Manager{
 		Fleet:         b.Relay,
 		Leases:        &lease.Acquirer{Rows: b.site.Leases, Key: "roles", Holder: b.settings.Load().Name, Length: roleLeaseLength, UsableFor: roleLeaseUse, Observed: b.eraObserved},
-		CheckInterval: roleCheckInterval, StableChecks: roleSteadyChecks, ExtraChecks: b.rolePatience, Cooldown: roleLeaseLength + time.Second,
+		CheckInterval: roleCheckInterval, StableChecks: roleSteadyChecks, ExtraChecks: b.extraRoleChecks, Cooldown: roleLeaseLength + time.Second,
 		OnOrder: func(engine string, role decide.EngineRole, l lease.Lease, err error) {
-			b.book.Log.StateChange("role ordered", zap.String("endpoint", engine), zap.Stringer("role", role),
+			b.recorder.Log.StateChange("role ordered", zap.String("endpoint", engine), zap.Stringer("role", role),
 				zap.Int64("fence", l.Fence), zap.Duration("lease_left", clock.Until(l.Until)), zap.Error(err))
 		},
 		OnLease: func(l lease.Lease, err error) {
 			if err != nil {
-				b.book.Log.StateChange("role lease not acquired", zap.Error(err))
+				b.recorder.Log.StateChange("role lease not acquired", zap.Error(err))
 				return
 			}
-			b.book.Log.StateChange("role lease acquired", zap.Int64("fence", l.Fence), zap.Duration("use", clock.Until(l.Until)))
+			b.recorder.Log.StateChange("role lease acquired", zap.Int64("fence", l.Fence), zap.Duration("use", clock.Until(l.Until)))
 		},
 	}
 }
 
-// maxRolePatience bounds the additional checks for which a box lets others give orders first: six seconds,
+// maxExtraRoleChecks bounds the additional checks for which a box lets others give orders first: six seconds,
 // less than a burst of traffic lasts.
-const maxRolePatience = 20
+const maxExtraRoleChecks = 20
 
-// rolePatience is the number of additional checks for which this box lets others give orders first. Each box
+// extraRoleChecks is the number of additional checks for which this box lets others give orders first. Each box
 // that asks for the lease costs a call to the store, so the more boxes there are, the longer most of them wait.
 // The box that follows no other does not wait.
-func (b *RelayBox) rolePatience() int {
+func (b *RelayBox) extraRoleChecks() int {
 	if !b.node.HasUpstream() {
 		return 0
 	}
-	return 1 + rand.IntN(min(maxRolePatience, max(1, b.node.MemberCount())))
+	return 1 + rand.IntN(min(maxExtraRoleChecks, max(1, b.node.MemberCount())))
 }
 
-// learnedKeeper stores what boxes learn about engines.
-func (b *RelayBox) learnedKeeper() *learned.Syncer {
+// estimatesSyncer stores what boxes learn about engines.
+func (b *RelayBox) estimatesSyncer() *learned.Syncer {
 	return &learned.Syncer{
 		Rows: b.site.Learned, Pools: b.Relay, Boxes: b.node.MemberCount,
-		Failed: func(what string, err error) { b.book.Log.StateChange(what, zap.Error(err)) },
+		Failed: func(what string, err error) { b.recorder.Log.StateChange(what, zap.Error(err)) },
 	}
 }
 
-// crashKeeper writes the suspected crashes that this box saw to the store.
-func (b *RelayBox) crashKeeper() *quarantine.TableWriter {
+// crashWriter writes the suspected crashes that this box saw to the store.
+func (b *RelayBox) crashWriter() *quarantine.TableWriter {
 	return &quarantine.TableWriter{
 		List: b.crashes, Table: b.site.SuspectedCrashes,
-		Failed: func(err error) { b.book.Log.StateChange("suspected crashes not written", zap.Error(err)) },
+		Failed: func(err error) { b.recorder.Log.StateChange("suspected crashes not written", zap.Error(err)) },
 	}
 }
 
 // logQuarantined logs that a request is quarantined: it is sent to no endpoint from now on.
 func (b *RelayBox) logQuarantined(f quarantine.Fingerprint, v quarantine.Verdict) {
-	b.book.Log.StateChange("request held", zap.Stringer("fingerprint", f), zap.Float64("bits", v.Bits), zap.Stringer("because", v))
+	b.recorder.Log.StateChange("request quarantined", zap.Stringer("fingerprint", f), zap.Float64("bits", v.Bits), zap.Stringer("because", v))
 }
 
 // shareInterval is the time between checks of how many other boxes there are.
@@ -382,7 +382,7 @@
 	cfg := b.settings.Load()
 	operators := &ops.RelayServer{
 		Name: cfg.Name, Region: cfg.Region, Hall: cfg.Hall, OpenMetrics: cfg.OpenMetrics,
-		Relay: b.Relay, Records: b.book.Records, Archive: b.archive, Metrics: b.Metrics,
+		Relay: b.Relay, Records: b.recorder.Records, Archive: b.archive, Metrics: b.Metrics,
 		Operator:  b.isOperator,
 		Stop:      func() { go func() { _ = b.Stop() }() },
 		NearLimit: func() map[string]float64 { return b.quotaPool.LowAccounts(clock.Now(), nearLimitShare) },
--- a/internal/box/relay_ages.go
+++ b/internal/box/relay_ages.go
@@ -36,6 +36,6 @@
 		change = "table overdue"
 	}
 	s := b.storeLink.State(clock.Now())
-	b.book.Log.StateChange(change, zap.String("table", name), zap.Duration("age", t.Fresh.Age()), zap.Duration("overdue_after", t.OverdueAfter()),
+	b.recorder.Log.StateChange(change, zap.String("table", name), zap.Duration("age", t.Fresh.Age()), zap.Duration("overdue_after", t.OverdueAfter()),
 		zap.Bool("store_down", s.Down), zap.Duration("looking", s.Probing), zap.Bool("follows", b.node.HasUpstream()))
 }
--- a/internal/box/relay_follow.go
+++ b/internal/box/relay_follow.go
@@ -135,7 +135,7 @@
 		Room:          func(r overlay.Room) bool { return b.Relay.HasRoom(r) },
 		Limits:        b.quotaPool,
 		OnMessage:     func(f overlay.Message) { b.Relay.Receive(f) },
-		OnStateChange: b.book.Log.StateChange,
+		OnStateChange: b.recorder.Log.StateChange,
 		Metrics:       b.Metrics.Set,
 	})
 }
@@ -154,16 +154,16 @@
 	t.Fresh = freshness
 	t.OnRestored = func(era int64) {
 		b.observeEra(era)
-		b.book.Log.StateChange("table restored from an older snapshot", zap.String("table", name), zap.Int64("era", era))
+		b.recorder.Log.StateChange("table restored from an older snapshot", zap.String("table", name), zap.Int64("era", era))
 		if restored != nil {
 			restored()
 		}
 	}
 	t.OnLost = func(err error) {
-		b.book.Log.StateChange("store unreachable", zap.String("table", name), zap.Duration("age", freshness.Age()), zap.Error(err))
+		b.recorder.Log.StateChange("store unreachable", zap.String("table", name), zap.Duration("age", freshness.Age()), zap.Error(err))
 	}
 	t.OnRecovered = func(downFor time.Duration) {
-		b.book.Log.StateChange("store reachable again", zap.String("table", name), zap.Duration("away", downFor))
+		b.recorder.Log.StateChange("store reachable again", zap.String("table", name), zap.Duration("away", downFor))
 	}
 	return t
 }
@@ -174,7 +174,7 @@
 	b.applyEvacuations(rows)
 	c, err := b.site.ParseConfig(rows)
 	if err != nil {
-		b.book.Log.StateChange("configuration rejected", zap.Error(err))
+		b.recorder.Log.StateChange("configuration rejected", zap.Error(err))
 		return
 	}
 	if c == nil || !b.configTexts.recordIfNewer(c.Version, c.Digest) {
@@ -183,7 +183,7 @@
 	old := b.Relay.Version()
 	b.quotaPool.SetLimits(clock.Now(), c.AccountLimits())
 	b.Relay.SetConfig(c)
-	b.book.Log.StateChange("configuration in force", zap.Int64("version", c.Version), zap.Int64("before", old), zap.Int("routes", len(c.Routes)))
+	b.recorder.Log.StateChange("configuration in force", zap.Int64("version", c.Version), zap.Int64("before", old), zap.Int("routes", len(c.Routes)))
 }
 
 // applyRules puts a newer shared configuration in force. The version never decreases here, whatever the store
@@ -205,12 +205,12 @@
 		set, err = policy.CompileRules(c)
 	}
 	if err != nil {
-		b.book.Log.StateChange("policies rejected", zap.Error(err))
+		b.recorder.Log.StateChange("policies rejected", zap.Error(err))
 		return
 	}
 	b.rules.Store(c)
 	b.Relay.SetPolicies(c.Version, set)
-	b.book.Log.StateChange("policies in force", zap.Int64("version", c.Version), zap.String("author", v.Author),
+	b.recorder.Log.StateChange("policies in force", zap.Int64("version", c.Version), zap.String("author", v.Author),
 		zap.Int("policies", len(c.Policies)), zap.Int("rules", len(c.Rules)), zap.Int("operators", len(c.Operators)))
 }
 
@@ -274,7 +274,7 @@
 	}
 	if kept > 0 && !b.keepingExpired {
 		b.keepingExpired = true
-		b.book.Log.StateChange("endpoints kept whose entries expired during the store outage", zap.Int("endpoints", kept), zap.Duration("for", remaining))
+		b.recorder.Log.StateChange("endpoints kept whose entries expired during the store outage", zap.Int("endpoints", kept), zap.Duration("for", remaining))
 		time.AfterFunc(remaining+time.Millisecond, func() { b.tables[tableEndpoints].Reapply(func() { b.keepingExpired = false }) })
 	}
 }
@@ -357,7 +357,7 @@
 		}
 		e, err := b.site.ParseEndpoint(key, text)
 		if err != nil {
-			b.book.Log.StateChange("endpoint row rejected", zap.Error(err))
+			b.recorder.Log.StateChange("endpoint row rejected", zap.Error(err))
 		}
 		read := listedEndpoint{text: text, endpoint: e, foreign: err != nil}
 		if b.listRestored {
--- a/internal/box/relay_test.go
+++ b/internal/box/relay_test.go
@@ -25,12 +25,12 @@
 // every endpoint several times a second.
 func TestListReadsNewsOnly(t *testing.T) {
 	reads := 0
-	book := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
-	b := &RelayBox{log: zap.NewNop(), book: book, site: Site{ParseEndpoint: func(key string, text []byte) (relay.Endpoint, error) {
+	recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
+	b := &RelayBox{log: zap.NewNop(), recorder: recorder, site: Site{ParseEndpoint: func(key string, text []byte) (relay.Endpoint, error) {
 		reads++
 		return relay.Endpoint{ID: key, Leaving: string(text) == "leaving"}, nil
 	}}}
-	b.Relay = relay.New(relay.Options{Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: book})
+	b.Relay = relay.New(relay.Options{Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: recorder})
 	b.tables = map[string]*follow.Table{tableEndpoints: follow.New(nil, follow.Options{}, b.applyList)}
 	rows := map[string][]byte{}
 	for n := range 100 {
@@ -93,11 +93,11 @@
 // if it is still missing then, it is removed. An endpoint that disappears while the store answers is removed at once.
 func TestLapsedEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
-		b := &RelayBox{log: zap.NewNop(), book: book, site: Site{ParseEndpoint: func(key string, _ []byte) (relay.Endpoint, error) {
+		recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
+		b := &RelayBox{log: zap.NewNop(), recorder: recorder, site: Site{ParseEndpoint: func(key string, _ []byte) (relay.Endpoint, error) {
 			return relay.Endpoint{ID: key}, nil
 		}}}
-		b.Relay = relay.New(relay.Options{Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: book})
+		b.Relay = relay.New(relay.Options{Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: recorder})
 		store := &flakyStore{up: true, ver: follow.Version{Number: 1}, rows: []follow.Row{{Key: "a"}, {Key: "b"}, {Key: "c"}}}
 		table := follow.New(store, follow.Options{Wait: 100 * time.Millisecond, CallTimeout: 100 * time.Millisecond}, b.applyList)
 		b.tables = map[string]*follow.Table{tableEndpoints: table}
@@ -140,8 +140,8 @@
 // endpoints state when they started, a row that does not is foreign as well. Such rows are parsed once.
 func TestRowsOfAnotherWriter(t *testing.T) {
 	reads := 0
-	book := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
-	b := &RelayBox{log: zap.NewNop(), book: book, site: Site{ParseEndpoint: func(key string, text []byte) (relay.Endpoint, error) {
+	recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
+	b := &RelayBox{log: zap.NewNop(), recorder: recorder, site: Site{ParseEndpoint: func(key string, text []byte) (relay.Endpoint, error) {
 		reads++
 		if string(text) == "?" {
 			return relay.Endpoint{}, errors.New("unreadable")
@@ -149,7 +149,7 @@
 		started, err := strconv.ParseInt(string(text), 10, 64)
 		return relay.Endpoint{ID: key, Service: "s", Started: started}, err
 	}}}
-	b.Relay = relay.New(relay.Options{Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: book})
+	b.Relay = relay.New(relay.Options{Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: recorder})
 	b.Relay.SetConfig(&relay.Config{Services: map[string]*relay.Service{"s": {Name: "s", Engines: &relay.EngineConfig{}}}})
 	b.tables = map[string]*follow.Table{tableEndpoints: follow.New(nil, follow.Options{}, b.applyList)}
 	expect := func(what string, rows map[string]string, want ...string) {
--- a/internal/box/reload.go
+++ b/internal/box/reload.go
@@ -40,7 +40,7 @@
 	b.settings.Store(&next)
 	b.Relay.SetMaxWaiting(next.Queue)
 	b.setQuotaBounds(&next)
-	b.book.Log.SetRate(next.LoggedRate)
+	b.recorder.Log.SetRate(next.LoggedRate)
 	b.log.Info("reload", zap.Strings("changed", changed), zap.Strings("needs_restart", restartOnly(old, read)))
 }
 
--- a/internal/box/restored.go
+++ b/internal/box/restored.go
@@ -45,7 +45,7 @@
 	case !known && wasGone && gone.id == row.endpoint.ID:
 		relisted := row
 		row.foreign, row.replacement = true, b.scheduleReplacement(relisted, goneGrace)
-		b.book.Log.StateChange("removed endpoint listed again by an older snapshot", zap.String("endpoint", gone.id), zap.Duration("not_used_for", goneGrace))
+		b.recorder.Log.StateChange("removed endpoint listed again by an older snapshot", zap.String("endpoint", gone.id), zap.Duration("not_used_for", goneGrace))
 	}
 	return row
 }
--- a/internal/box/shared.go
+++ b/internal/box/shared.go
@@ -164,10 +164,10 @@
 	return &durableTable{
 		inner: site.Shared, read: site.ParseVersioned,
 		onError: func(key string, err error) {
-			b.book.Log.StateChange("shared configuration not written again", zap.String("row", key), zap.Error(err))
+			b.recorder.Log.StateChange("shared configuration not rewritten", zap.String("row", key), zap.Error(err))
 		},
 		onRewritten: func(key string, version int64) {
-			b.book.Log.StateChange("shared configuration written again", zap.String("row", key), zap.Int64("version", version))
+			b.recorder.Log.StateChange("shared configuration rewritten", zap.String("row", key), zap.Int64("version", version))
 		},
 	}
 }
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -69,7 +69,7 @@
 	RetryShare  float64
 	RetryWindow time.Duration
 
-	// ColdRateFactor is a factor on the request rate that a cold endpoint can take, and ColdSlack a
+	// ColdRateFactor is a factor on the request rate that a cold endpoint can take, and ColdRateSlack a
 	// number of requests added to it; together they bound the requests that all boxes may
 	// send to it in any second.
 	ColdRateFactor float64
@@ -80,7 +80,7 @@
 	LimitWindow  time.Duration
 	LimitOverage float64
 	LimitSlack   float64
-	// RevokedWithin is the time within which a revoked key must be refused. With KeysStrict, a
+	// RevokedWithin is the time within which a revoked key must be refused. With StrictRevocation, a
 	// box that has not received the configuration for that long refuses all requests with keys.
 	RevokedWithin    time.Duration
 	StrictRevocation bool
--- a/internal/decide/advise.go
+++ b/internal/decide/advise.go
@@ -51,7 +51,7 @@
 	f := &flight{Request: Request{
 		Region: region, PromptTokens: int(p.meanPrompt), MaxTokens: int(p.meanOutput), BetweenTokens: p.tokenTarget,
 	}}
-	prefillTime := max(g.decode[0].prefillTime(int(p.meanRead)), p.minTransferTime(int(p.meanPrompt))) // All engines of a pool are alike.
+	prefillTime := max(g.decode[0].prefillTime(int(p.meanUncached)), p.minTransferTime(int(p.meanPrompt))) // All engines of a pool are alike.
 	weight := float64(n) / float64(n+defaultRatioWeight)
 	ratio := max(minRatio, p.decodeWork(f).Seconds()/max(minWork, prefillTime.Seconds()))
 	return math.Exp(weight*math.Log(ratio) + (1-weight)*math.Log(defaultWorkRatio))
--- a/internal/decide/advise_test.go
+++ b/internal/decide/advise_test.go
@@ -10,9 +10,9 @@
 )
 
 // newPoolCore returns a core with the given number of engines of each role, in three halls.
-func newPoolCore(prefills, decodes int, selfRead float64) *Core {
+func newPoolCore(prefills, decodes int, selfPrefillRatio float64) *Core {
 	c := New(rand.New(rand.NewPCG(1, 1)), 100)
-	f := Fleet{Pools: []Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: time.Second, SelfPrefillRatio: selfRead}}}
+	f := Fleet{Pools: []Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: time.Second, SelfPrefillRatio: selfPrefillRatio}}}
 	for i := range prefills + decodes {
 		role := Prefill
 		if i >= prefills {
@@ -25,7 +25,7 @@
 	}
 	now := time.Unix(1_800_000_000, 0)
 	c.Step(now, f)
-	c.now = now.Add(idleAfter + time.Millisecond) // Advise waits until the list of engines is stable.
+	c.now = now.Add(idleAfter + time.Millisecond) // RecommendRoleChange waits until the list of engines is stable.
 	return c
 }
 
@@ -37,9 +37,9 @@
 	return c
 }
 
-// expectAdvice makes a pool observe requests with answers of the given length, the last one
+// expectRoleChange makes a pool observe requests with answers of the given length, the last one
 // the given time ago, and expects that number of engines to be told to change.
-func expectAdvice(t *testing.T, prefills, decodes, output int, ago time.Duration, changes int, role EngineRole) {
+func expectRoleChange(t *testing.T, prefills, decodes, output int, ago time.Duration, changes int, role EngineRole) {
 	t.Helper()
 	c := newPoolCore(prefills, decodes, 0).observeOutputs(output)
 	c.now = c.now.Add(ago)
@@ -50,24 +50,24 @@
 }
 
 func TestAdvise(t *testing.T) {
-	expectAdvice(t, 3, 6, 4400, 0, 0, Decode)
-	expectAdvice(t, 3, 6, 12000, 0, 1, Decode)
-	expectAdvice(t, 4, 5, 8000, 0, 1, Decode)
-	expectAdvice(t, 2, 7, 4400, 0, 0, Decode)
-	expectAdvice(t, 1, 8, 4400, 0, 1, Prefill)
-	expectAdvice(t, 0, 9, 4400, 0, 1, Prefill)
-	expectAdvice(t, 3, 6, 100, 0, 1, Prefill) // Long prompts, short answers.
-	expectAdvice(t, 3, 6, 100, idleAfter+time.Millisecond, 5, Prefill)
-	expectAdvice(t, 30, 60, 100, 0, 15, Prefill)
-	expectAdvice(t, 1, 0, 4400, 0, 0, Decode)
+	expectRoleChange(t, 3, 6, 4400, 0, 0, Decode)
+	expectRoleChange(t, 3, 6, 12000, 0, 1, Decode)
+	expectRoleChange(t, 4, 5, 8000, 0, 1, Decode)
+	expectRoleChange(t, 2, 7, 4400, 0, 0, Decode)
+	expectRoleChange(t, 1, 8, 4400, 0, 1, Prefill)
+	expectRoleChange(t, 0, 9, 4400, 0, 1, Prefill)
+	expectRoleChange(t, 3, 6, 100, 0, 1, Prefill) // Long prompts, short answers.
+	expectRoleChange(t, 3, 6, 100, idleAfter+time.Millisecond, 5, Prefill)
+	expectRoleChange(t, 30, 60, 100, 0, 15, Prefill)
+	expectRoleChange(t, 1, 0, 4400, 0, 0, Decode)
 }
 
 // A change that gains little is made only while there are no requests that it could disturb.
 func TestAdviseSmallGain(t *testing.T) {
-	expectAdvice(t, 4, 5, 4400, 0, 0, Decode)
-	expectAdvice(t, 4, 5, 4400, idleAfter+time.Millisecond, 2, Decode)
-	expectAdvice(t, 3, 6, 5500, 0, 0, Decode)
-	expectAdvice(t, 3, 6, 5500, idleAfter+time.Millisecond, 1, Decode)
+	expectRoleChange(t, 4, 5, 4400, 0, 0, Decode)
+	expectRoleChange(t, 4, 5, 4400, idleAfter+time.Millisecond, 2, Decode)
+	expectRoleChange(t, 3, 6, 5500, 0, 0, Decode)
+	expectRoleChange(t, 3, 6, 5500, idleAfter+time.Millisecond, 1, Decode)
 }
 
 // Before the first requests the default work ratio of the roles applies.
--- a/internal/decide/arrive.go
+++ b/internal/decide/arrive.go
@@ -10,7 +10,7 @@
 
 // This file handles requests from their arrival to the queue, and those that leave the queue.
 
-func (c *Core) handleArrive(r Request) {
+func (c *Core) handleSubmit(r Request) {
 	c.budget.CountRequest(c.now)
 	f := &flight{Request: r, pool: c.pools[r.Pool], arrived: c.now, mayBeLate: r.ServeLate, yieldsToOnTime: r.ServeLate}
 	f.PromptTokens = max(1, f.PromptTokens)
--- a/internal/decide/attempt.go
+++ b/internal/decide/attempt.go
@@ -177,8 +177,8 @@
 // begin clearly sooner on another one: loads of links and batches have changed since the
 // engine was selected, before the prefill. Memory is reserved on one of the two at all times.
 func (c *Core) improveDecode(f *flight) {
-	var passed Exclusions
-	c.findDecodeOptions(f.pool, f, c.now, &passed)
+	var excluded Exclusions
+	c.findDecodeOptions(f.pool, f, c.now, &excluded)
 	timeToAnswer := func(e *engine, step time.Duration) time.Duration {
 		return predictTransfer(f.pool, f, f.prefill, e, c.now) + step
 	}
@@ -198,9 +198,9 @@
 func (c *Core) reserveOtherDecode(f *flight) bool {
 	f.avoid = f.decode
 	c.releaseDecode(f)
-	var passed Exclusions
+	var excluded Exclusions
 	var best *engine
-	c.findDecodeOptions(f.pool, f, c.now, &passed)
+	c.findDecodeOptions(f.pool, f, c.now, &excluded)
 	for _, option := range c.decodeOptions {
 		if option.e != f.avoid && (best == nil || option.e.stepTime() < best.stepTime()) {
 			best = option.e
--- a/internal/decide/core.go
+++ b/internal/decide/core.go
@@ -293,7 +293,7 @@
 	case Fleet:
 		c.updateFleet(ev)
 	case Submit:
-		c.handleArrive(ev.Request)
+		c.handleSubmit(ev.Request)
 	case Cancel:
 		c.handleCancel(ev.ID)
 	case PrefillDone:
@@ -327,13 +327,13 @@
 	case StreamEnded:
 		if e := c.engines[ev.Engine]; e != nil {
 			p := c.pools[e.Pool]
-			e.addEnded(p, ev)
+			e.addStreamEnded(p, ev)
 			c.drainQueue(p)
 		}
 	case RemoteQueue:
 		c.remote.waiting = ev.Waiting
 	case SetEstimates:
-		c.handleRemember(ev.Estimates)
+		c.handleSetEstimates(ev.Estimates)
 	case RemoteTiming:
 		if p := c.pools[ev.Pool]; p != nil {
 			c.learn(p, ev.Timing)
--- a/internal/decide/failure.go
+++ b/internal/decide/failure.go
@@ -278,16 +278,16 @@
 	if !f.Repeatable || !f.canUseAnotherEngine() || !c.budget.Has(c.now, calls) {
 		return false
 	}
-	var passed Exclusions
+	var excluded Exclusions
 	if f.stage == transferring {
-		c.findDecodeOptions(f.pool, f, c.now, &passed)
+		c.findDecodeOptions(f.pool, f, c.now, &excluded)
 		other := func(option decodeOption) bool { return option.e != f.decode }
 		return c.now.Add(expiryMargin).Before(f.expires) && slices.ContainsFunc(c.decodeOptions, other)
 	}
 	if f.tries >= maxTries || !f.mayBeLate && c.now.After(f.latestStart) || f.prefill.mayBeQueued(f) {
 		return false
 	}
-	c.findPrefillOptions(f.pool, f, c.now, &passed)
+	c.findPrefillOptions(f.pool, f, c.now, &excluded)
 	return slices.ContainsFunc(c.prefillOptions, func(option prefillOption) bool { return option.e != f.prefill && option.ahead <= maxPrefillBacklog })
 }
 
--- a/internal/decide/learned.go
+++ b/internal/decide/learned.go
@@ -41,7 +41,7 @@
 }
 
 func (p *pool) estimates() Estimates {
-	return Estimates{p.Name, p.speed.Speed, p.meanPrompt, p.meanRead, p.meanOutput, p.tokenTarget, p.sampleCount()}
+	return Estimates{p.Name, p.speed.Speed, p.meanPrompt, p.meanUncached, p.meanOutput, p.tokenTarget, p.sampleCount()}
 }
 
 // maxPriorRequests bounds the weight of prior estimates, in requests. It is large enough for
@@ -60,8 +60,8 @@
 	return out
 }
 
-// handleRemember stores the estimates of a pool, also of one that is not configured yet.
-func (c *Core) handleRemember(l Estimates) {
+// handleSetEstimates stores the estimates of a pool, also of one that is not configured yet.
+func (c *Core) handleSetEstimates(l Estimates) {
 	c.priorEstimates[l.Pool] = l
 	if p := c.pools[l.Pool]; p != nil {
 		p.setPrior(l)
@@ -75,7 +75,7 @@
 	p.speed.setPrior(l.Speed, n)
 	if p.requestCount == 0 {
 		p.requestCount, p.tokenTarget = n, l.TokenTarget
-		p.meanPrompt, p.meanRead, p.meanOutput = l.Prompt, l.UncachedPrompt, l.Output
+		p.meanPrompt, p.meanUncached, p.meanOutput = l.Prompt, l.UncachedPrompt, l.Output
 	}
 }
 
--- a/internal/decide/ledger.go
+++ b/internal/decide/ledger.go
@@ -220,9 +220,9 @@
 	}
 }
 
-// addEnded removes a stream from the report that still includes it: the one that would have
+// addStreamEnded removes a stream from the report that still includes it: the one that would have
 // grown to about that size by now.
-func (e *engine) addEnded(p *pool, ev StreamEnded) {
+func (e *engine) addStreamEnded(p *pool, ev StreamEnded) {
 	if !e.reported || e.report.Runs == nil || !ev.At.After(e.report.At) {
 		return
 	}
--- a/internal/decide/memory.go
+++ b/internal/decide/memory.go
@@ -128,7 +128,7 @@
 	if p.speed.FirstEventDelay == 0 || p.speed.PrefillRate == 0 {
 		return defaultStartTime
 	}
-	return p.speed.PrefillDelay + seconds(p.meanRead/p.speed.PrefillRate) + p.speed.FirstEventDelay
+	return p.speed.PrefillDelay + seconds(p.meanUncached/p.speed.PrefillRate) + p.speed.FirstEventDelay
 }
 
 // continueChance is the probability that a stream that has generated some tokens (made)
@@ -182,8 +182,8 @@
 type requestLengths struct {
 	meanPrompt float64
 	meanOutput float64 // Of the expected lengths, not the actual ones.
-	// meanRead is the mean length of the uncached part of a prompt.
-	meanRead float64
+	// meanUncached is the mean length of the uncached part of a prompt.
+	meanUncached float64
 	// tokenTarget is the between-tokens target of the last request.
 	tokenTarget   time.Duration
 	requestCount  int
@@ -199,7 +199,7 @@
 	l.lastRequestAt = now
 	blend := max(minLengthBlend, 1/float64(l.requestCount))
 	l.meanPrompt += blend * (float64(prompt) - l.meanPrompt)
-	l.meanRead += blend * (float64(read) - l.meanRead)
+	l.meanUncached += blend * (float64(read) - l.meanUncached)
 	l.meanOutput += blend * (float64(output) - l.meanOutput)
 	l.tokenTarget = gap
 }
--- a/internal/decide/migrate.go
+++ b/internal/decide/migrate.go
@@ -137,8 +137,8 @@
 	remaining.PromptTokens += f.outputSoFar(c.now)
 	remaining.MaxTokens = min(f.MaxTokens, f.outputLeft(c.now))
 	remaining.ExpectTokens, remaining.MaxEngines, remaining.Policy = remaining.MaxTokens, 0, nil
-	var passed Exclusions
-	c.findDecodeOptions(p, remaining, c.now, &passed)
+	var excluded Exclusions
+	c.findDecodeOptions(p, remaining, c.now, &excluded)
 	var to *engine
 	mostFree := 0.0
 	for _, option := range c.decodeOptions {
--- a/internal/decide/place.go
+++ b/internal/decide/place.go
@@ -235,16 +235,16 @@
 
 // usable reports whether the engine may take new work, and counts the reason if not. It
 // does not check the region: only engines of the request's own are ever compared.
-func (c *Core) usable(e *engine, now time.Time, passed *Exclusions) bool {
+func (c *Core) usable(e *engine, now time.Time, excluded *Exclusions) bool {
 	switch {
 	case e.leaving():
-		passed.Leaving++
+		excluded.Leaving++
 	case c.throttledFor(e) > 0:
-		passed.Throttled++
+		excluded.Throttled++
 	case e.health.setAside(now):
-		passed.SetAside++
+		excluded.SetAside++
 	case e.cold(now):
-		passed.Cold++
+		excluded.Cold++
 	default:
 		return true
 	}
@@ -383,11 +383,11 @@
 }
 
 // findPrefillOptions fills c.prefillOptions with the usable prefill engines.
-func (c *Core) findPrefillOptions(p *pool, f *flight, now time.Time, passed *Exclusions) {
+func (c *Core) findPrefillOptions(p *pool, f *flight, now time.Time, excluded *Exclusions) {
 	c.prefillOptions = c.prefillOptions[:0]
 	preferred := p.preferredPrefill(f)
 	for _, e := range c.samplePrefills(p, f) {
-		if !c.usable(e, now, passed) {
+		if !c.usable(e, now, excluded) {
 			continue
 		}
 		current, ahead := p.urgency.wait(f, e.queueTime(now))
@@ -403,15 +403,15 @@
 }
 
 // findDecodeOptions fills c.decodeOptions with the usable decode engines that have room.
-func (c *Core) findDecodeOptions(p *pool, f *flight, now time.Time, passed *Exclusions) {
+func (c *Core) findDecodeOptions(p *pool, f *flight, now time.Time, excluded *Exclusions) {
 	c.decodeOptions = c.decodeOptions[:0]
 	c.sampledDecodes = c.appendSample(c.sampledDecodes[:0], p.in(f.Region).decode)
 	for _, e := range c.sampledDecodes {
-		if !c.usable(e, now, passed) || !f.canRunOn(e) {
+		if !c.usable(e, now, excluded) || !f.canRunOn(e) {
 			continue
 		}
 		if !e.hasRoom(p, f, now) || f.kvNeed() >= e.refusedKV && now.Before(e.refusedKVUntil) {
-			passed.NoRoom++
+			excluded.NoRoom++
 			continue
 		}
 		dec := decodeOption{e: e, step: e.stepTime(), cost: e.penalty(f, now)}
@@ -421,7 +421,7 @@
 		// A stream that may be late can join a slow batch, and an engine without running
 		// streams is never too slow to try.
 		if !f.mayBeLate && dec.step > f.BetweenTokens && e.running() >= 1 {
-			passed.TooSlow++
+			excluded.TooSlow++
 			continue
 		}
 		load := dec.step.Seconds() / f.BetweenTokens.Seconds()
--- a/internal/decide/speed.go
+++ b/internal/decide/speed.go
@@ -103,7 +103,7 @@
 	}
 	s.sinceFit = 0
 	s.fitPrefill()
-	s.fitBegin()
+	s.fitFirstEventDelay()
 	s.fitSteps()
 	return true
 }
@@ -166,7 +166,7 @@
 	}
 }
 
-func (s *speed) fitBegin() {
+func (s *speed) fitFirstEventDelay() {
 	if n := len(s.beginTimings); n >= minTimings {
 		s.FirstEventDelay = blendPriorTime(n, median(s.beginTimings, func(t Timing) float64 { return t.FirstEventDelay.Seconds() }), s.prior.FirstEventDelay)
 	}
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -41,9 +41,9 @@
 	requestID string
 	next      int // Offset of the next chunk.
 
-	// Crossed and Repeated count dropped chunks: those of another request, and those
+	// Foreign and Repeated count dropped chunks: those of another request, and those
 	// received before.
-	Crossed, Repeated int
+	Foreign, Repeated int
 }
 
 func newStream(body io.ReadCloser, requestID string, next int) *Stream {
@@ -96,7 +96,7 @@
 	}
 	id := gjson.Get(ev.Data, "id")
 	if !strings.HasSuffix(id.Str, s.requestID) {
-		s.Crossed++
+		s.Foreign++
 		return Chunk{}, false, nil
 	}
 	offset, err := strconv.Atoi(ev.LastEventID)
--- a/internal/follow/feed.go
+++ b/internal/follow/feed.go
@@ -175,7 +175,7 @@
 }
 
 // Receive applies a part that another box sent. If that is fresh, this box does not read the store
-// for a duration; it resumes as soon as that is over, or EndDelegation is called. Hear returns false
+// for a duration; it resumes as soon as that is over, or EndDelegation is called. Receive returns false
 // if the part was of no use because versions between are missing, or because the other box is in an older
 // era: then this box continues to read the store.
 func (t *Table) Receive(p Part, duration time.Duration) bool {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -34,7 +34,7 @@
 	// All returns every row as of one version.
 	All(ctx context.Context) ([]Row, Version, error)
 	// Changed returns the rows changed since a version, as soon as there is one or
-	// after the wait. Changes never span store eras: a version of an earlier era yields ErrForgotten.
+	// after the wait. Changes never span store eras: a version of an earlier era yields ErrHistoryLost.
 	Changed(ctx context.Context, since Version, wait time.Duration) ([]Row, Version, error)
 }
 
--- a/internal/gateway/begin_test.go
+++ b/internal/gateway/begin_test.go
@@ -49,10 +49,10 @@
 		})
 	}
 	g := New(Options{
-		Box:     &config.Box{Name: "b", Region: "r"},
-		Core:    decide.New(rand.New(rand.NewPCG(1, 1)), 1),
-		Engines: engine.NewClient(),
-		Book:    &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()},
+		Box:      &config.Box{Name: "b", Region: "r"},
+		Core:     decide.New(rand.New(rand.NewPCG(1, 1)), 1),
+		Engines:  engine.NewClient(),
+		Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()},
 	})
 	g.SetConfig(cfg, nil)
 	x := g.newExchange(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/v1/completions", nil))
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -360,7 +360,7 @@
 		RequestID:    dispatch.CallID(f.x.rec.ID, a),
 		MaxTokens:    f.req.MaxTokens,
 		Priority:     priority,
-		CallerFields: f.req.Rest,
+		CallerFields: f.req.CallerFields,
 	}
 }
 
@@ -431,7 +431,7 @@
 		timer.Reset(limit)
 		return f.send(ctx, flightEvent{attempt: a, chunk: &c})
 	})
-	f.x.g.m.Crossed.Add(s.Crossed)
+	f.x.g.m.ForeignChunks.Add(s.Foreign)
 	f.x.g.m.Repeated.Add(s.Repeated)
 	if err != nil && timedOut.Load() {
 		return &engine.CallError{Reason: outcome.DecodeSilent, MayHaveRun: true, Err: err}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -70,7 +70,7 @@
 	plain    *plainPool
 	limits   *limit.Table
 	claims   *claim.Claims
-	book     *account.Recorder
+	recorder *account.Recorder
 	m        *telemetry.Metrics
 	log      *zap.Logger
 	ids      *idSource
@@ -87,9 +87,9 @@
 	Engines *engine.Client
 	Claims  *claim.Claims
 	Limits  *limit.Table
-	// Book opens the account of each request.
-	Book *account.Recorder
-	Log  *zap.Logger
+	// Recorder opens the account of each request.
+	Recorder *account.Recorder
+	Log      *zap.Logger
 }
 
 // New returns a gateway that refuses all requests until it has a configuration.
@@ -98,12 +98,12 @@
 	return &Gateway{
 		box:         o.Box,
 		engines:     o.Engines,
-		disp:        dispatch.New(o.Core, o.Engines.Abort, o.Book.Metrics),
+		disp:        dispatch.New(o.Core, o.Engines.Abort, o.Recorder.Metrics),
 		plain:       newPlainPool(),
 		limits:      o.Limits,
 		claims:      o.Claims,
-		book:        o.Book,
-		m:           o.Book.Metrics,
+		recorder:    o.Recorder,
+		m:           o.Recorder.Metrics,
 		log:         o.Log,
 		ids:         newIDSource(o.Box.Name, started),
 		Incarnation: started.UnixMilli(),
@@ -217,7 +217,7 @@
 		snapshot:   g.snapshot.Load(),
 		arrived:    clock.Now(),
 		repeatable: true,
-		acc:        g.book.Open(rec),
+		acc:        g.recorder.Open(rec),
 		rec:        rec,
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -21,10 +21,10 @@
 	}
 	for range 300 {
 		g := New(Options{
-			Box:     &config.Box{Name: "b"},
-			Core:    decide.New(rand.New(rand.NewPCG(1, 1)), 1),
-			Engines: engine.NewClient(),
-			Book:    &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()},
+			Box:      &config.Box{Name: "b"},
+			Core:     decide.New(rand.New(rand.NewPCG(1, 1)), 1),
+			Engines:  engine.NewClient(),
+			Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()},
 		})
 		go g.SetConfig(shared, nil)
 		for !g.Ready() {
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -27,8 +27,8 @@
 	Choices      int
 	PromptTokens int // Estimated from the length of the prompt.
 	Blocks       []uint64
-	// Rest is a JSON object of the caller's fields, without those in engine.OverriddenFields.
-	Rest []byte
+	// CallerFields is a JSON object of the caller's fields, without those in engine.OverriddenFields.
+	CallerFields []byte
 }
 
 // completionFields are the fields that the router reads.
@@ -110,7 +110,7 @@
 		Choices:      1,
 		PromptTokens: max(1, len(text)/bytesPerToken),
 		Blocks:       hashBlocks(text),
-		Rest:         encodeFields(all),
+		CallerFields: encodeFields(all),
 	}
 	if f.N != nil {
 		req.Choices = *f.N
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -55,7 +55,7 @@
 	Header  http.Header
 	// Body is sent completely, with a Content-Length; nil sends none.
 	Body []byte
-	// Endpoint is the ID of the endpoint at Address, for OnAnswer; may be empty.
+	// Endpoint is the ID of the endpoint at Address, for OnResponse; may be empty.
 	Endpoint string
 	// Matches reports from the headers of a response whether it belongs to this request.
 	// Nil accepts the first response.
--- a/internal/learned/learned_test.go
+++ b/internal/learned/learned_test.go
@@ -63,7 +63,7 @@
 	p.remembered = append(p.remembered, l)
 }
 
-func learnedWithStep(step time.Duration) decide.Estimates {
+func estimatesWithStep(step time.Duration) decide.Estimates {
 	return decide.Estimates{
 		Pool: "verdicts", Prompt: 3200, UncachedPrompt: 3100, Output: 640, TokenTarget: 33 * time.Millisecond, Requests: 100,
 		Speed: decide.Speed{PrefillRate: 33_000, PrefillDelay: 55 * time.Millisecond, FirstEventDelay: 19 * time.Millisecond, Step: step, StepPerStream: 30 * time.Microsecond},
@@ -88,10 +88,10 @@
 func TestLoadsWhatOtherBoxesLearned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeStore{}
-		runKeepers(t, r, time.Minute, &fakePools{own: []decide.Estimates{learnedWithStep(5 * time.Millisecond)}}, &fakePools{})
+		runKeepers(t, r, time.Minute, &fakePools{own: []decide.Estimates{estimatesWithStep(5 * time.Millisecond)}}, &fakePools{})
 		next := &fakePools{}
 		runKeepers(t, r, time.Second, next)
-		if len(next.remembered) != 1 || next.remembered[0] != learnedWithStep(5*time.Millisecond) {
+		if len(next.remembered) != 1 || next.remembered[0] != estimatesWithStep(5*time.Millisecond) {
 			t.Errorf("expected what the first boxes learned, got %+v", next.remembered)
 		}
 	})
@@ -101,12 +101,12 @@
 func TestWritesOnlyClearChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeStore{}
-		a, b := &fakePools{own: []decide.Estimates{learnedWithStep(5 * time.Millisecond)}}, &fakePools{own: []decide.Estimates{learnedWithStep(5400 * time.Microsecond)}}
+		a, b := &fakePools{own: []decide.Estimates{estimatesWithStep(5 * time.Millisecond)}}, &fakePools{own: []decide.Estimates{estimatesWithStep(5400 * time.Microsecond)}}
 		runKeepers(t, r, 10*time.Minute, a, b)
 		if r.writes != 1 {
 			t.Errorf("expected one write by boxes that agree, got %d", r.writes)
 		}
-		a.own, b.own = []decide.Estimates{learnedWithStep(time.Millisecond)}, []decide.Estimates{learnedWithStep(time.Millisecond)}
+		a.own, b.own = []decide.Estimates{estimatesWithStep(time.Millisecond)}, []decide.Estimates{estimatesWithStep(time.Millisecond)}
 		runKeepers(t, r, 10*time.Minute, a, b)
 		if r.writes != 2 {
 			t.Errorf("expected one more write after engines became faster, got %d writes", r.writes)
@@ -120,7 +120,7 @@
 		r := &fakeStore{}
 		var boxes []*fakePools
 		for range 60 {
-			boxes = append(boxes, &fakePools{own: []decide.Estimates{learnedWithStep(5 * time.Millisecond)}})
+			boxes = append(boxes, &fakePools{own: []decide.Estimates{estimatesWithStep(5 * time.Millisecond)}})
 		}
 		runKeepers(t, r, 10*time.Minute, boxes...)
 		if checks := r.reads - len(boxes); checks < 75 || checks > 300 {
@@ -132,7 +132,7 @@
 // A box that starts during an outage loads the row once the store is back, and does not overload the store.
 func TestStartsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &fakeStore{unavailable: true, row: lease.Row{Value: encode([]decide.Estimates{learnedWithStep(5 * time.Millisecond)}), Version: 1}}
+		r := &fakeStore{unavailable: true, row: lease.Row{Value: encode([]decide.Estimates{estimatesWithStep(5 * time.Millisecond)}), Version: 1}}
 		p := &fakePools{}
 		go func() {
 			time.Sleep(time.Minute)
@@ -157,7 +157,7 @@
 
 // A row that another version wrote, or that is corrupt, must not lead to implausible figures.
 func TestDecodeRow(t *testing.T) {
-	valid := string(encode([]decide.Estimates{learnedWithStep(5 * time.Millisecond)}))
+	valid := string(encode([]decide.Estimates{estimatesWithStep(5 * time.Millisecond)}))
 	expectDecoded(t, valid, 1, false)
 	expectDecoded(t, `{"pools":[]}`, 0, false)
 	expectDecoded(t, `{`, 0, true)
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -58,7 +58,7 @@
 	LimitAnnounced
 	LimitRepeated
 	LimitLifted
-	// LeavingAnnounced means that the endpoint announced for the first time that it leaves, and RestAsked a rest that ends
+	// LeavingAnnounced means that the endpoint announced for the first time that it leaves, and PauseRequested a pause that ends
 	// later than the last one.
 	LeavingAnnounced
 	PauseRequested
--- a/internal/overlay/fact.go
+++ b/internal/overlay/fact.go
@@ -7,7 +7,7 @@
 )
 
 // Message is a gossip message: something that one box observed and that is of use to the others.
-// Exactly one of the fields after Box is set. Facts may be lost, delayed or duplicated; no
+// Exactly one of the fields after Box is set. Messages may be lost, delayed or duplicated; no
 // guarantee depends on them.
 type Message struct {
 	// At is when it was observed, by this box's monotonic clock.
@@ -19,7 +19,7 @@
 	Refused *PrefillRefused
 	Placed  *StreamPlaced
 	Ended   *StreamEnded
-	Took    *StreamTiming
+	Timing  *StreamTiming
 	Notice  *Notice
 	// Waiting is the number of streams that wait on a box.
 	Waiting *StreamsWaiting
@@ -34,7 +34,7 @@
 	Placed  int
 }
 
-// Notice is what an endpoint reported about itself in an answer to a request that was sent at Fact.At.
+// Notice is what an endpoint reported about itself in an answer to a request that was sent at Message.At.
 type Notice struct {
 	Endpoint string
 	// Limit is how many requests a second it accepts from all boxes together; 0 if it names none.
@@ -121,8 +121,8 @@
 		}}
 	case f.Ended != nil:
 		out.Kind = &v1.Fact_Ended{Ended: &v1.StreamEnded{Engine: f.Ended.Engine, Tokens: int32(f.Ended.Tokens)}}
-	case f.Took != nil:
-		out.Kind = &v1.Fact_Took{Took: f.Took.encode()}
+	case f.Timing != nil:
+		out.Kind = &v1.Fact_Took{Took: f.Timing.encode()}
 	case f.Notice != nil:
 		out.Kind = &v1.Fact_Notice{Notice: &v1.EndpointNotice{Endpoint: f.Notice.Endpoint, Limit: f.Notice.Limit, Leaving: f.Notice.Leaving, Ran: f.Notice.Completed}}
 	case f.Waiting != nil:
@@ -158,7 +158,7 @@
 	maxWaiting = 1 << 20
 	// maxRequestRate bounds an endpoint's limit, in requests a second.
 	maxRequestRate = 1e6
-	// maxDurationUs bounds the durations of Took, in microseconds.
+	// maxDurationUs bounds the durations of StreamTiming, in microseconds.
 	maxDurationUs = int64(time.Minute / time.Microsecond)
 )
 
@@ -182,7 +182,7 @@
 	case *v1.Fact_Ended:
 		f.Ended, ok = &StreamEnded{k.Ended.GetEngine(), int(k.Ended.GetTokens())}, k.Ended.GetEngine() != "" && validTokens(k.Ended.GetTokens())
 	case *v1.Fact_Took:
-		f.Took, ok = decodeTook(k.Took)
+		f.Timing, ok = decodeTiming(k.Took)
 	case *v1.Fact_Notice:
 		n := k.Notice
 		ok = n.GetEndpoint() != "" && n.GetLimit() >= 0 && n.GetLimit() <= maxRequestRate // NaN fails both comparisons.
@@ -195,7 +195,7 @@
 
 func validTokens(n int32) bool { return n >= 0 && n < maxTokens }
 
-func decodeTook(m *v1.StreamTook) (*StreamTiming, bool) {
+func decodeTiming(m *v1.StreamTook) (*StreamTiming, bool) {
 	for _, us := range []int64{m.GetReadUs(), m.GetBeginUs(), m.GetStepUs()} {
 		if us < 0 || us > maxDurationUs {
 			return nil, false
--- a/internal/overlay/fact_test.go
+++ b/internal/overlay/fact_test.go
@@ -11,14 +11,14 @@
 func TestTookRoundTrip(t *testing.T) {
 	now := time.Now()
 	sent := StreamTiming{Pool: "p", PrefillTokens: 3200, PrefillTime: 150 * time.Millisecond, FirstEventDelay: 19 * time.Millisecond, Step: 5100 * time.Microsecond, Streams: 8}
-	f := Message{At: now, Took: &sent}
+	f := Message{At: now, Timing: &sent}
 	got, ok := decode(f.encode(now), now)
-	if !ok || got.Took == nil || *got.Took != sent {
-		t.Errorf("expected %+v, got %+v", sent, got.Took)
+	if !ok || got.Timing == nil || *got.Timing != sent {
+		t.Errorf("expected %+v, got %+v", sent, got.Timing)
 	}
 }
 
-func expectTookRejected(t *testing.T, m *v1.StreamTook) {
+func expectTimingRejected(t *testing.T, m *v1.StreamTook) {
 	t.Helper()
 	if _, ok := decode(&v1.Fact{Kind: &v1.Fact_Took{Took: m}}, time.Now()); ok {
 		t.Errorf("expected %v to be rejected", m)
@@ -26,9 +26,9 @@
 }
 
 func TestTookBounds(t *testing.T) {
-	expectTookRejected(t, &v1.StreamTook{})
-	expectTookRejected(t, &v1.StreamTook{Pool: "p", ReadUs: -1})
-	expectTookRejected(t, &v1.StreamTook{Pool: "p", StepUs: maxDurationUs + 1})
-	expectTookRejected(t, &v1.StreamTook{Pool: "p", ReadTokens: -1})
-	expectTookRejected(t, &v1.StreamTook{Pool: "p", Streams: maxRuns + 1})
+	expectTimingRejected(t, &v1.StreamTook{})
+	expectTimingRejected(t, &v1.StreamTook{Pool: "p", ReadUs: -1})
+	expectTimingRejected(t, &v1.StreamTook{Pool: "p", StepUs: maxDurationUs + 1})
+	expectTimingRejected(t, &v1.StreamTook{Pool: "p", ReadTokens: -1})
+	expectTimingRejected(t, &v1.StreamTook{Pool: "p", Streams: maxRuns + 1})
 }
--- a/internal/overlay/node.go
+++ b/internal/overlay/node.go
@@ -206,7 +206,7 @@
 }
 
 // MembersRestored announces that the next table of members comes from a restored, older copy. The
-// table must be set once more after MissingKept.
+// table must be set once more after MissingRetention.
 func (n *Node) MembersRestored() { n.members.setRestored() }
 
 // Followers returns the number of boxes that follow this one.
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -53,7 +53,7 @@
 	index            int
 	pool             *Pool
 	lender           *Lender
-	purse            *GrantCache
+	cache            *GrantCache
 	unreachableUntil map[int]time.Time
 	// partition is the network partition of the box: only boxes of the same one reach each other.
 	partition int
@@ -82,7 +82,7 @@
 // restart begins a new process of the box.
 func (b *simBox) restart() {
 	b.pool, b.lender, b.unreachableUntil = NewPool(), &Lender{}, map[int]time.Time{}
-	b.purse = NewGrantCache(b)
+	b.cache = NewGrantCache(b)
 	b.pool.SetBounds(time.Now(), b.fleet.bounds)
 	b.pool.SetLimits(time.Now(), map[string]Limit{simAccount: b.fleet.limit})
 	b.level, b.refilledAt, b.remoteUsage = 0, time.Now(), 0
@@ -172,7 +172,7 @@
 	n := float64(len(b.fleet.boxes))
 	switch b.fleet.strategy {
 	case lentShares:
-		return b.purse.Take(context.Background(), simAccount, units).OK
+		return b.cache.Take(context.Background(), simAccount, units).OK
 	case ownShares:
 		return b.takeOwn(units, 1/n, b.fleet.bounds.overage(b.fleet.limit)/n/2)
 	case fullLimitAtOwner:
--- a/internal/record/explain.go
+++ b/internal/record/explain.go
@@ -81,7 +81,7 @@
 		return fmt.Sprintf("The connection to %s was lost (%s) and the stream was resumed from chunk %d.", s.Decode, s.Reason.Sentence(), s.Tokens)
 	case StepAbort:
 		return fmt.Sprintf("%s was told to free what attempt %d held.", s.Decode, s.Attempt)
-	case StepWaste:
+	case StepWastedPrefill:
 		return fmt.Sprintf("%d tokens of prefill were thrown away: %s.", s.Tokens, s.Reason.Sentence())
 	case StepEndpoint:
 		return fmt.Sprintf("Endpoint %s was called%s.", s.Decode, seenText(s.EndpointState))
@@ -139,13 +139,13 @@
 	if omitted := ch.Compared - len(ch.Candidates); omitted > 0 {
 		out = append(out, fmt.Sprintf("    %d more pairs cost more.", omitted))
 	}
-	if text := passedOverText(ch.Excluded); text != "" {
+	if text := exclusionsText(ch.Excluded); text != "" {
 		out = append(out, "    Engines left out: "+text+".")
 	}
 	return out
 }
 
-func passedOverText(p decide.Exclusions) string {
+func exclusionsText(p decide.Exclusions) string {
 	var parts []string
 	add := func(n int, what string) {
 		if n > 0 {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -24,7 +24,7 @@
 	StepRetry            StepKind = "retry"
 	StepResume           StepKind = "resume"
 	StepAbort            StepKind = "abort"
-	StepWaste            StepKind = "waste"
+	StepWastedPrefill    StepKind = "waste"
 	StepEndpoint         StepKind = "endpoint" // A plain service's endpoint was called.
 	StepFailed           StepKind = "failed"   // A call to Decode failed; Text is the connection's error.
 	StepMigrate          StepKind = "migrate"  // A stream is to be migrated to Decode, because of Text.
@@ -81,7 +81,7 @@
 	case decide.Waiting:
 		return Step{Kind: StepWait, Reason: a.Reason, Tokens: a.View.Waiting}, true
 	case decide.WastedPrefill:
-		return Step{Kind: StepWaste, Reason: a.Reason, Tokens: a.Tokens}, true
+		return Step{Kind: StepWastedPrefill, Reason: a.Reason, Tokens: a.Tokens}, true
 	case decide.Abort:
 		return Step{Kind: StepAbort, Attempt: int(a.Attempt), Decode: a.Engine}, true
 	case decide.PolicyVerdict:
--- a/internal/relay/accounts.go
+++ b/internal/relay/accounts.go
@@ -41,7 +41,7 @@
 	// Regions are the regions that may serve its requests, combined with those of the route; empty if the account
 	// does not restrict them.
 	Regions []string
-	// Limit is the limit over all boxes. If ByTokens is set it counts tokens, and PlainTokens for a request that does
+	// Limit is the limit over all boxes. If ByTokens is set it counts tokens, and DefaultTokens for a request that does
 	// not say how many it takes; otherwise it counts requests.
 	Limit         quota.Limit
 	ByTokens      bool
--- a/internal/relay/begin_test.go
+++ b/internal/relay/begin_test.go
@@ -24,8 +24,8 @@
 // names. It completes the request q.
 func arrivedFlight(t *testing.T, ctx context.Context, q decide.Request, decoders ...string) (*Relay, *flight, *httptest.ResponseRecorder) {
 	t.Helper()
-	book := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
-	r := New(Options{Protocol: fakeWire{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: book})
+	recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
+	r := New(Options{Protocol: fakeProtocol{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: recorder})
 	fleet := decide.Fleet{Pools: []decide.Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: time.Minute}}}
 	add := func(name string, role decide.EngineRole) {
 		fleet.Engines = append(fleet.Engines, decide.Engine{
@@ -40,7 +40,7 @@
 	w := httptest.NewRecorder()
 	rec := &record.Record{ID: "q", At: time.Now()}
 	x := &exchange{
-		r: r, w: w, req: httptest.NewRequest(http.MethodPost, "/", nil), rec: rec, acc: book.Open(rec),
+		r: r, w: w, req: httptest.NewRequest(http.MethodPost, "/", nil), rec: rec, acc: recorder.Open(rec),
 		service: &Service{Name: "p", Engines: &EngineConfig{TokensPerEvent: 1}},
 	}
 	f := &flight{x: x, ctx: ctx, events: make(chan flightEvent, eventBuffer)}
--- a/internal/relay/callerconn.go
+++ b/internal/relay/callerconn.go
@@ -102,8 +102,8 @@
 		return
 	}
 	// The connection may stay idle for long, and must not keep the whole request in memory.
-	book, id, began := x.r.o.Recorder, x.meta.ID, time.Now()
-	report := func(err error) { book.Undelivered(id, time.Since(began), err) }
+	recorder, id, began := x.r.o.Recorder, x.meta.ID, time.Now()
+	report := func(err error) { recorder.Undelivered(id, time.Since(began), err) }
 	c.undelivered.Store(&report)
 }
 
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -52,7 +52,7 @@
 	case resp.StatusCode != http.StatusOK:
 		f.send(flightEvent{attempt: a.Attempt, err: &callError{reason: outcome.EndpointRefused}})
 	default:
-		handle, err := x.r.wire.ParsePrefill(body)
+		handle, err := x.r.protocol.ParsePrefill(body)
 		if err != nil {
 			f.send(flightEvent{attempt: a.Attempt, err: &callError{reason: outcome.WrongAnswer}})
 			return
@@ -113,7 +113,7 @@
 	case inTime && ctx.Err() == nil && id != "":
 		return reservation{engine: engine, id: id, owner: owner}, true
 	case id != "":
-		x.r.drop(engine, x.r.disp.Address(engine), x.r.wire.ReleaseReservation(id))
+		x.r.drop(engine, x.r.disp.Address(engine), x.r.protocol.ReleaseReservation(id))
 	case inTime && ctx.Err() == nil:
 		f.send(flightEvent{attempt: a, noRoom: &noRoom{}})
 	}
@@ -125,12 +125,12 @@
 // reservation may last.
 func (r *Relay) requestReservation(ctx context.Context, engine string, x *exchange) string {
 	ttl := min(x.service.Engines.ReservationTTL, reservationTTL)
-	c := r.wire.Reserve(x.meta.PromptTokens+min(x.reservedAhead(), x.reservedOutput()), ttl)
+	c := r.protocol.Reserve(x.meta.PromptTokens+min(x.outputReserve(), x.reservedOutput()), ttl)
 	resp, body, err := r.sidePool.DoShort(context.WithoutCancel(ctx), sideCallTimeout+ttl, sideRequest(engine, r.disp.Address(engine), c), maxSideAnswer)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return ""
 	}
-	id, err := r.wire.ParseReservation(body)
+	id, err := r.protocol.ParseReservation(body)
 	if err != nil {
 		r.o.Recorder.Log.StateChange("memory reservation answer could not be parsed", zap.String("endpoint", engine), zap.Error(err))
 	}
@@ -176,15 +176,15 @@
 // thousand tokens of each engine were reserved for streams that had long begun.
 const reservationTTL = time.Second
 
-// connectedAheadTokens are reserved beside the prompt if boxes know of each other's streams. All of them then predict
+// connectedReserveTokens are reserved beside the prompt if boxes know of each other's streams. All of them then predict
 // the growth of streams, and a larger reservation would withhold memory from others until it expires, however
 // early it is released.
-const connectedAheadTokens = 512
+const connectedReserveTokens = 512
 
-// reservedAhead returns the tokens to reserve beside the prompt.
-func (x *exchange) reservedAhead() int {
+// outputReserve returns the tokens to reserve beside the prompt.
+func (x *exchange) outputReserve() int {
 	if x.r.connected() {
-		return connectedAheadTokens
+		return connectedReserveTokens
 	}
 	return x.reservedOutput()
 }
@@ -222,7 +222,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	reply := x.r.wire.ParseReply(resp)
+	reply := x.r.protocol.ParseReply(resp)
 	switch {
 	case reply.NotRun:
 		f.send(flightEvent{attempt: a.Attempt, err: &callError{reason: outcome.EndpointRefused}})
--- a/internal/relay/changelog.go
+++ b/internal/relay/changelog.go
@@ -23,8 +23,8 @@
 	r.o.Recorder.Log.StateChange("endpoint "+b.State.String(), fields...)
 }
 
-// logLearned logs the learned rates of a pool's engines and requests.
-func (r *Relay) logLearned(l decide.Estimates) {
+// logEstimates logs the learned rates of a pool's engines and requests.
+func (r *Relay) logEstimates(l decide.Estimates) {
 	r.o.Recorder.Log.StateChange("learned engine rates", zap.String("service", l.Pool),
 		zap.Float64("read_tokens_per_s", l.PrefillRate), zap.Duration("read_delay", l.PrefillDelay), zap.Duration("begin", l.FirstEventDelay),
 		zap.Duration("step", l.Step), zap.Duration("step_per_stream", l.StepPerStream),
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -114,7 +114,7 @@
 		case undecided:
 		}
 	}
-	r.o.Recorder.Log.StateChange("endpoint's end not known", zap.String("endpoint", e.ID), zap.Int("requests", len(r.crashWatch.close(e.ID))))
+	r.o.Recorder.Log.StateChange("endpoint crash unconfirmed", zap.String("endpoint", e.ID), zap.Int("requests", len(r.crashWatch.close(e.ID))))
 }
 
 // probeResult is the result of probing an endpoint.
@@ -159,11 +159,11 @@
 		}
 		return c.Close()
 	}
-	resp, body, err := r.sidePool.DoShort(context.Background(), loadTimeout, sideRequest(e.ID, e.Address, r.wire.LoadCall()), maxSideAnswer)
+	resp, body, err := r.sidePool.DoShort(context.Background(), loadTimeout, sideRequest(e.ID, e.Address, r.protocol.LoadCall()), maxSideAnswer)
 	if err != nil {
 		return err
 	}
-	load, err := r.wire.ParseLoad(body)
+	load, err := r.protocol.ParseLoad(body)
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		return errors.New(resp.Status)
@@ -186,7 +186,7 @@
 	r.m.SuspectedCrashes.Add(len(calls))
 	for _, c := range calls {
 		r.o.Crashes.RecordCrash(quarantine.Crash{Request: c.fingerprint, Endpoint: e.ID, Caller: quarantine.Tag(c.caller), RunTime: c.ran, SentAt: c.sent, Doubtful: c.doubt, Try: quarantine.Tag(c.request)})
-		r.o.Recorder.Log.StateChange("endpoint ended under a request", zap.String("endpoint", e.ID), zap.String("service", e.Service),
+		r.o.Recorder.Log.StateChange("endpoint crashed under a request", zap.String("endpoint", e.ID), zap.String("service", e.Service),
 			zap.String("id", c.request), zap.Stringer("fingerprint", c.fingerprint), zap.String("caller", quarantine.Tag(c.caller)),
 			zap.Duration("ran", c.ran), zap.Bool("doubt", c.doubt), zap.String("known_by", by))
 	}
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -264,12 +264,12 @@
 			continue
 		}
 		addresses[e.ID] = e.Address
-		if !e.Closed {
+		if !e.Evacuated {
 			f.engineList = append(f.engineList, e.Endpoint)
 			f.engineCounts[e.Service]++
 		}
 		out.Engines = append(out.Engines, decide.Engine{
-			Name: e.ID, Pool: e.Service, Region: e.Region, Hall: e.Hall, Role: e.Role, Leaving: e.Leaving, Evacuated: e.Closed, Cold: e.Cold,
+			Name: e.ID, Pool: e.Service, Region: e.Region, Hall: e.Hall, Role: e.Role, Leaving: e.Leaving, Evacuated: e.Evacuated, Cold: e.Cold,
 			PrefillRate: assumedPrefillRate, KVTokens: s.Engines.KVTokens, Slots: s.Engines.Slots,
 			Step: assumedStep, StepPerStream: assumedStepPerStream, LinkRate: s.Engines.LinkRate,
 		})
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -31,7 +31,7 @@
 // publishPlaced publishes that engines have a stream of this box. It is published once a reservation is made,
 // because until then the engines are only asked for one.
 func (f *flight) publishPlaced(a decide.Attempt) {
-	p := &overlay.StreamPlaced{DecodeEngine: f.reservation.engine, KVTokens: f.x.meta.PromptTokens + f.x.expected(), PromptTokens: f.x.meta.PromptTokens, OutputReserve: f.x.reservedAhead(), Owner: f.reservation.owner, Service: f.x.service.Name}
+	p := &overlay.StreamPlaced{DecodeEngine: f.reservation.engine, KVTokens: f.x.meta.PromptTokens + f.x.expected(), PromptTokens: f.x.meta.PromptTokens, OutputReserve: f.x.outputReserve(), Owner: f.reservation.owner, Service: f.x.service.Name}
 	if a == f.prefillAttempt {
 		p.PrefillEngine, p.PrefillTokens = f.prefillEngine, f.x.meta.PromptTokens
 	}
@@ -39,8 +39,8 @@
 	f.x.r.publish(overlay.Message{Placed: p})
 }
 
-// publishEnded publishes that an engine no longer runs the stream.
-func (f *flight) publishEnded(engine string) {
+// publishStreamEnded publishes that an engine no longer runs the stream.
+func (f *flight) publishStreamEnded(engine string) {
 	if f.firstEventAt.IsZero() || engine == "" {
 		return
 	}
@@ -67,8 +67,8 @@
 		}
 	case f.Ended != nil:
 		r.disp.Step(decide.StreamEnded{Engine: f.Ended.Engine, At: f.At, Tokens: f.Ended.Tokens})
-	case f.Took != nil:
-		r.receiveTiming(f.Took)
+	case f.Timing != nil:
+		r.receiveTiming(f.Timing)
 	case f.Notice != nil:
 		r.receiveNotice(f.At, f.Notice)
 	case f.Omitted != nil:
@@ -132,7 +132,7 @@
 	if now.UnixNano()-last < int64(pause) || !r.lastTimingPublish.CompareAndSwap(last, now.UnixNano()) {
 		return
 	}
-	r.publish(overlay.Message{At: now, Took: &overlay.StreamTiming{
+	r.publish(overlay.Message{At: now, Timing: &overlay.StreamTiming{
 		Pool: pool, PrefillTokens: t.PrefillTokens, PrefillTime: t.PrefillTime, FirstEventDelay: t.FirstEventDelay, Step: t.Step, Streams: int(t.Streams),
 	}})
 }
--- a/internal/relay/halls.go
+++ b/internal/relay/halls.go
@@ -21,13 +21,13 @@
 type knownEndpoint struct {
 	Endpoint
 	Region string
-	// Closed is set if its hall is evacuated.
-	Closed bool
-	Cold   pacing.Cold
+	// Evacuated is set if its hall is evacuated.
+	Evacuated bool
+	Cold      pacing.Cold
 }
 
 // open reports whether the endpoint may get new requests.
-func (e *knownEndpoint) open() bool { return !e.Leaving && !e.Closed }
+func (e *knownEndpoint) open() bool { return !e.Leaving && !e.Evacuated }
 
 // describe returns an endpoint of the list with what the box knows of it. The lock is held.
 func (f *fleet) describe(i int) knownEndpoint {
@@ -35,7 +35,7 @@
 	e.Role = f.roles[e.ID].role()
 	// The list may be older than the answer.
 	e.Leaving = e.Leaving || f.hasAnnouncedLeaving != nil && f.hasAnnouncedLeaving(e.ID)
-	e.Region, e.Closed = f.regionOf(e.Hall), f.evacuated[e.Hall]
+	e.Region, e.Evacuated = f.regionOf(e.Hall), f.evacuated[e.Hall]
 	return e
 }
 
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -138,7 +138,7 @@
 		return // It asked for fewer requests, and a poll is one.
 	}
 	r.notices.Sent(e.ID, now)
-	resp, body, err := r.sidePool.DoShort(ctx, loadTimeout, sideRequest(e.ID, e.Address, r.wire.LoadCall()), maxSideAnswer)
+	resp, body, err := r.sidePool.DoShort(ctx, loadTimeout, sideRequest(e.ID, e.Address, r.protocol.LoadCall()), maxSideAnswer)
 	if ctx.Err() != nil {
 		return
 	}
@@ -147,7 +147,7 @@
 		r.publishLoad(e.ID, now, nil)
 		return
 	}
-	l, err := r.wire.ParseLoad(body)
+	l, err := r.protocol.ParseLoad(body)
 	if err != nil {
 		r.o.Recorder.Log.StateChange("engine load could not be parsed", zap.String("endpoint", e.ID), zap.Error(err))
 		return
@@ -176,7 +176,7 @@
 
 // applyLoad applies an engine's load as of a time.
 func (r *Relay) applyLoad(engine string, at time.Time, l *Load) {
-	stride, known := r.fleet.recordLoad(engine)
+	tokensPerEvent, known := r.fleet.recordLoad(engine)
 	if !known {
 		return
 	}
@@ -186,13 +186,13 @@
 	}
 	r.disp.Step(decide.LoadReport{
 		Engine: engine, At: at, FreeKV: l.KVTotal - l.KVUsed, Streams: l.Running, Queued: l.Queued, Leaving: l.Leaving || l.ExecutingOrder,
-		Runs: l.runs(stride),
+		Runs: l.runs(tokensPerEvent),
 	})
 }
 
 // recordLoad records that an engine's load was received, and returns the tokens per event of its service; known
 // is false for an engine that is not on the list.
-func (f *fleet) recordLoad(id string) (stride int, known bool) {
+func (f *fleet) recordLoad(id string) (tokensPerEvent int, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i, listed := f.index[id]
@@ -200,7 +200,7 @@
 		return 1, false
 	}
 	f.recordReport(id, clock.Now())
-	return f.stride(f.endpoints[i].Service), true
+	return f.tokensPerEvent(f.endpoints[i].Service), true
 }
 
 // pollAfterRefusal polls an engine that has just refused a request: it may have another role by now, be carrying
@@ -226,16 +226,16 @@
 const refusalPollInterval = time.Second
 
 // runs converts the engine's streams from events to tokens.
-func (l *Load) runs(stride int) []decide.StreamLoad {
+func (l *Load) runs(tokensPerEvent int) []decide.StreamLoad {
 	out := make([]decide.StreamLoad, len(l.Runs))
 	for i, r := range l.Runs {
-		out[i] = decide.StreamLoad{Tokens: r.Tokens, Output: r.Events * stride}
+		out[i] = decide.StreamLoad{Tokens: r.Tokens, Output: r.Events * tokensPerEvent}
 	}
 	return out
 }
 
-// stride returns the maximum number of tokens in one event of a service. f.mu is held.
-func (f *fleet) stride(service string) int {
+// tokensPerEvent returns the maximum number of tokens in one event of a service. f.mu is held.
+func (f *fleet) tokensPerEvent(service string) int {
 	if f.cfg == nil || f.cfg.Services[service] == nil || f.cfg.Services[service].Engines == nil {
 		return 1
 	}
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -31,7 +31,7 @@
 // expectPollRate runs one box with a number of decode engines for ten seconds, and checks its polls a second.
 func expectPollRate(t *testing.T, engines int, minRate, maxRate float64) {
 	t.Helper()
-	r := New(Options{Box: "a", Region: "r", Protocol: fakeWire{}, Peers: silentPeer{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
+	r := New(Options{Box: "a", Region: "r", Protocol: fakeProtocol{}, Peers: silentPeer{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
 	r.SetConfig(&Config{Services: map[string]*Service{"s": {Engines: &EngineConfig{}}}})
 	var list []Endpoint
 	for i := range engines {
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -60,7 +60,7 @@
 // drop frees the memory that an engine stores for a migration and that is not needed any more.
 func (m *migrationResult) drop(r *Relay) {
 	if m.source.Handle != "" {
-		r.drop(m.source.Engine, m.source.Address, r.wire.ReleaseHandle(m.source.Handle))
+		r.drop(m.source.Engine, m.source.Address, r.protocol.ReleaseHandle(m.source.Handle))
 	}
 }
 
@@ -102,13 +102,13 @@
 	ctx, cancel := withGracePeriod(f.ctx, gracePeriod)
 	defer cancel()
 	address := f.x.r.disp.Address(a.From)
-	call := f.x.r.wire.Migrate(f.x.meta.ID, f.x.r.disp.Address(a.To))
+	call := f.x.r.protocol.Migrate(f.x.meta.ID, f.x.r.disp.Address(a.To))
 	out := &migrationResult{unanswered: true}
 	for lost := 0; lost < migrateTries && ctx.Err() == nil; {
 		resp, body, err := f.x.r.sidePool.DoShort(ctx, limit, sideRequest(a.From, address, call), maxSideAnswer)
 		var answer Migration
 		if err == nil {
-			answer, err = f.x.r.wire.ParseMigration(resp.StatusCode, body)
+			answer, err = f.x.r.protocol.ParseMigration(resp.StatusCode, body)
 		}
 		if err != nil {
 			out.detail = err.Error()
@@ -333,7 +333,7 @@
 		return
 	}
 	f.x.r.m.CompletedMigrations.Inc()
-	f.publishEnded(m.from)
+	f.publishStreamEnded(m.from)
 	f.x.acc.Step(record.Step{Kind: record.StepMigrated, Decode: f.decodeEngine})
 }
 
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -19,14 +19,14 @@
 
 // observeRun handles the header of the answer to a caller's request.
 func (r *Relay) observeRun(q *h1.Request, resp *http.Response, sent time.Time) {
-	reply := r.wire.ParseReply(resp)
+	reply := r.protocol.ParseReply(resp)
 	ran := reply.Signed && !reply.NotRun && resp.StatusCode < http.StatusInternalServerError
 	r.observe(q, resp, notice.Answer{Sent: sent, Completed: ran, Notice: reply.Notice})
 }
 
 // observeSide handles the header of the answer to one of this box's own calls.
 func (r *Relay) observeSide(q *h1.Request, resp *http.Response, sent time.Time) {
-	r.observe(q, resp, notice.Answer{Sent: sent, Notice: r.wire.ParseReply(resp).Notice})
+	r.observe(q, resp, notice.Answer{Sent: sent, Notice: r.protocol.ParseReply(resp).Notice})
 }
 
 // observe handles the header of an answer. A misdirected request was answered by another endpoint.
--- a/internal/relay/orders.go
+++ b/internal/relay/orders.go
@@ -32,11 +32,11 @@
 		return errResting
 	}
 	address := e.Address
-	resp, body, err := r.sidePool.DoShort(ctx, loadTimeout, sideRequest(engine, address, r.wire.LoadCall()), maxSideAnswer)
+	resp, body, err := r.sidePool.DoShort(ctx, loadTimeout, sideRequest(engine, address, r.protocol.LoadCall()), maxSideAnswer)
 	if err != nil {
 		return fmt.Errorf("query engine load: %w", err)
 	}
-	load, err := r.wire.ParseLoad(body)
+	load, err := r.protocol.ParseLoad(body)
 	switch {
 	case err != nil || resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("query engine load: %s, %w", resp.Status, err)
@@ -45,7 +45,7 @@
 	case load.ExecutingOrder || load.Leaving || load.Role == role:
 		return errBusy
 	}
-	c, h := r.wire.SetRole(engine, role, r.o.Box, l.Fence, load.Orders)
+	c, h := r.protocol.SetRole(engine, role, r.o.Box, l.Fence, load.Orders)
 	q := sideRequest(engine, address, c)
 	for k, v := range h {
 		q.Header[k] = v
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -162,7 +162,7 @@
 		return a
 	}
 	a.sent = true
-	reply := x.r.wire.ParseReply(resp)
+	reply := x.r.protocol.ParseReply(resp)
 	if reply.NotRun {
 		_ = resp.Body.Close()
 		a.reason = outcome.EndpointRefused
@@ -230,7 +230,7 @@
 func (x *exchange) writeStatus(status int) {
 	if impliesNotRun(status) {
 		status = http.StatusBadGateway
-		x.r.wire.RemoveSignature(x.w.Header())
+		x.r.protocol.RemoveSignature(x.w.Header())
 	}
 	x.begun, x.rec.HeaderSent = true, true
 	x.extendWriteDeadline()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -60,7 +60,7 @@
 // Peers is the connection to the other boxes.
 type Peers interface {
 	Publish(f overlay.Message)
-	// Connected reports whether messages from other boxes are received. Neighbours returns the number of boxes that
+	// Connected reports whether messages from other boxes are received. RegionSize returns the number of boxes that
 	// exchange messages, including this one.
 	Connected() bool
 	RegionSize() int
@@ -75,9 +75,9 @@
 
 // Relay serves callers. Use New to create one.
 type Relay struct {
-	o    Options
-	wire Protocol
-	disp *dispatch.Dispatcher
+	o        Options
+	protocol Protocol
+	disp     *dispatch.Dispatcher
 	// callerPool carries callers' requests and sidePool the relay's own calls, so that a late answer on a connection
 	// of the first can never be taken for an answer to one of the second.
 	callerPool *h1.Pool
@@ -120,7 +120,7 @@
 	}
 	r := &Relay{
 		o:          o,
-		wire:       o.Protocol,
+		protocol:   o.Protocol,
 		disp:       dispatch.New(o.Core, nil, o.Recorder.Metrics),
 		callerPool: h1.NewPool(),
 		sidePool:   h1.NewPool(),
@@ -134,10 +134,10 @@
 	r.fleet.box, r.fleet.hall, r.fleet.region, r.fleet.halls = o.Box, o.Hall, o.Region, o.Halls
 	r.memory.limit = o.Memory
 	r.revoked.Store(&revoked{})
-	r.callerPool.OnSurplus = r.m.Crossed.Inc
+	r.callerPool.OnSurplus = r.m.ForeignChunks.Inc
 	r.callerPool.OnResponse, r.sidePool.OnResponse = r.observeRun, r.observeSide
 	r.disp.OnStateChange = r.logStateChange
-	r.disp.OnEstimatesChanged = r.logLearned
+	r.disp.OnEstimatesChanged = r.logEstimates
 	r.plain.onStateChange = r.logStateChange
 	return r
 }
@@ -332,7 +332,7 @@
 }
 
 func (r *Relay) newExchange(w http.ResponseWriter, req *http.Request) *exchange {
-	x := &exchange{r: r, w: w, req: req, cfg: r.cfg.Load(), arrived: clock.Now(), meta: r.wire.ParseRequest(req)}
+	x := &exchange{r: r, w: w, req: req, cfg: r.cfg.Load(), arrived: clock.Now(), meta: r.protocol.ParseRequest(req)}
 	x.rec = &record.Record{
 		ID: x.meta.ID, Box: r.o.Box, Path: req.URL.Path, At: time.Now(),
 		PromptTokens: x.meta.PromptTokens, MaxTokens: x.meta.MaxOutput, Model: x.meta.Model,
@@ -462,10 +462,10 @@
 	if run.LastEvent == "" {
 		run.LastEvent = x.meta.LastEvent
 	}
-	x.r.wire.SetHeaders(h, run)
+	x.r.protocol.SetHeaders(h, run)
 	q := &h1.Request{
 		Address: address, Endpoint: run.Instance, Method: x.req.Method, Target: x.req.RequestURI, Host: x.req.Host, Header: h, Body: x.body,
-		Matches: func(h http.Header) bool { return x.r.wire.IsAnswerTo(h, x.meta.ID) },
+		Matches: func(h http.Header) bool { return x.r.protocol.IsAnswerTo(h, x.meta.ID) },
 	}
 	if q.Body == nil && x.req.Method != http.MethodGet && x.req.Method != http.MethodHead {
 		q.Body = []byte{}
--- a/internal/relay/release_test.go
+++ b/internal/relay/release_test.go
@@ -14,22 +14,22 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// fakeWire encodes the calls that free memory.
-type fakeWire struct{ Protocol }
+// fakeProtocol encodes the calls that free memory.
+type fakeProtocol struct{ Protocol }
 
-func (fakeWire) ParseReply(*http.Response) Reply { return Reply{} }
+func (fakeProtocol) ParseReply(*http.Response) Reply { return Reply{} }
 
-func (fakeWire) ReleaseReservation(hold string) Call {
+func (fakeProtocol) ReleaseReservation(hold string) Call {
 	return Call{Method: http.MethodDelete, Target: "/hold/" + hold}
 }
 
-func (fakeWire) Reserve(int, time.Duration) Call {
+func (fakeProtocol) Reserve(int, time.Duration) Call {
 	return Call{Method: http.MethodPost, Target: "/take"}
 }
 
-func (fakeWire) ParseReservation(body []byte) (string, error) { return string(body), nil }
+func (fakeProtocol) ParseReservation(body []byte) (string, error) { return string(body), nil }
 
-func (fakeWire) ReleaseHandle(handle string) Call {
+func (fakeProtocol) ReleaseHandle(handle string) Call {
 	return Call{Method: http.MethodDelete, Target: "/handle/" + handle}
 }
 
@@ -40,7 +40,7 @@
 	engine := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { freed.Add(1) }))
 	defer engine.Close()
 	address := engine.Listener.Addr().String()
-	r := New(Options{Protocol: fakeWire{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
+	r := New(Options{Protocol: fakeProtocol{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
 	r.disp.SetFleet(decide.Fleet{}, map[string]string{"w": address})
 	f := &flight{x: &exchange{r: r}, events: make(chan flightEvent, eventBuffer)}
 	f.events <- flightEvent{attempt: 1, reserved: &reservation{engine: "w", id: "h"}}
@@ -66,7 +66,7 @@
 		_, _ = w.Write([]byte("h"))
 	}))
 	defer engine.Close()
-	r := New(Options{Protocol: fakeWire{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
+	r := New(Options{Protocol: fakeProtocol{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
 	r.disp.SetFleet(decide.Fleet{}, map[string]string{"w": engine.Listener.Addr().String()})
 	x := &exchange{r: r, service: &Service{Engines: &EngineConfig{ReservationTTL: time.Second, KVTokens: 1000}}}
 	f := &flight{x: x, events: make(chan flightEvent, eventBuffer)}
@@ -88,11 +88,11 @@
 	}
 }
 
-func (fakeWire) SetHeaders(http.Header, Run) {}
+func (fakeProtocol) SetHeaders(http.Header, Run) {}
 
-func (fakeWire) IsAnswerTo(http.Header, string) bool { return true }
+func (fakeProtocol) IsAnswerTo(http.Header, string) bool { return true }
 
-func (fakeWire) ParsePrefill(body []byte) (string, error) { return string(body), nil }
+func (fakeProtocol) ParsePrefill(body []byte) (string, error) { return string(body), nil }
 
 // TestLeaveAsPromptIsRead checks that nothing remains for a caller that leaves just as its prefill is done: the
 // engine's answer, which names the memory to free, is being sent at that moment.
@@ -111,7 +111,7 @@
 		}
 	}))
 	defer engine.Close()
-	r := New(Options{Protocol: fakeWire{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
+	r := New(Options{Protocol: fakeProtocol{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
 	r.disp.SetFleet(decide.Fleet{}, map[string]string{"w": engine.Listener.Addr().String()})
 	ctx, leave := context.WithCancel(context.Background())
 	x := &exchange{
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -18,7 +18,7 @@
 	}
 	e, _ := r.fleet.endpoint(engine)
 	return r.o.Peers.AskRoom(ctx, e.Hall, overlay.Room{
-		Engine: engine, PromptTokens: x.meta.PromptTokens, ExpectedTokens: x.expected(), MaxTokens: x.reservedOutput(), OutputReserve: x.reservedAhead(),
+		Engine: engine, PromptTokens: x.meta.PromptTokens, ExpectedTokens: x.expected(), MaxTokens: x.reservedOutput(), OutputReserve: x.outputReserve(),
 	})
 }
 
--- a/internal/relay/room_test.go
+++ b/internal/relay/room_test.go
@@ -15,7 +15,7 @@
 // stream was placed, and answer for a second stream of the given size.
 func expectRoom(t *testing.T, placedBy string, want bool) {
 	t.Helper()
-	r := New(Options{Box: "home", Region: "r", Protocol: fakeWire{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
+	r := New(Options{Box: "home", Region: "r", Protocol: fakeProtocol{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
 	now := time.Now()
 	r.disp.SetFleet(decide.Fleet{
 		Pools:   []decide.Pool{{Name: "p", ForecastsMemory: true}},
--- a/internal/relay/route.go
+++ b/internal/relay/route.go
@@ -42,22 +42,22 @@
 // repeats reports whether a request of the route may run more than once.
 func (r *Route) repeats() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
-// returningPatienceShare is the share of the longest patience seen below which a caller is taken for one that was
+// returningTimeoutShare is the share of the longest patience seen below which a caller is taken for one that was
 // refused before and has spent the rest on its earlier attempt.
-const returningPatienceShare = 0.97
+const returningTimeoutShare = 0.97
 
 // isReturning reports whether a caller with so much patience left has tried before. Callers of one route start with
 // the same patience, and lose the time of each refused attempt.
-func (r *Route) isReturning(patience time.Duration) bool {
-	if patience <= 0 {
+func (r *Route) isReturning(callerTimeout time.Duration) bool {
+	if callerTimeout <= 0 {
 		return false
 	}
 	for {
-		longest := r.patience.Load()
-		if int64(patience) <= longest {
-			return float64(patience) < returningPatienceShare*float64(longest)
+		longest := r.callerTimeout.Load()
+		if int64(callerTimeout) <= longest {
+			return float64(callerTimeout) < returningTimeoutShare*float64(longest)
 		}
-		if r.patience.CompareAndSwap(longest, int64(patience)) {
+		if r.callerTimeout.CompareAndSwap(longest, int64(callerTimeout)) {
 			return false
 		}
 	}
--- a/internal/relay/split_test.go
+++ b/internal/relay/split_test.go
@@ -68,11 +68,11 @@
 func TestCameBack(t *testing.T) {
 	r := &Route{}
 	for _, c := range []struct {
-		patience time.Duration
-		want     bool
+		callerTimeout time.Duration
+		want          bool
 	}{{14 * time.Second, false}, {13990 * time.Millisecond, false}, {10 * time.Second, true}, {15 * time.Second, false}, {14 * time.Second, true}, {0, false}} {
-		if got := r.isReturning(c.patience); got != c.want {
-			t.Errorf("patience %s: expected %t, got %t", c.patience, c.want, got)
+		if got := r.isReturning(c.callerTimeout); got != c.want {
+			t.Errorf("patience %s: expected %t, got %t", c.callerTimeout, c.want, got)
 		}
 	}
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -171,7 +171,7 @@
 	f.id, f.call = x.r.disp.Submit(x.meta.ID, f.request())
 	// Deferred, so that engine memory is freed even if the loop panics.
 	defer func() {
-		f.publishEnded(f.decodeEngine)
+		f.publishStreamEnded(f.decodeEngine)
 		x.r.disp.Remove(f.id)
 		f.drainSteps()
 		f.end(cancel)
@@ -201,7 +201,7 @@
 		Route:         x.route.Name,
 		PromptTokens:  x.meta.PromptTokens,
 		MaxTokens:     x.reservedOutput(),
-		OutputReserve: x.reservedAhead(),
+		OutputReserve: x.outputReserve(),
 		ExpectTokens:  x.meta.ExpectedOutput,
 		Blocks:        x.meta.PrefixHashes,
 		FirstToken:    x.route.LatencyTarget,
@@ -370,7 +370,7 @@
 // and would count the rest of the reservation beside it until it expires.
 func (f *flight) dropReservation() {
 	if f.reservation.id != "" {
-		f.x.r.drop(f.reservation.engine, f.x.r.disp.Address(f.reservation.engine), f.x.r.wire.ReleaseReservation(f.reservation.id))
+		f.x.r.drop(f.reservation.engine, f.x.r.disp.Address(f.reservation.engine), f.x.r.protocol.ReleaseReservation(f.reservation.id))
 		f.reservation = reservation{}
 	}
 }
@@ -432,10 +432,10 @@
 		f.x.r.memory.release(ev.part.reservedBytes)
 	}
 	if ev.reserved != nil {
-		f.x.r.drop(ev.reserved.engine, f.x.r.disp.Address(ev.reserved.engine), f.x.r.wire.ReleaseReservation(ev.reserved.id))
+		f.x.r.drop(ev.reserved.engine, f.x.r.disp.Address(ev.reserved.engine), f.x.r.protocol.ReleaseReservation(ev.reserved.id))
 	}
 	if ev.prefilled != nil {
-		f.x.r.drop(ev.prefilled.Engine, ev.prefilled.Address, f.x.r.wire.ReleaseHandle(ev.prefilled.Handle))
+		f.x.r.drop(ev.prefilled.Engine, ev.prefilled.Address, f.x.r.protocol.ReleaseHandle(ev.prefilled.Handle))
 	}
 	if ev.migrated != nil {
 		ev.migrated.drop(f.x.r)
@@ -538,7 +538,7 @@
 	f.dropReservation()
 	f.dropMigration()
 	if f.source.Handle != "" {
-		f.x.r.drop(f.source.Engine, f.source.Address, f.x.r.wire.ReleaseHandle(f.source.Handle))
+		f.x.r.drop(f.source.Engine, f.source.Address, f.x.r.protocol.ReleaseHandle(f.source.Handle))
 		f.source = Source{}
 	}
 }
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -4,7 +4,7 @@
 //
 //	route ► buffer the body ► check limits ► place/wait ► reserve memory ► prefill ► decode ► answer
 //
-// The interface Wire hides the platform's encoding of headers, calls and answers.
+// The interface Protocol hides the platform's encoding of headers, calls and answers.
 package relay
 
 import (
@@ -77,9 +77,9 @@
 	EventGapTarget time.Duration
 	// MaxEndpoints limits the endpoints that one request may run on; at least 1.
 	MaxEndpoints int
-	// patience is the longest time, in nanoseconds, that a caller of the route was willing to wait. A caller with
+	// callerTimeout is the longest time, in nanoseconds, that a caller of the route was willing to wait. A caller with
 	// clearly less has been refused before (isReturning).
-	patience atomic.Int64
+	callerTimeout atomic.Int64
 }
 
 // Target is a service of a route, with its share of the requests.
@@ -106,7 +106,7 @@
 	KVTokens        int
 	KVBytesPerToken int
 	LinkRate        float64 // Bytes a second.
-	// HandleTTL is how long the result of a prefill is kept, and HoldFor the longest duration of a memory
+	// HandleTTL is how long the result of a prefill is kept, and ReservationTTL the longest duration of a memory
 	// reservation.
 	HandleTTL      time.Duration
 	ReservationTTL time.Duration
@@ -246,7 +246,7 @@
 	// Reserve reserves memory at an engine; Held reads the answer.
 	Reserve(tokens int, ttl time.Duration) Call
 	ParseReservation(body []byte) (hold string, err error)
-	// ReleaseReservation and DropHandle free memory that is not needed any more.
+	// ReleaseReservation and ReleaseHandle free memory that is not needed any more.
 	ReleaseReservation(hold string) Call
 	ReleaseHandle(handle string) Call
 	// Migrate asks an engine to stop the run of a request and to copy its memory to another engine; Migrated reads
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -67,7 +67,7 @@
 		}
 		last = a
 		if ok && stableCount >= m.StableChecks+extraChecks {
-			if m.applyAdvice(ctx, a) {
+			if m.applyRoleChange(ctx, a) {
 				wait, stableCount = m.Cooldown, 0
 			}
 		}
@@ -86,9 +86,9 @@
 	return m.ExtraChecks()
 }
 
-// applyAdvice sends the orders if this box gets the lease. It reports whether orders were sent or another box
+// applyRoleChange sends the orders if this box gets the lease. It reports whether orders were sent or another box
 // is about to send them.
-func (m *Manager) applyAdvice(ctx context.Context, a decide.RoleChange) bool {
+func (m *Manager) applyRoleChange(ctx context.Context, a decide.RoleChange) bool {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	l, err := m.Leases.Acquire(ctx)
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -12,14 +12,14 @@
 
 // fakeFleet gives one advice between adviceFrom and adviceUntil.
 type fakeFleet struct {
-	start                   time.Time
-	adviceFrom, adviceUntil time.Duration
-	orders                  []string
+	start                         time.Time
+	recommendFrom, recommendUntil time.Duration
+	orders                        []string
 }
 
 func (f *fakeFleet) RecommendRoleChange() (decide.RoleChange, bool) {
 	at := time.Since(f.start)
-	return decide.RoleChange{Pool: "p", Engines: []string{"a", "b"}, Role: decide.Decode}, at >= f.adviceFrom && at < f.adviceUntil
+	return decide.RoleChange{Pool: "p", Engines: []string{"a", "b"}, Role: decide.Decode}, at >= f.recommendFrom && at < f.recommendUntil
 }
 
 func (f *fakeFleet) SetRole(_ context.Context, engine string, _ decide.EngineRole, _ lease.Lease) error {
@@ -56,32 +56,32 @@
 
 // A box with patience sends no order if the advice disappears while it waits.
 func TestPatienceDelaysOrders(t *testing.T) {
-	for patience, want := range map[int]int{0: 2, 20: 0} {
+	for extraChecks, want := range map[int]int{0: 2, 20: 0} {
 		synctest.Test(t, func(t *testing.T) {
-			f := &fakeFleet{start: time.Now(), adviceUntil: 3 * time.Second}
+			f := &fakeFleet{start: time.Now(), recommendUntil: 3 * time.Second}
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			m := &Manager{Fleet: f, Leases: fakeLeases{}, CheckInterval: 300 * time.Millisecond, StableChecks: 3, Cooldown: 9 * time.Second, ExtraChecks: func() int { return patience }}
+			m := &Manager{Fleet: f, Leases: fakeLeases{}, CheckInterval: 300 * time.Millisecond, StableChecks: 3, Cooldown: 9 * time.Second, ExtraChecks: func() int { return extraChecks }}
 			m.Run(ctx)
 			if len(f.orders) != want {
-				t.Errorf("patience of %d: expected %d orders, got %v", patience, want, f.orders)
+				t.Errorf("patience of %d: expected %d orders, got %v", extraChecks, want, f.orders)
 			}
 		})
 	}
 }
 
 func TestFollowsSteadyAdvice(t *testing.T) {
-	expectOrders(t, fakeFleet{adviceUntil: 5 * time.Second}, fakeLeases{}, 2)
+	expectOrders(t, fakeFleet{recommendUntil: 5 * time.Second}, fakeLeases{}, 2)
 }
 func TestIgnoresShortLivedAdvice(t *testing.T) {
-	expectOrders(t, fakeFleet{adviceFrom: time.Second, adviceUntil: 1300 * time.Millisecond}, fakeLeases{}, 0)
+	expectOrders(t, fakeFleet{recommendFrom: time.Second, recommendUntil: 1300 * time.Millisecond}, fakeLeases{}, 0)
 }
 func TestSpacesOrders(t *testing.T) {
-	expectOrders(t, fakeFleet{adviceUntil: time.Hour}, fakeLeases{}, 6)
+	expectOrders(t, fakeFleet{recommendUntil: time.Hour}, fakeLeases{}, 6)
 }
 func TestNoOrdersWhileOtherBoxHoldsLease(t *testing.T) {
-	expectOrders(t, fakeFleet{adviceUntil: time.Hour}, fakeLeases{err: lease.ErrHeld}, 0)
+	expectOrders(t, fakeFleet{recommendUntil: time.Hour}, fakeLeases{err: lease.ErrHeld}, 0)
 }
 func TestPausedHolder(t *testing.T) {
-	expectOrders(t, fakeFleet{adviceUntil: 5 * time.Second}, fakeLeases{delay: 2 * time.Second}, 0)
+	expectOrders(t, fakeFleet{recommendUntil: 5 * time.Second}, fakeLeases{delay: 2 * time.Second}, 0)
 }
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -166,8 +166,8 @@
 
 func (e *Engine) advance(s *stream) {
 	s.mu.Lock()
-	silent := s.fault.Kind == StopGenerating && s.generated >= s.fault.After
-	if !silent && s.generated < s.maxTokens {
+	unresponsive := s.fault.Kind == StopGenerating && s.generated >= s.fault.After
+	if !unresponsive && s.generated < s.maxTokens {
 		s.generated++
 	}
 	finished := s.generated >= s.maxTokens
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -34,13 +34,13 @@
 	// SuspectedCrashes counts calls during which an endpoint is suspected to have crashed.
 	SuspectedCrashes *metrics.Counter
 	Aborts           *metrics.Counter
-	// LimitNotices and LimitsLifted count changes of the limits that endpoints state in their answers, LeavingSeen
-	// and RestsAsked their notices of leaving and of pauses, and NoticesUnread notices that cannot be parsed.
+	// LimitNotices and LimitLiftedNotices count changes of the limits that endpoints state in their answers, LeavingNotices
+	// and PauseNotices their notices of leaving and of pauses, and MalformedNotices notices that cannot be parsed.
 	LimitNotices, LimitLiftedNotices, LeavingNotices, PauseNotices, MalformedNotices *metrics.Counter
 	// WidenedSubsets counts how often the box took more endpoints of a service into account.
 	WidenedSubsets *metrics.Counter
 	AbortsLost     *metrics.Counter
-	Crossed        *metrics.Counter
+	ForeignChunks  *metrics.Counter
 	Repeated       *metrics.Counter
 	PrefillTokens  *metrics.Counter
 	OutputTokens   *metrics.Counter
@@ -84,7 +84,7 @@
 		MalformedNotices:    s.NewCounter(`stoatramp_endpoint_notices_total{notice="unread"}`),
 		WidenedSubsets:      s.NewCounter("stoatramp_circles_widened_total"),
 		AbortsLost:          s.NewCounter("stoatramp_aborts_lost_total"),
-		Crossed:             s.NewCounter(`stoatramp_dropped_chunks_total{cause="crossed"}`),
+		ForeignChunks:       s.NewCounter(`stoatramp_dropped_chunks_total{cause="crossed"}`),
 		Repeated:            s.NewCounter(`stoatramp_dropped_chunks_total{cause="repeated"}`),
 		PrefillTokens:       s.NewCounter("stoatramp_prefill_tokens_total"),
 		OutputTokens:        s.NewCounter("stoatramp_output_tokens_total"),
