--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,5 +1,5 @@
 // Package account tracks each request: what was decided about it, on which inputs and how
-// old these were. An Account becomes a decision record, which `stoatramp why` explains, and
+// old these were. A Trace becomes a decision record, which `stoatramp why` explains, and
 // lines of the decision log. Both gateway and relay use it. It has nothing to do with client accounts.
 package account
 
@@ -14,7 +14,7 @@
 // Sink receives finished records. Add must not block.
 type Sink interface{ Add(r *record.Record) }
 
-// Recorder collects the Accounts of a box.
+// Recorder creates and collects the Traces of a box.
 type Recorder struct {
 	// Records keeps the newest records in memory; Archive also receives each record.
 	Records *record.Ring
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -20,7 +20,7 @@
 
 func (noArchive) Add(*record.Record) {}
 
-// newRecorder returns a book that logs up to rate requests per second to the buffer.
+// newRecorder returns a recorder that logs up to rate requests per second to the buffer.
 func newRecorder(rate float64) (*Recorder, *bytes.Buffer) {
 	var out bytes.Buffer
 	m := telemetry.NewMetrics()
--- a/internal/box/probe.go
+++ b/internal/box/probe.go
@@ -36,8 +36,8 @@
 	role       config.Role
 	lastReport time.Time // When the last report arrived or the last probe was sent.
 	// nextEvent is the next cache event to request, and eventsAskedAt when events were last requested.
-	nextEvent     int64
-	eventsAskedAt time.Time
+	nextEvent      int64
+	eventsPolledAt time.Time
 }
 
 func newProber(c *engine.Client, gw *gateway.Gateway) *prober {
@@ -134,7 +134,7 @@
 		if e.role != config.RolePrefill {
 			return nil
 		}
-		return &e.eventsAskedAt
+		return &e.eventsPolledAt
 	})
 }
 
--- a/internal/box/relay.go
+++ b/internal/box/relay.go
@@ -43,7 +43,7 @@
 type Site struct {
 	Protocol relay.Protocol
 	// Operator and Endpoints are the tables of the operator's documents and of the
-	// endpoints. Config and Endpoint parse their rows, and Evacuated returns the data halls
+	// endpoints. ParseConfig and ParseEndpoint parse their rows, and EvacuatedHalls returns the data halls
 	// that the operator's documents close to new requests.
 	Operator       follow.Source
 	Endpoints      follow.Source
@@ -51,11 +51,11 @@
 	EvacuatedHalls func(rows map[string][]byte) []string
 	ParseEndpoint  func(key string, text []byte) (relay.Endpoint, error)
 	// Shared is the table of the shared configuration: policies and operators.
-	// SharedChanges follows its changes, and Versioned parses its rows.
+	// SharedChanges follows its changes, and ParseVersioned parses its rows.
 	Shared         SharedTable
 	SharedChanges  follow.Source
 	ParseVersioned func(key string, text []byte) (platform.Row, error)
-	// Members is the table in which boxes register themselves, and Register writes it.
+	// Members is the table in which boxes register themselves, and MemberTable writes it.
 	Members     follow.Source
 	MemberTable overlay.Register
 	// Objects stores the decision records.
@@ -64,7 +64,8 @@
 	Leases lease.Rows
 	// Learned is the table in which boxes share what they learned about engines.
 	Learned lease.Rows
-	// SuspectedCrashes is the table of requests under which endpoints are suspected to have crashed; SuspectedCrashChanges follows it.
+	// SuspectedCrashes is the table of requests under which endpoints are suspected to have crashed;
+	// SuspectedCrashChanges follows it.
 	SuspectedCrashes      quarantine.Table
 	SuspectedCrashChanges follow.Source
 	// WatchEras calls rose with each new era of the store: every era after the first means that the store was
@@ -321,7 +322,7 @@
 // shareInterval is the time between checks of how many other boxes there are.
 const shareInterval = time.Second
 
-// runShare has the box coordinate with the other boxes while it hears from them, and act alone otherwise. It also
+// runShare has the box coordinate with the other boxes while it receives their messages, and act alone otherwise. It also
 // sets the box's share of the retries that the platform allows.
 func (b *RelayBox) runShare() {
 	for b.ctx.Err() == nil {
--- a/internal/box/relay_follow.go
+++ b/internal/box/relay_follow.go
@@ -134,7 +134,7 @@
 		Seeds:         cfg.Seeds,
 		Room:          func(r overlay.Room) bool { return b.Relay.HasRoom(r) },
 		Limits:        b.quotaPool,
-		OnMessage:     func(f overlay.Message) { b.Relay.Receive(f) },
+		OnMessage:     func(msg overlay.Message) { b.Relay.Receive(msg) },
 		OnStateChange: b.recorder.Log.StateChange,
 		Metrics:       b.Metrics.Set,
 	})
--- a/internal/box/restored_test.go
+++ b/internal/box/restored_test.go
@@ -63,7 +63,7 @@
 	got := map[string]string{}
 	table := x.box.tables[tableEndpoints]
 	table.Reapply(func() {})
-	table.Reapply(func() { // Again holds the table's lock, as for applyList.
+	table.Reapply(func() { // Reapply holds the table's lock, as for applyList.
 		for _, e := range usable(x.box.listed) {
 			got[e.ID] = map[bool]string{true: "leaving", false: "ready"}[e.Leaving]
 		}
--- a/internal/decide/advise.go
+++ b/internal/decide/advise.go
@@ -28,7 +28,7 @@
 	// so many of a role. The other engines must take over their work meanwhile.
 	busyChangeDivisor = 4
 	// stableFor is how long no engine must have been added or removed: when a fleet starts or its
-	// list is read again, engines appear one by one, and a partial list gives wrong advice.
+	// list is read again, engines appear one by one, and a partial list gives wrong recommendations.
 	stableFor = 1500 * time.Millisecond
 	// defaultWorkRatio is the ratio of a request's work on a decode engine to that on a prefill
 	// engine before any requests are observed. On real deployments it is 2.8 to 3.4
@@ -89,7 +89,7 @@
 			continue
 		}
 		for _, region := range p.regionNames() {
-			if a, ok := p.advise(region, c.now); ok {
+			if a, ok := p.recommendRoleChange(region, c.now); ok {
 				return a, true
 			}
 		}
@@ -106,7 +106,7 @@
 	return out
 }
 
-func (p *pool) advise(region string, now time.Time) (RoleChange, bool) {
+func (p *pool) recommendRoleChange(region string, now time.Time) (RoleChange, bool) {
 	g := p.in(region)
 	prefills, decodes := notLeaving(g.prefill), notLeaving(g.decode)
 	if len(prefills) == 0 && len(decodes) > 1 {
--- a/internal/decide/advise_test.go
+++ b/internal/decide/advise_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// While engines are still being listed there is no advice, since the list is incomplete.
+// While engines are still being listed there is no recommendation, since the list is incomplete.
 func TestAdviseGrowingList(t *testing.T) {
 	c := newPoolCore(4, 5, 0)
 	c.now = c.pools["p"].changedAt.Add(stableFor - time.Millisecond)
@@ -93,7 +93,7 @@
 func TestAdviseRemoteRequestsOnly(t *testing.T) {
 	c := newPoolCore(2, 7, 0)
 	for range 100 * defaultRatioWeight {
-		c.pools["p"].observeRemote(RemotePlacement{At: c.now, Prompt: 5000, KV: 9400})
+		c.pools["p"].observeRemote(RemotePlacement{At: c.now, PromptTokens: 5000, KV: 9400})
 	}
 	if a, ok := c.RecommendRoleChange(); ok {
 		t.Errorf("expected no advice, got %+v", a)
--- a/internal/decide/core.go
+++ b/internal/decide/core.go
@@ -139,8 +139,8 @@
 
 // expectedOutput is the expected length of the answer, in tokens.
 func (f *flight) expectedOutput() int {
-	if f.ExpectTokens > 0 {
-		return f.ExpectTokens
+	if f.ExpectedTokens > 0 {
+		return f.ExpectedTokens
 	}
 	return f.MaxTokens
 }
--- a/internal/decide/grant.go
+++ b/internal/decide/grant.go
@@ -20,6 +20,6 @@
 	if !e.hasRoom(p, f, now) || f.kvNeed() >= e.refusedKV && now.Before(e.refusedKVUntil) {
 		return false
 	}
-	e.addRemotePlacement(RemotePlacement{Engine: engine, At: now, KV: f.PromptTokens + f.expectedOutput(), Prompt: f.PromptTokens, OutputReserve: f.OutputReserve})
+	e.addRemotePlacement(RemotePlacement{Engine: engine, At: now, KV: f.PromptTokens + f.expectedOutput(), PromptTokens: f.PromptTokens, OutputReserve: f.OutputReserve})
 	return true
 }
--- a/internal/decide/grant_test.go
+++ b/internal/decide/grant_test.go
@@ -20,7 +20,7 @@
 
 // streamRequest is a stream with a prompt of the given length that an engine is asked to take.
 func streamRequest(prompt int) Request {
-	return Request{PromptTokens: prompt, MaxTokens: 4000, ExpectTokens: 4400, OutputReserve: 512}
+	return Request{PromptTokens: prompt, MaxTokens: 4000, ExpectedTokens: 4400, OutputReserve: 512}
 }
 
 // countGrants counts how many of the given number of boxes that ask at the same time are granted room.
--- a/internal/decide/learned.go
+++ b/internal/decide/learned.go
@@ -6,8 +6,8 @@
 type Estimates struct {
 	Pool string
 	Speed
-	// Prompt, Read and Output are the mean lengths of prompts, of their uncached parts and of
-	// answers, in tokens. Gap is the target between tokens.
+	// Prompt, UncachedPrompt and Output are the mean lengths of prompts, of their uncached parts and of
+	// answers, in tokens. TokenTarget is the target between tokens.
 	Prompt, UncachedPrompt, Output float64
 	TokenTarget                    time.Duration
 	// Requests is how many requests the estimates are based on.
--- a/internal/decide/ledger.go
+++ b/internal/decide/ledger.go
@@ -189,7 +189,7 @@
 	if e.reported && !s.At.After(e.report.At) {
 		return
 	}
-	w := placement{at: s.At, tokens: s.Tokens, reservation: reservation{s.KV, s.Prompt, s.OutputReserve, s.KV - s.Prompt}}
+	w := placement{at: s.At, tokens: s.Tokens, reservation: reservation{s.KV, s.PromptTokens, s.OutputReserve, s.KV - s.PromptTokens}}
 	if s.KV > 0 {
 		w.streams = 1
 	}
--- a/internal/decide/memory.go
+++ b/internal/decide/memory.go
@@ -206,5 +206,5 @@
 
 // observeRemote records the lengths of a request that another box sent to an engine.
 func (l *requestLengths) observeRemote(ev RemotePlacement) {
-	l.observe(ev.At, ev.Prompt, ev.Prompt, ev.KV-ev.Prompt, l.tokenTarget)
+	l.observe(ev.At, ev.PromptTokens, ev.PromptTokens, ev.KV-ev.PromptTokens, l.tokenTarget)
 }
--- a/internal/decide/memory_test.go
+++ b/internal/decide/memory_test.go
@@ -18,7 +18,7 @@
 	}
 	e.report.FreeKV = e.KVTokens - runs*tokens
 	p := &pool{requestLengths: requestLengths{meanOutput: 4400}}
-	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 4000, ExpectTokens: 4400}}
+	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 4000, ExpectedTokens: 4400}}
 	if got := !e.hasRoom(p, f, now); got != want {
 		t.Errorf("%d streams of %d tokens, %d generated, report %s old: expected %t, got %t", runs, tokens, made, age, want, got)
 	}
@@ -36,7 +36,7 @@
 func TestOverflowReportAge(t *testing.T) {
 	now := time.Now()
 	p := &pool{requestLengths: requestLengths{meanOutput: 4400}}
-	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 4000, ExpectTokens: 4400}}
+	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 4000, ExpectedTokens: 4400}}
 	room := func(age time.Duration, runs ...StreamLoad) bool {
 		e := &engine{Engine: Engine{KVTokens: 63000, Step: time.Millisecond}, reported: true}
 		e.report = LoadReport{At: now.Add(-age), Runs: runs, FreeKV: e.KVTokens}
@@ -69,7 +69,7 @@
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 63000, Slots: 3, Step: time.Millisecond}, reported: true}
 	e.report = LoadReport{At: now, Runs: []StreamLoad{{1000, 10}, {1000, 10}, {1000, 10}}, FreeKV: 60000}
-	f := &flight{Request: Request{PromptTokens: 1000, MaxTokens: 1000, ExpectTokens: 1000}}
+	f := &flight{Request: Request{PromptTokens: 1000, MaxTokens: 1000, ExpectedTokens: 1000}}
 	if e.hasRoom(&pool{requestLengths: requestLengths{meanOutput: 4400}}, f, now) {
 		t.Error("expected no room for a fourth stream in three slots")
 	}
@@ -80,7 +80,7 @@
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 63000}, reported: true}
 	e.report = LoadReport{At: now, Runs: []StreamLoad{{Tokens: 5000}}, FreeKV: 4000}
-	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 0, ExpectTokens: 4400}}
+	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 0, ExpectedTokens: 4400}}
 	if e.hasRoom(&pool{requestLengths: requestLengths{meanOutput: 4400}}, f, now) {
 		t.Error("expected 54,000 reserved tokens to count as used")
 	}
@@ -102,7 +102,7 @@
 		s.step(LoadReport{Engine: "b", At: s.now, FreeKV: 20000, Streams: 10, Runs: begun})
 		s.step(LoadReport{Engine: "c", At: s.now, FreeKV: 20000, Streams: 10, Runs: ending})
 		s.step(Submit{Request: Request{
-			ID: 1, Pool: "p", Region: "r", PromptTokens: 4000, MaxTokens: 4400, ExpectTokens: 4400,
+			ID: 1, Pool: "p", Region: "r", PromptTokens: 4000, MaxTokens: 4400, ExpectedTokens: 4400,
 			FirstToken: time.Second, BetweenTokens: 20 * time.Millisecond, Repeatable: true,
 		}})
 		s.expectStarted(1)
@@ -122,7 +122,7 @@
 	for i := range 6 {
 		e.report.Runs = append(e.report.Runs, StreamLoad{Tokens: 3500 + 60*i, Output: 20 + 60*i})
 	}
-	f := &flight{Request: Request{PromptTokens: 3000, MaxTokens: 640, OutputReserve: 75, ExpectTokens: 550}}
+	f := &flight{Request: Request{PromptTokens: 3000, MaxTokens: 640, OutputReserve: 75, ExpectedTokens: 550}}
 	if !e.hasRoom(&pool{requestLengths: requestLengths{meanOutput: 640}}, f, now) {
 		t.Error("expected room for a seventh stream")
 	}
--- a/internal/decide/migrate.go
+++ b/internal/decide/migrate.go
@@ -136,7 +136,7 @@
 	remaining := &flight{Request: f.Request, pool: p}
 	remaining.PromptTokens += f.outputSoFar(c.now)
 	remaining.MaxTokens = min(f.MaxTokens, f.outputLeft(c.now))
-	remaining.ExpectTokens, remaining.MaxEngines, remaining.Policy = remaining.MaxTokens, 0, nil
+	remaining.ExpectedTokens, remaining.MaxEngines, remaining.Policy = remaining.MaxTokens, 0, nil
 	var excluded Exclusions
 	c.findDecodeOptions(p, remaining, c.now, &excluded)
 	var to *engine
--- a/internal/decide/migrate_test.go
+++ b/internal/decide/migrate_test.go
@@ -19,7 +19,7 @@
 	s.updateFleet("")
 	s.step(LoadReport{Engine: "b", At: s.now, FreeKV: 100000, Runs: []StreamLoad{}})
 	s.step(Submit{Request: Request{
-		ID: 1, Pool: "p", Region: "r", PromptTokens: 5000, MaxTokens: 5000, ExpectTokens: 4400,
+		ID: 1, Pool: "p", Region: "r", PromptTokens: 5000, MaxTokens: 5000, ExpectedTokens: 4400,
 		FirstToken: time.Second, BetweenTokens: 20 * time.Millisecond,
 	}})
 	s.step(PrefillDone{ID: 1, Attempt: 1, Expires: s.now.Add(time.Second)})
--- a/internal/decide/speed.go
+++ b/internal/decide/speed.go
@@ -24,7 +24,7 @@
 
 // Timing is the time that one request took on engines. Values that were not observed are 0.
 type Timing struct {
-	// PrefillTokens were prefilled by a prefill engine in Read: those of the prompt, and those
+	// PrefillTokens were prefilled by a prefill engine in PrefillTime: those of the prompt, and those
 	// that were known to be queued ahead of it.
 	PrefillTokens   int
 	PrefillTime     time.Duration
--- a/internal/decide/types.go
+++ b/internal/decide/types.go
@@ -45,8 +45,8 @@
 	MaxTokens int
 	// OutputReserve is how many answer tokens must fit in free memory for decoding to begin; 0 stands for MaxTokens.
 	OutputReserve int
-	// ExpectTokens is the expected length of the answer; 0 stands for MaxTokens.
-	ExpectTokens int
+	// ExpectedTokens is the expected length of the answer; 0 stands for MaxTokens.
+	ExpectedTokens int
 	// Blocks are chained hashes of the prompt's leading blocks: Blocks[i] stands
 	// for blocks 0 to i, so two prompts share it only if they share the whole prefix.
 	Blocks []uint64
@@ -252,10 +252,10 @@
 	Engine string
 	At     time.Time
 	// Tokens are to be prefilled by a prefill engine. KV is the memory that the request takes of
-	// a decode engine; Prompt is the part taken from the start, and Ahead is reserved with it.
+	// a decode engine; Prompt is the part taken from the start, and OutputReserve is reserved with it.
 	Tokens        int
 	KV            int
-	Prompt        int
+	PromptTokens  int
 	OutputReserve int
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -42,7 +42,7 @@
 // Call is the dispatcher's state of one request.
 type Call struct {
 	requestID string
-	// Wake has an entry while Take has something to return.
+	// Wake has an entry while TakeActions has something to return.
 	Wake chan struct{}
 
 	mu      sync.Mutex
--- a/internal/follow/feed.go
+++ b/internal/follow/feed.go
@@ -234,7 +234,7 @@
 	return t.o.Wait, t.o.Pause
 }
 
-// Reapply runs first and then calls Apply with the unchanged table, for an Apply whose result depends
+// Reapply runs first and then calls OnChange with the unchanged table, for an OnChange whose result depends
 // on more than the rows, such as the time.
 func (t *Table) Reapply(first func()) {
 	t.mu.Lock()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -59,7 +59,7 @@
 	// receive updates from another one by then.
 	SettleDelay time.Duration
 	// FirstReadDelay is for how long the first read is delayed, so that another box can send the table, and
-	// First reports that none will.
+	// NoUpstreamExpected reports that none will.
 	FirstReadDelay     time.Duration
 	NoUpstreamExpected func() bool
 }
@@ -109,7 +109,7 @@
 	src Source
 	o   Options
 
-	// mu guards the fields below up to delegation, and is held while Apply is called.
+	// mu guards the fields below up to delegation, and is held while OnChange is called.
 	mu sync.Mutex
 	// rows is the table as of ver; nil before it was read whole.
 	rows map[string][]byte
@@ -124,11 +124,11 @@
 	OnChange func(rows map[string][]byte)
 	// Fresh is kept up to date; New sets it, and it may be replaced before Run.
 	Fresh *Freshness
-	// OnRestored is called when the store was restored from an older copy, right before Apply is called with its
+	// OnRestored is called when the store was restored from an older copy, right before OnChange is called with its
 	// rows: some that were known may be missing or older until their writers have written them again. It may be
 	// nil.
 	OnRestored func(era int64)
-	// OnLost is called when the store stops answering, and Back with the time that it did not answer
+	// OnLost is called when the store stops answering, and OnRecovered with the time that it did not answer
 	// when it answers again; they may be nil.
 	OnLost      func(error)
 	OnRecovered func(away time.Duration)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -142,8 +142,8 @@
 
 // outage is a store that answers only outside of an outage, and counts its calls.
 type outage struct {
-	from, to time.Time
-	silent   bool
+	from, to     time.Time
+	unresponsive bool
 
 	mu     sync.Mutex
 	during int
@@ -155,13 +155,13 @@
 		o.mu.Lock()
 		o.during++
 		o.mu.Unlock()
-		if !o.silent {
+		if !o.unresponsive {
 			return errDown
 		}
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	if end := now.Add(wait); o.silent && end.After(o.from) && now.Before(o.from) {
+	if end := now.Add(wait); o.unresponsive && end.After(o.from) && now.Before(o.from) {
 		<-ctx.Done() // Calls in progress when the store falls silent are lost.
 		return ctx.Err()
 	}
@@ -194,11 +194,11 @@
 // expectOutage has three tables share a link through an outage; the calls of two wait for
 // 2 s and those of the third for 8 s. It expects a maximum number of calls meanwhile, and each
 // table to recover within a time.
-func expectOutage(t *testing.T, silent bool, lasts time.Duration, calls int, within time.Duration) {
+func expectOutage(t *testing.T, unresponsive bool, lasts time.Duration, calls int, within time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		o := &outage{from: start.Add(10 * time.Second), to: start.Add(10*time.Second + lasts), silent: silent}
+		o := &outage{from: start.Add(10 * time.Second), to: start.Add(10*time.Second + lasts), unresponsive: unresponsive}
 		ctx, cancel := context.WithTimeout(context.Background(), lasts+20*time.Second)
 		defer cancel()
 		link := &Link{}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -15,7 +15,7 @@
 	closed  bool
 	active  sync.WaitGroup
 	running atomic.Int64
-	// busy are the channels that Busy returned.
+	// busy are the channels that NotifyBusy returned.
 	busy []chan struct{}
 }
 
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -203,7 +203,7 @@
 		}
 	}
 	if s, ok := record.NewStep(a); ok {
-		f.x.acc.Step(s)
+		f.x.trace.Step(s)
 	}
 }
 
@@ -221,7 +221,7 @@
 	case ev.resumed != nil:
 		f.x.g.m.Resumes.Inc()
 		f.x.g.m.CountRetry(ev.resumed.Reason)
-		f.x.acc.Step(record.Step{Kind: record.StepResume, Decode: f.decodeEngine, Reason: ev.resumed.Reason})
+		f.x.trace.Step(record.Step{Kind: record.StepResume, Decode: f.decodeEngine, Reason: ev.resumed.Reason})
 	case ev.chunk != nil:
 		return f.handleChunk(ev)
 	case ev.done:
@@ -246,7 +246,7 @@
 	}
 	f.kv = ev.prefill.KV
 	f.x.g.m.PrefillTokens.Add(u.PromptTokens - cached)
-	f.x.acc.Step(record.Step{Kind: record.StepPrefillDone, Prefill: f.lastPrefillEngine(), Tokens: cached})
+	f.x.trace.Step(record.Step{Kind: record.StepPrefillDone, Prefill: f.lastPrefillEngine(), Tokens: cached})
 	f.x.g.disp.Step(decide.PrefillDone{
 		ID: f.id, Attempt: ev.attempt, Cached: cached,
 		Expires: clock.Now().Add(time.Duration(ev.prefill.KV.ExpiresMS) * time.Millisecond),
@@ -283,7 +283,7 @@
 		f.firstTokenAt = now
 		f.x.rec.FirstToken = now.Sub(f.x.arrived)
 		f.x.g.m.FirstToken.Update(f.x.rec.FirstToken.Seconds())
-		f.x.acc.Step(record.Step{Kind: record.StepFirst, Decode: f.decodeEngine})
+		f.x.trace.Step(record.Step{Kind: record.StepFirst, Decode: f.decodeEngine})
 	} else if ev.chunk.HasChoices {
 		gap := now.Sub(f.lastTokenAt)
 		f.x.g.m.BetweenTokens.Update(gap.Seconds())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,7 +87,7 @@
 	Engines *engine.Client
 	Claims  *claim.Claims
 	Limits  *limit.Table
-	// Recorder opens the account of each request.
+	// Recorder opens the trace of each request.
 	Recorder *account.Recorder
 	Log      *zap.Logger
 }
@@ -197,8 +197,8 @@
 	r        *http.Request
 	snapshot *configSnapshot
 	client   *config.Client
-	// acc is the account of the request; rec is the record in it.
-	acc     *account.Trace
+	// trace is the account of the request; rec is the record in it.
+	trace   *account.Trace
 	rec     *record.Record
 	arrived time.Time
 	// responseStarted is set once any byte of a response was written; from then on a
@@ -217,7 +217,7 @@
 		snapshot:   g.snapshot.Load(),
 		arrived:    clock.Now(),
 		repeatable: true,
-		acc:        g.recorder.Open(rec),
+		trace:      g.recorder.Open(rec),
 		rec:        rec,
 	}
 }
@@ -342,7 +342,7 @@
 		}
 		cancel()
 	}
-	x.acc.Close(o)
+	x.trace.Close(o)
 }
 
 // writeErrorOutcome returns the outcome of a request whose response could not be written to the caller.
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -135,14 +135,14 @@
 			break
 		}
 		tried = append(tried, e.Name)
-		x.acc.Step(record.Step{Kind: record.StepEndpoint, Decode: e.Name})
+		x.trace.Step(record.Step{Kind: record.StepEndpoint, Decode: e.Name})
 		resp, maybeSent, err := x.callEndpoint(ctx, e, load)
 		if err == nil {
 			return resp, outcome.Outcome{}
 		}
 		ran = ran || maybeSent
 		o = plainFailure(x.r.Context(), ctx, ran, maybeSent)
-		x.acc.Step(record.Step{Kind: record.StepFailed, Decode: e.Name, Reason: o.Reason})
+		x.trace.Step(record.Step{Kind: record.StepFailed, Decode: e.Name, Reason: o.Reason})
 		bodyless := x.r.ContentLength == 0
 		if x.r.Context().Err() != nil || maybeSent && !(x.repeatable && bodyless) {
 			break
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -72,7 +72,7 @@
 	Rows   Rows
 	Key    string
 	Holder string
-	// Length is how long no other box can acquire the lease, and Use the part of that time, from the
+	// Length is how long no other box can acquire the lease, and UsableFor the part of that time, from the
 	// start, in which orders may be sent. Use is well below Length.
 	Length    time.Duration
 	UsableFor time.Duration
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -23,7 +23,7 @@
 	// Leaving says that the endpoint will shut down and accepts no new requests.
 	Leaving bool
 	// Pause is how long the endpoint, which rejected a request, wants no further requests from this box; 0 if it
-	// asks for no rest.
+	// asks for no pause.
 	Pause time.Duration
 	// Malformed describes a malformed part of the header; empty if there is none. What the endpoint announced before
 	// still applies.
@@ -58,8 +58,8 @@
 	LimitAnnounced
 	LimitRepeated
 	LimitLifted
-	// LeavingAnnounced means that the endpoint announced for the first time that it leaves, and PauseRequested a pause that ends
-	// later than the last one.
+	// LeavingAnnounced means that the endpoint announced for the first time that it leaves, and PauseRequested a pause that
+	// ends later than the last one.
 	LeavingAnnounced
 	PauseRequested
 	// MalformedNotice means a malformed notice that differs from the last one reported.
@@ -197,7 +197,7 @@
 	return e != nil && e.leaving
 }
 
-// IsPaused reports whether an endpoint has asked this box for a rest that is not over.
+// IsPaused reports whether an endpoint has asked this box for a pause that is not over.
 func (t *Table) IsPaused(id string, now time.Time) bool {
 	if t.numEndpoints.Load() == 0 {
 		return false
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -89,12 +89,12 @@
 	expectChanges(t, []Answer{leaves, leaves, answerAt(2, 0)}, LeavingAnnounced, 0, 0)
 }
 
-// A rest ends at the latest requested time: each response that asked for one still applies.
+// A pause ends at the latest requested time: each response that asked for one still applies.
 func TestRestIsExtendedNotShortened(t *testing.T) {
-	restAnswer := func(at float64, rest time.Duration) Answer {
+	pauseAnswer := func(at float64, rest time.Duration) Answer {
 		return Answer{Endpoint: "e", Sent: timeAt(at), Notice: Notice{Pause: rest}}
 	}
-	expectChanges(t, []Answer{restAnswer(0, 3*time.Second), restAnswer(1, time.Second), restAnswer(2, 3*time.Second), restAnswer(3, 0)},
+	expectChanges(t, []Answer{pauseAnswer(0, 3*time.Second), pauseAnswer(1, time.Second), pauseAnswer(2, 3*time.Second), pauseAnswer(3, 0)},
 		PauseRequested, 0, PauseRequested, 0)
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// If an endpoint announces a limit and asks for rest, both apply.
+// If an endpoint announces a limit and asks for a pause, both apply.
 func TestRestHoldsWithinTheLimit(t *testing.T) {
 	answer := answerAt(1, 100)
 	answer.Notice.Pause = 10 * time.Second
--- a/internal/overlay/fact.go
+++ b/internal/overlay/fact.go
@@ -53,7 +53,7 @@
 // StreamTiming reports how long a stream took at the engines of a pool. What was not observed is 0.
 type StreamTiming struct {
 	Pool string
-	// PrefillTokens were prefilled in Read, those of prompts queued before it included.
+	// PrefillTokens were prefilled in PrefillTime, those of prompts queued before it included.
 	PrefillTokens int
 	PrefillTime   time.Duration
 	// FirstEventDelay is the time from the request to the decode engine until the first event, and Step
@@ -94,7 +94,7 @@
 
 // StreamPlaced reports that a box sends a stream to engines.
 type StreamPlaced struct {
-	PrefillEngine string // Empty if the writer prefills the prompt itself.
+	PrefillEngine string // Empty if the decode engine prefills the prompt itself.
 	PrefillTokens int
 	DecodeEngine  string
 	KVTokens      int // KV cache that the stream is expected to use,
@@ -107,26 +107,26 @@
 }
 
 // encode encodes a message that is sent at a time; the node fills in the sender's fields.
-func (f *Message) encode(now time.Time) *v1.Fact {
-	out := &v1.Fact{AgeMs: max(0, now.Sub(f.At).Milliseconds())}
+func (msg *Message) encode(now time.Time) *v1.Fact {
+	out := &v1.Fact{AgeMs: max(0, now.Sub(msg.At).Milliseconds())}
 	switch {
-	case f.Load != nil:
-		out.Kind = &v1.Fact_Load{Load: f.Load.encode()}
-	case f.Refused != nil:
-		out.Kind = &v1.Fact_Refused{Refused: &v1.EngineRefused{Engine: f.Refused.Engine}}
-	case f.Placed != nil:
+	case msg.Load != nil:
+		out.Kind = &v1.Fact_Load{Load: msg.Load.encode()}
+	case msg.Refused != nil:
+		out.Kind = &v1.Fact_Refused{Refused: &v1.EngineRefused{Engine: msg.Refused.Engine}}
+	case msg.Placed != nil:
 		out.Kind = &v1.Fact_Placed{Placed: &v1.EnginePlaced{
-			Reader: f.Placed.PrefillEngine, ReadTokens: int32(f.Placed.PrefillTokens), Writer: f.Placed.DecodeEngine, KvTokens: int32(f.Placed.KVTokens), PromptTokens: int32(f.Placed.PromptTokens), AheadTokens: int32(f.Placed.OutputReserve),
-			Home: f.Placed.Owner, Service: f.Placed.Service,
+			Reader: msg.Placed.PrefillEngine, ReadTokens: int32(msg.Placed.PrefillTokens), Writer: msg.Placed.DecodeEngine, KvTokens: int32(msg.Placed.KVTokens), PromptTokens: int32(msg.Placed.PromptTokens), AheadTokens: int32(msg.Placed.OutputReserve),
+			Home: msg.Placed.Owner, Service: msg.Placed.Service,
 		}}
-	case f.Ended != nil:
-		out.Kind = &v1.Fact_Ended{Ended: &v1.StreamEnded{Engine: f.Ended.Engine, Tokens: int32(f.Ended.Tokens)}}
-	case f.Timing != nil:
-		out.Kind = &v1.Fact_Took{Took: f.Timing.encode()}
-	case f.Notice != nil:
-		out.Kind = &v1.Fact_Notice{Notice: &v1.EndpointNotice{Endpoint: f.Notice.Endpoint, Limit: f.Notice.Limit, Leaving: f.Notice.Leaving, Ran: f.Notice.Completed}}
-	case f.Waiting != nil:
-		out.Kind = &v1.Fact_Waiting{Waiting: &v1.StreamsWaiting{N: int32(f.Waiting.Streams)}}
+	case msg.Ended != nil:
+		out.Kind = &v1.Fact_Ended{Ended: &v1.StreamEnded{Engine: msg.Ended.Engine, Tokens: int32(msg.Ended.Tokens)}}
+	case msg.Timing != nil:
+		out.Kind = &v1.Fact_Took{Took: msg.Timing.encode()}
+	case msg.Notice != nil:
+		out.Kind = &v1.Fact_Notice{Notice: &v1.EndpointNotice{Endpoint: msg.Notice.Endpoint, Limit: msg.Notice.Limit, Leaving: msg.Notice.Leaving, Ran: msg.Notice.Completed}}
+	case msg.Waiting != nil:
+		out.Kind = &v1.Fact_Waiting{Waiting: &v1.StreamsWaiting{N: int32(msg.Waiting.Streams)}}
 	}
 	return out
 }
@@ -164,33 +164,33 @@
 
 // decode decodes a message that arrived at a time; ok is false for one of an unknown kind, or with
 // values out of bounds.
-func decode(m *v1.Fact, now time.Time) (f Message, ok bool) {
+func decode(m *v1.Fact, now time.Time) (msg Message, ok bool) {
 	age := time.Duration(m.AgeMs) * time.Millisecond
 	if age < 0 || age > maxMessageAge {
-		return f, false
+		return msg, false
 	}
-	f.At, f.Box = now.Add(-age), m.Box
+	msg.At, msg.Box = now.Add(-age), m.Box
 	switch k := m.Kind.(type) {
 	case *v1.Fact_Load:
-		f.Load, ok = decodeLoad(k.Load)
+		msg.Load, ok = decodeLoad(k.Load)
 	case *v1.Fact_Refused:
-		f.Refused, ok = &PrefillRefused{k.Refused.GetEngine()}, k.Refused.GetEngine() != ""
+		msg.Refused, ok = &PrefillRefused{k.Refused.GetEngine()}, k.Refused.GetEngine() != ""
 	case *v1.Fact_Placed:
 		p := k.Placed
 		ok = p.GetWriter() != "" && validTokens(p.GetReadTokens()) && validTokens(p.GetKvTokens()) && validTokens(p.GetPromptTokens()) && validTokens(p.GetAheadTokens())
-		f.Placed = &StreamPlaced{PrefillEngine: p.GetReader(), PrefillTokens: int(p.GetReadTokens()), DecodeEngine: p.GetWriter(), KVTokens: int(p.GetKvTokens()), PromptTokens: int(p.GetPromptTokens()), OutputReserve: int(p.GetAheadTokens()), Owner: p.GetHome(), Service: p.GetService()}
+		msg.Placed = &StreamPlaced{PrefillEngine: p.GetReader(), PrefillTokens: int(p.GetReadTokens()), DecodeEngine: p.GetWriter(), KVTokens: int(p.GetKvTokens()), PromptTokens: int(p.GetPromptTokens()), OutputReserve: int(p.GetAheadTokens()), Owner: p.GetHome(), Service: p.GetService()}
 	case *v1.Fact_Ended:
-		f.Ended, ok = &StreamEnded{k.Ended.GetEngine(), int(k.Ended.GetTokens())}, k.Ended.GetEngine() != "" && validTokens(k.Ended.GetTokens())
+		msg.Ended, ok = &StreamEnded{k.Ended.GetEngine(), int(k.Ended.GetTokens())}, k.Ended.GetEngine() != "" && validTokens(k.Ended.GetTokens())
 	case *v1.Fact_Took:
-		f.Timing, ok = decodeTiming(k.Took)
+		msg.Timing, ok = decodeTiming(k.Took)
 	case *v1.Fact_Notice:
 		n := k.Notice
 		ok = n.GetEndpoint() != "" && n.GetLimit() >= 0 && n.GetLimit() <= maxRequestRate // NaN fails both comparisons.
-		f.Notice = &Notice{Endpoint: n.GetEndpoint(), Limit: n.GetLimit(), Leaving: n.GetLeaving(), Completed: n.GetRan()}
+		msg.Notice = &Notice{Endpoint: n.GetEndpoint(), Limit: n.GetLimit(), Leaving: n.GetLeaving(), Completed: n.GetRan()}
 	case *v1.Fact_Waiting:
-		f.Waiting, ok = &StreamsWaiting{int(k.Waiting.GetN())}, k.Waiting.GetN() >= 0 && k.Waiting.GetN() < maxWaiting
+		msg.Waiting, ok = &StreamsWaiting{int(k.Waiting.GetN())}, k.Waiting.GetN() >= 0 && k.Waiting.GetN() < maxWaiting
 	}
-	return f, ok
+	return msg, ok
 }
 
 func validTokens(n int32) bool { return n >= 0 && n < maxTokens }
--- a/internal/overlay/gossip.go
+++ b/internal/overlay/gossip.go
@@ -64,15 +64,15 @@
 }
 
 // Publish publishes what this box observed.
-func (n *Node) Publish(f Message) {
-	m := f.encode(f.At)
+func (n *Node) Publish(msg Message) {
+	m := msg.encode(msg.At)
 	m.Box, m.Incarnation = n.o.Self.Name, n.o.Self.Incarnation
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.seq++
 	m.Seq = n.seq
 	n.count.published.Inc()
-	n.forward(queuedMessage{m, f.At}, nil, nil)
+	n.forward(queuedMessage{m, msg.At}, nil, nil)
 }
 
 // receive processes a message that came from the upstream or from a follower.
@@ -99,7 +99,7 @@
 	n.o.OnMessage(f)
 }
 
-// forward queues a message for all neighbours but the one it came from. The lock is held.
+// forward queues a message for all peers but the one it came from. The lock is held.
 func (n *Node) forward(f queuedMessage, by *link, from *follower) {
 	if n.upstream != nil && n.upstream != by {
 		n.count.dropped.Add(n.upstream.queue.add(f))
--- a/internal/overlay/link.go
+++ b/internal/overlay/link.go
@@ -50,14 +50,14 @@
 	return resp.Msg, nil
 }
 
-var errSilentUpstream = errors.New("no update received within the silence timeout")
+var errUnresponsiveUpstream = errors.New("no update received within the silence timeout")
 
 // follow receives updates until the upstream falls silent or ends the stream, or better reports
 // that another one should be followed.
 func (l *link) follow(ctx context.Context, better func() bool) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(silenceTimeout, func() { cancel(errSilentUpstream) })
+	watchdog := time.AfterFunc(silenceTimeout, func() { cancel(errUnresponsiveUpstream) })
 	defer watchdog.Stop()
 	req := connect.NewRequest(&v1.FollowRequest{
 		Box: l.n.o.Self.Name, Incarnation: l.n.o.Self.Incarnation, Protocol: protocolVersion, Packed: true,
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -182,14 +182,14 @@
 	return b
 }
 
-func (b *box) onMessage(f Message) {
+func (b *box) onMessage(msg Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if f.Refused != nil {
-		b.received[f.Refused.Engine]++
+	if msg.Refused != nil {
+		b.received[msg.Refused.Engine]++
 	}
-	if f.Omitted != nil {
-		b.omitted[f.Omitted.Service] += f.Omitted.Placed
+	if msg.Omitted != nil {
+		b.omitted[msg.Omitted.Service] += msg.Omitted.Placed
 	}
 }
 
--- a/internal/overlay/owner.go
+++ b/internal/overlay/owner.go
@@ -23,7 +23,7 @@
 type Room struct {
 	Engine       string
 	PromptTokens int
-	// ExpectedTokens is the expected length of the answer, and Most the longest one that is reserved for.
+	// ExpectedTokens is the expected length of the answer, and MaxTokens the longest one that is reserved for.
 	ExpectedTokens int
 	MaxTokens      int
 	// OutputReserve must be free beside the prompt for the answer to begin.
--- a/internal/policy/cases.go
+++ b/internal/policy/cases.go
@@ -114,7 +114,7 @@
 	r := &decide.Request{Client: "lab", Kind: "stream", Pool: "service", Route: "route", PromptTokens: 1000, MaxTokens: 100, FirstToken: 430 * time.Millisecond, Repeatable: true}
 	err := starlark.UnpackArgs("request", args, kwargs, "prompt_tokens?", &r.PromptTokens, "max_tokens?", &r.MaxTokens,
 		"client?", &r.Client, "route?", &r.Route, "first_token?", secondsArg{&r.FirstToken}, "repeatable?", &r.Repeatable,
-		"kind?", &r.Kind, "priority?", &r.Rank, "service?", &r.Pool, "expect_tokens?", &r.ExpectTokens, "came_back?", &r.CallerRetry)
+		"kind?", &r.Kind, "priority?", &r.Rank, "service?", &r.Pool, "expect_tokens?", &r.ExpectedTokens, "came_back?", &r.CallerRetry)
 	return &requestValue{r: r}, err
 }
 
--- a/internal/policy/values.go
+++ b/internal/policy/values.go
@@ -36,7 +36,7 @@
 	case "client":
 		return starlark.String(v.r.Client), nil
 	case "expect_tokens":
-		return starlark.MakeInt(v.r.ExpectTokens), nil
+		return starlark.MakeInt(v.r.ExpectedTokens), nil
 	case "first_token":
 		return secondsValue(v.r.FirstToken), nil
 	case "kind":
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -9,14 +9,14 @@
 //
 // Example: a request that ran for 0.1 s gets 5 bits (the maximum), one that ran for 1 s gets 3.4, and
 // one that ran for 4 s gets 1.6. A long stream that was running at three crashes has 5 bits in total,
-// far below Enough; a request that is restarted each time and crashes its engine within half a
-// second reaches Enough with three.
+// far below ThresholdBits; a request that is restarted each time and crashes its engine within half a
+// second reaches ThresholdBits with three.
 const (
 	// baselineCrashesPerSecond is the crash rate of one endpoint during a bad period: on a recorded day,
 	// at least three of nine engines crashed in each ten seconds because of two requests, which is 0.03
 	// to 0.1 per second.
 	baselineCrashesPerSecond = 0.1
-	// maxCrashBits caps the evidence of one crash so that two never reach Enough: unrelated
+	// maxCrashBits caps the evidence of one crash so that two never reach ThresholdBits: unrelated
 	// endpoints also crash together.
 	maxCrashBits = 5
 	// minCrashBits is the least evidence that is recorded; it corresponds to a run of 2.9 s.
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -95,7 +95,7 @@
 	// rewriteSpread is the time over which boxes write again the crashes that the copy lacks.
 	restorePending bool
 	rewriteSpread  time.Duration
-	// pendingWrites wakes the Keeper.
+	// pendingWrites wakes the TableWriter.
 	pendingWrites chan struct{}
 }
 
@@ -118,7 +118,7 @@
 	Endpoint string `json:"endpoint"`
 	Caller   string `json:"caller"`
 	RanMS    int64  `json:"ran_ms"`
-	Doubt    bool   `json:"doubt,omitempty"`
+	Doubtful bool   `json:"doubt,omitempty"`
 	Try      string `json:"try,omitempty"`
 }
 
@@ -134,7 +134,7 @@
 		return e, false
 	}
 	copy(e.Request[:], raw)
-	e.Endpoint, e.Caller, e.RunTime, e.Doubtful, e.Try = doc.Endpoint, doc.Caller, time.Duration(doc.RanMS)*time.Millisecond, doc.Doubt, doc.Try
+	e.Endpoint, e.Caller, e.RunTime, e.Doubtful, e.Try = doc.Endpoint, doc.Caller, time.Duration(doc.RanMS)*time.Millisecond, doc.Doubtful, doc.Try
 	return e, e.Endpoint != "" && e.RunTime >= 0 && e.RunTime <= maxRan && e.key() == key
 }
 
--- a/internal/quota/purse.go
+++ b/internal/quota/purse.go
@@ -23,7 +23,7 @@
 	Uncertain bool
 	// Wait is when to retry; negative if the request can never be within the limit.
 	Wait time.Duration
-	// LentShare is the share of all boxes that had lent to the owner that was asked, and By that owner; empty
+	// LentShare is the share of all boxes that had lent to the owner that was asked, and Owner that owner; empty
 	// where the box answered itself or had enough cached units.
 	LentShare float64
 	Owner     string
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -46,7 +46,7 @@
 	Granted float64
 	// Wait is when the account will have enough units, if nothing was granted; negative if never.
 	Wait time.Duration
-	// LentShare is the share of all boxes that have lent to the owner, and By the owner's name; empty where
+	// LentShare is the share of all boxes that have lent to the owner, and Owner the owner's name; empty where
 	// the asking box answered itself.
 	LentShare float64
 	Owner     string
--- a/internal/relay/accounts.go
+++ b/internal/relay/accounts.go
@@ -35,7 +35,7 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority overrides that of a request's route, if Ranked.
+	// Priority overrides that of a request's route, if HasPriority.
 	Priority    int
 	HasPriority bool
 	// Regions are the regions that may serve its requests, combined with those of the route; empty if the account
@@ -79,7 +79,7 @@
 	Refund(account string, units float64)
 }
 
-// KeyPolicy say how keys are checked while the box cannot receive configurations.
+// KeyPolicy says how keys are checked while the box cannot receive configurations.
 type KeyPolicy struct {
 	// Strict refuses requests that need a key once the configuration is older than Within, the time within which a
 	// revoked key must be refused. Otherwise the last configuration received is used.
--- a/internal/relay/begin_test.go
+++ b/internal/relay/begin_test.go
@@ -40,7 +40,7 @@
 	w := httptest.NewRecorder()
 	rec := &record.Record{ID: "q", At: time.Now()}
 	x := &exchange{
-		r: r, w: w, req: httptest.NewRequest(http.MethodPost, "/", nil), rec: rec, acc: recorder.Open(rec),
+		r: r, w: w, req: httptest.NewRequest(http.MethodPost, "/", nil), rec: rec, trace: recorder.Open(rec),
 		service: &Service{Name: "p", Engines: &EngineConfig{TokensPerEvent: 1}},
 	}
 	f := &flight{x: x, ctx: ctx, events: make(chan flightEvent, eventBuffer)}
--- a/internal/relay/changelog.go
+++ b/internal/relay/changelog.go
@@ -14,7 +14,7 @@
 // maxChangeLines limits the log lines for one change of the list; further changes are only counted.
 const maxChangeLines = 24
 
-// logStateChange logs that an endpoint is set aside, silent, or usable again.
+// logStateChange logs that an endpoint is set aside, unresponsive, or usable again.
 func (r *Relay) logStateChange(b decide.StateChange) {
 	fields := []zap.Field{zap.String("endpoint", b.Engine)}
 	if b.State == decide.SetAside {
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -44,9 +44,9 @@
 	request     string // Its id.
 	caller      string
 	fingerprint quarantine.Fingerprint
-	ran         time.Duration // From sending until the connection was lost.
+	runTime     time.Duration // From sending until the connection was lost.
 	sent        time.Time
-	doubt       bool // The endpoint may have crashed before the call was sent.
+	doubtful    bool // The endpoint may have crashed before the call was sent.
 }
 
 // probeTimes are the times of the probes, counted from the first lost call. The first is late enough for other
@@ -92,8 +92,8 @@
 	if !known || e.Leaving || b.sent.IsZero() {
 		return // An endpoint that leaves stops as planned.
 	}
-	c := lostCall{request: x.meta.ID, caller: x.caller(), fingerprint: x.fingerprint(), ran: clock.Since(b.sent), sent: b.sent}
-	c.doubt = b.unanswered && c.ran < immediateLossLimit
+	c := lostCall{request: x.meta.ID, caller: x.caller(), fingerprint: x.fingerprint(), runTime: clock.Since(b.sent), sent: b.sent}
+	c.doubtful = b.unanswered && c.runTime < immediateLossLimit
 	if x.r.crashWatch.add(endpoint, c) {
 		go x.r.watchCrash(e)
 	}
@@ -185,10 +185,10 @@
 func (r *Relay) reportCrash(e Endpoint, by string, calls []lostCall) {
 	r.m.SuspectedCrashes.Add(len(calls))
 	for _, c := range calls {
-		r.o.Crashes.RecordCrash(quarantine.Crash{Request: c.fingerprint, Endpoint: e.ID, Caller: quarantine.Tag(c.caller), RunTime: c.ran, SentAt: c.sent, Doubtful: c.doubt, Try: quarantine.Tag(c.request)})
+		r.o.Crashes.RecordCrash(quarantine.Crash{Request: c.fingerprint, Endpoint: e.ID, Caller: quarantine.Tag(c.caller), RunTime: c.runTime, SentAt: c.sent, Doubtful: c.doubtful, Try: quarantine.Tag(c.request)})
 		r.o.Recorder.Log.StateChange("endpoint crashed under a request", zap.String("endpoint", e.ID), zap.String("service", e.Service),
 			zap.String("id", c.request), zap.Stringer("fingerprint", c.fingerprint), zap.String("caller", quarantine.Tag(c.caller)),
-			zap.Duration("ran", c.ran), zap.Bool("doubt", c.doubt), zap.String("known_by", by))
+			zap.Duration("ran", c.runTime), zap.Bool("doubt", c.doubtful), zap.String("known_by", by))
 	}
 }
 
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -16,7 +16,7 @@
 	hall string
 	// onStateChange is called when an endpoint is set aside or becomes usable again; it must not block.
 	onStateChange func(decide.StateChange)
-	// notices are the limits and rests that endpoints ask for in their answers.
+	// notices are the limits and pauses that endpoints ask for in their answers.
 	notices decide.Notices
 
 	mu sync.Mutex
@@ -83,7 +83,7 @@
 	return &plainTable{hall: hall, onStateChange: func(decide.StateChange) {}, notices: noNotices{}, setBudget: setDefaultBudget, services: map[string]*plainService{}}
 }
 
-// noNotices has no limits and no rests.
+// noNotices has no limits and no pauses.
 type noNotices struct{}
 
 func (noNotices) ThrottledFor(string, time.Time) time.Duration { return 0 }
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -15,14 +15,14 @@
 // goodput only.
 
 // publish sends a message to the other boxes, as of now if it has no time.
-func (r *Relay) publish(f overlay.Message) {
+func (r *Relay) publish(msg overlay.Message) {
 	if r.o.Peers == nil {
 		return
 	}
-	if f.At.IsZero() {
-		f.At = clock.Now()
+	if msg.At.IsZero() {
+		msg.At = clock.Now()
 	}
-	r.o.Peers.Publish(f)
+	r.o.Peers.Publish(msg)
 }
 
 // connected reports whether this box receives messages from other boxes.
@@ -50,31 +50,31 @@
 }
 
 // Receive handles a message from another box.
-func (r *Relay) Receive(f overlay.Message) {
+func (r *Relay) Receive(msg overlay.Message) {
 	switch {
-	case f.Load != nil:
-		r.receiveLoad(f.At, f.Load)
-	case f.Refused != nil:
-		r.disp.Step(decide.RemotePrefillRefused{Engine: f.Refused.Engine})
-	case f.Placed != nil:
-		p := f.Placed
+	case msg.Load != nil:
+		r.receiveLoad(msg.At, msg.Load)
+	case msg.Refused != nil:
+		r.disp.Step(decide.RemotePrefillRefused{Engine: msg.Refused.Engine})
+	case msg.Placed != nil:
+		p := msg.Placed
 		r.countRemoteStreams(p.Service, 1)
 		if p.PrefillEngine != "" {
-			r.disp.Step(decide.RemotePlacement{Engine: p.PrefillEngine, At: f.At, Tokens: p.PrefillTokens})
+			r.disp.Step(decide.RemotePlacement{Engine: p.PrefillEngine, At: msg.At, Tokens: p.PrefillTokens})
 		}
 		if p.Owner != r.o.Box { // Otherwise this box has already counted it.
-			r.disp.Step(decide.RemotePlacement{Engine: p.DecodeEngine, At: f.At, KV: p.KVTokens, Prompt: p.PromptTokens, OutputReserve: p.OutputReserve})
+			r.disp.Step(decide.RemotePlacement{Engine: p.DecodeEngine, At: msg.At, KV: p.KVTokens, PromptTokens: p.PromptTokens, OutputReserve: p.OutputReserve})
 		}
-	case f.Ended != nil:
-		r.disp.Step(decide.StreamEnded{Engine: f.Ended.Engine, At: f.At, Tokens: f.Ended.Tokens})
-	case f.Timing != nil:
-		r.receiveTiming(f.Timing)
-	case f.Notice != nil:
-		r.receiveNotice(f.At, f.Notice)
-	case f.Omitted != nil:
-		r.countRemoteStreams(f.Omitted.Service, f.Omitted.Placed)
-	case f.Waiting != nil:
-		r.remoteWaiting.receive(f.Box, f.Waiting.Streams, f.At)
+	case msg.Ended != nil:
+		r.disp.Step(decide.StreamEnded{Engine: msg.Ended.Engine, At: msg.At, Tokens: msg.Ended.Tokens})
+	case msg.Timing != nil:
+		r.receiveTiming(msg.Timing)
+	case msg.Notice != nil:
+		r.receiveNotice(msg.At, msg.Notice)
+	case msg.Omitted != nil:
+		r.countRemoteStreams(msg.Omitted.Service, msg.Omitted.Placed)
+	case msg.Waiting != nil:
+		r.remoteWaiting.receive(msg.Box, msg.Waiting.Streams, msg.At)
 	}
 }
 
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -14,24 +14,24 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// silentPeer is another box that sends no messages.
-type silentPeer struct{}
+// fakePeers is another box that sends no messages.
+type fakePeers struct{}
 
-func (silentPeer) Publish(overlay.Message) {}
-func (silentPeer) Connected() bool         { return true }
-func (silentPeer) RegionSize() int         { return 1 }
-func (silentPeer) SetInterest([]string)    {}
-func (silentPeer) Boxes(string) ([]string, int64) {
+func (fakePeers) Publish(overlay.Message) {}
+func (fakePeers) Connected() bool         { return true }
+func (fakePeers) RegionSize() int         { return 1 }
+func (fakePeers) SetInterest([]string)    {}
+func (fakePeers) Boxes(string) ([]string, int64) {
 	return []string{"a"}, 1
 }
-func (silentPeer) AskRoom(context.Context, string, overlay.Room) (bool, string) {
+func (fakePeers) AskRoom(context.Context, string, overlay.Room) (bool, string) {
 	return true, ""
 }
 
 // expectPollRate runs one box with a number of decode engines for ten seconds, and checks its polls a second.
 func expectPollRate(t *testing.T, engines int, minRate, maxRate float64) {
 	t.Helper()
-	r := New(Options{Box: "a", Region: "r", Protocol: fakeProtocol{}, Peers: silentPeer{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
+	r := New(Options{Box: "a", Region: "r", Protocol: fakeProtocol{}, Peers: fakePeers{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
 	r.SetConfig(&Config{Services: map[string]*Service{"s": {Engines: &EngineConfig{}}}})
 	var list []Endpoint
 	for i := range engines {
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -237,7 +237,7 @@
 // abortMigration ends a migration before its next call was made.
 func (f *flight) abortMigration(attempt decide.Attempt, why string) {
 	f.x.r.m.AbortedMigrations.Inc()
-	f.x.acc.Step(record.Step{Kind: record.StepMigrationAborted, Text: why})
+	f.x.trace.Step(record.Step{Kind: record.StepMigrationAborted, Text: why})
 	f.x.r.disp.Step(decide.MigrateFailed{ID: f.id, Attempt: attempt})
 }
 
@@ -329,12 +329,12 @@
 	f.x.r.disp.Step(decide.Migrated{ID: f.id, Attempt: m.attempt, Aborted: m.atSource})
 	if m.atSource {
 		f.x.r.m.AbortedMigrations.Inc()
-		f.x.acc.Step(record.Step{Kind: record.StepMigrationAborted, Text: m.to + " did not take it"})
+		f.x.trace.Step(record.Step{Kind: record.StepMigrationAborted, Text: m.to + " did not take it"})
 		return
 	}
 	f.x.r.m.CompletedMigrations.Inc()
 	f.publishStreamEnded(m.from)
-	f.x.acc.Step(record.Step{Kind: record.StepMigrated, Decode: f.decodeEngine})
+	f.x.trace.Step(record.Step{Kind: record.StepMigrated, Decode: f.decodeEngine})
 }
 
 // dropMigration frees the memory that engines store for an unfinished migration.
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -54,10 +54,10 @@
 		}
 		tried[e.ID] = true
 		e.snapshot.ListAge = x.r.listAge()
-		x.acc.Step(record.Step{Kind: record.StepEndpoint, Decode: e.ID, EndpointState: &e.snapshot})
+		x.trace.Step(record.Step{Kind: record.StepEndpoint, Decode: e.ID, EndpointState: &e.snapshot})
 		a := x.callPlain(ctx, e)
 		if a.reason != outcome.OK {
-			x.acc.Step(record.Step{Kind: record.StepFailed, Decode: e.ID, Reason: a.reason})
+			x.trace.Step(record.Step{Kind: record.StepFailed, Decode: e.ID, Reason: a.reason})
 		}
 		if a.sent {
 			arrived++
@@ -104,7 +104,7 @@
 		FirstToken: x.route.LatencyTarget, Repeatable: x.route.repeats(), CallerRetry: x.route.isReturning(x.meta.Timeout),
 	}, decide.View{Waiting: x.r.plain.running(x.service.Name)})
 	if s, ok := record.NewStep(decide.PolicyVerdict{Verdict: v}); ok && v != (decide.Verdict{}) {
-		x.acc.Step(s)
+		x.trace.Step(s)
 	}
 	if v.Refuse {
 		return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.PolicyRefused, RetryAfter: jitter(policyRetryAfter)}, false
@@ -261,5 +261,5 @@
 	if a.good {
 		x.recordServed()
 	}
-	x.acc.Close(outcome.Outcome{Kind: outcome.Answered})
+	x.trace.Close(outcome.Outcome{Kind: outcome.Answered})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -40,7 +40,7 @@
 	Halls    map[string]string
 	Protocol Protocol
 	Core     *decide.Core
-	// Recorder records the accounts of all requests.
+	// Recorder records the traces of all requests.
 	Recorder *account.Recorder
 	// Peers publishes messages to the other boxes and receives theirs; nil if there are none.
 	Peers Peers
@@ -59,7 +59,7 @@
 
 // Peers is the connection to the other boxes.
 type Peers interface {
-	Publish(f overlay.Message)
+	Publish(msg overlay.Message)
 	// Connected reports whether messages from other boxes are received. RegionSize returns the number of boxes that
 	// exchange messages, including this one.
 	Connected() bool
@@ -83,7 +83,7 @@
 	callerPool *h1.Pool
 	sidePool   *h1.Pool
 	plain      *plainTable
-	// notices has the limits, rests and departures that endpoints announce in their answers.
+	// notices has the limits, pauses and departures that endpoints announce in their answers.
 	notices *notice.Table
 	m       *telemetry.Metrics
 	cfg     atomic.Pointer[Config]
@@ -289,7 +289,7 @@
 			return
 		}
 		o.Kind = outcome.CutOff
-		x.acc.Close(o)
+		x.trace.Close(o)
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -319,8 +319,8 @@
 	// taken the current write.
 	reservedBytes int64
 	writeDeadline time.Time
-	// acc is the account of the request, and rec its record.
-	acc     *account.Trace
+	// trace is the account of the request, and rec its record.
+	trace   *account.Trace
 	rec     *record.Record
 	arrived time.Time
 	// deadline is the earlier of the caller's and the route's.
@@ -337,7 +337,7 @@
 		ID: x.meta.ID, Box: r.o.Box, Path: req.URL.Path, At: time.Now(),
 		PromptTokens: x.meta.PromptTokens, MaxTokens: x.meta.MaxOutput, Model: x.meta.Model,
 	}
-	x.acc = r.o.Recorder.Open(x.rec)
+	x.trace = r.o.Recorder.Open(x.rec)
 	return x
 }
 
@@ -510,7 +510,7 @@
 		x.w.WriteHeader(statusOf(o))
 		_ = json.NewEncoder(x.w).Encode(refusal{o.Reason, o.Kind, o.Message()})
 	}
-	x.acc.Close(o)
+	x.trace.Close(o)
 }
 
 // cutOff aborts an answer that cannot be completed, so that the caller does not take it for complete.
@@ -518,6 +518,6 @@
 	if x.begun {
 		_ = http.NewResponseController(x.w).Flush() // The caller gets the bytes received so far.
 	}
-	x.acc.Close(o)
+	x.trace.Close(o)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -27,6 +27,6 @@
 	r.adopt(clock.Now(), room.Engine)
 	r.pollIfStale(room.Engine)
 	return r.disp.Grant(room.Engine, decide.Request{
-		PromptTokens: max(1, room.PromptTokens), MaxTokens: room.MaxTokens, ExpectTokens: room.ExpectedTokens, OutputReserve: room.OutputReserve,
+		PromptTokens: max(1, room.PromptTokens), MaxTokens: room.MaxTokens, ExpectedTokens: room.ExpectedTokens, OutputReserve: room.OutputReserve,
 	})
 }
--- a/internal/relay/route.go
+++ b/internal/relay/route.go
@@ -42,12 +42,12 @@
 // repeats reports whether a request of the route may run more than once.
 func (r *Route) repeats() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
-// returningTimeoutShare is the share of the longest patience seen below which a caller is taken for one that was
+// returningTimeoutShare is the share of the longest timeout seen below which a caller is taken for one that was
 // refused before and has spent the rest on its earlier attempt.
 const returningTimeoutShare = 0.97
 
-// isReturning reports whether a caller with so much patience left has tried before. Callers of one route start with
-// the same patience, and lose the time of each refused attempt.
+// isReturning reports whether a caller with so much time left has tried before. Callers of one route start with
+// the same timeout, and lose the time of each refused attempt.
 func (r *Route) isReturning(callerTimeout time.Duration) bool {
 	if callerTimeout <= 0 {
 		return false
--- a/internal/relay/split_test.go
+++ b/internal/relay/split_test.go
@@ -72,7 +72,7 @@
 		want          bool
 	}{{14 * time.Second, false}, {13990 * time.Millisecond, false}, {10 * time.Second, true}, {15 * time.Second, false}, {14 * time.Second, true}, {0, false}} {
 		if got := r.isReturning(c.callerTimeout); got != c.want {
-			t.Errorf("patience %s: expected %t, got %t", c.callerTimeout, c.want, got)
+			t.Errorf("timeout %s: expected %t, got %t", c.callerTimeout, c.want, got)
 		}
 	}
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -140,7 +140,7 @@
 	switch {
 	case o.Kind == outcome.Answered:
 		x.extendWriteDeadline() // The server still has to write the end, perhaps long after the last event.
-		x.acc.Close(o)
+		x.trace.Close(o)
 	case x.begun || o.Kind == outcome.Cancelled:
 		if o.Kind != outcome.Cancelled {
 			o.Kind = outcome.CutOff // The decision core does not know how much of the answer the caller has.
@@ -195,27 +195,27 @@
 func (f *flight) request() decide.Request {
 	x := f.x
 	return decide.Request{
-		Pool:          x.service.Name,
-		Region:        x.region,
-		Hall:          x.r.o.Hall,
-		Route:         x.route.Name,
-		PromptTokens:  x.meta.PromptTokens,
-		MaxTokens:     x.reservedOutput(),
-		OutputReserve: x.outputReserve(),
-		ExpectTokens:  x.meta.ExpectedOutput,
-		Blocks:        x.meta.PrefixHashes,
-		FirstToken:    x.route.LatencyTarget,
-		BetweenTokens: x.route.EventGapTarget / time.Duration(x.service.Engines.TokensPerEvent),
-		Repeatable:    x.route.repeats(),
-		Resumable:     x.route.Resumable,
-		MaxEngines:    x.route.MaxEndpoints,
-		PrefillNotRun: true,
-		CallerRetry:   x.route.isReturning(x.meta.Timeout),
-		RefuseEarly:   true,
-		MaxWait:       maxStreamWait,
-		Kind:          x.route.Kind.String(),
-		Rank:          x.rank(),
-		Policy:        x.policy(),
+		Pool:           x.service.Name,
+		Region:         x.region,
+		Hall:           x.r.o.Hall,
+		Route:          x.route.Name,
+		PromptTokens:   x.meta.PromptTokens,
+		MaxTokens:      x.reservedOutput(),
+		OutputReserve:  x.outputReserve(),
+		ExpectedTokens: x.meta.ExpectedOutput,
+		Blocks:         x.meta.PrefixHashes,
+		FirstToken:     x.route.LatencyTarget,
+		BetweenTokens:  x.route.EventGapTarget / time.Duration(x.service.Engines.TokensPerEvent),
+		Repeatable:     x.route.repeats(),
+		Resumable:      x.route.Resumable,
+		MaxEngines:     x.route.MaxEndpoints,
+		PrefillNotRun:  true,
+		CallerRetry:    x.route.isReturning(x.meta.Timeout),
+		RefuseEarly:    true,
+		MaxWait:        maxStreamWait,
+		Kind:           x.route.Kind.String(),
+		Rank:           x.rank(),
+		Policy:         x.policy(),
 	}
 }
 
@@ -302,7 +302,7 @@
 
 func (f *flight) recordStep(a decide.Action) {
 	if s, ok := record.NewStep(a); ok {
-		f.x.acc.Step(s)
+		f.x.trace.Step(s)
 	}
 }
 
@@ -401,7 +401,7 @@
 		f.publishPlaced(ev.attempt)
 		f.countCall(ev.attempt) // Until now the request was in no engine's queue.
 	case ev.noRoom != nil:
-		f.x.acc.Step(record.Step{Kind: record.StepNoRoom, Attempt: int(ev.attempt), Decode: f.plannedDecode, Text: ev.noRoom.owner})
+		f.x.trace.Step(record.Step{Kind: record.StepNoRoom, Attempt: int(ev.attempt), Decode: f.plannedDecode, Text: ev.noRoom.owner})
 		f.x.r.disp.Step(decide.ReservationRefused{ID: f.id, Attempt: ev.attempt})
 	case ev.prefilled != nil:
 		f.source = *ev.prefilled
@@ -460,7 +460,7 @@
 
 // recordFailure records the failure of a call to an engine.
 func (f *flight) recordFailure(a decide.Attempt, engine string, e *callError) {
-	f.x.acc.Step(record.Step{Kind: record.StepFailed, Attempt: int(a), Decode: engine, Reason: e.reason, Text: e.detail})
+	f.x.trace.Step(record.Step{Kind: record.StepFailed, Attempt: int(a), Decode: engine, Reason: e.reason, Text: e.detail})
 	f.x.recordConnLoss(engine, e.connLoss)
 }
 
@@ -485,7 +485,7 @@
 		f.finishMigration()
 		return f.passEvents(&ev.head.part)
 	}
-	f.x.acc.Step(record.Step{Kind: record.StepFirst, Decode: f.decodeEngine})
+	f.x.trace.Step(record.Step{Kind: record.StepFirst, Decode: f.decodeEngine})
 	if !f.x.begun {
 		f.x.copyHead(ev.head.header)
 		f.x.writeStatus(http.StatusOK)
--- a/internal/relay/subset_test.go
+++ b/internal/relay/subset_test.go
@@ -30,7 +30,7 @@
 // subsetRelay returns a box with a list of endpoints.
 func subsetRelay(box, hall string, list []Endpoint) *Relay {
 	r := New(Options{
-		Box: box, Hall: hall, Region: "r", Protocol: fakeProtocol{}, Peers: silentPeer{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1),
+		Box: box, Hall: hall, Region: "r", Protocol: fakeProtocol{}, Peers: fakePeers{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1),
 		Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()},
 	})
 	r.SetConfig(&Config{Services: map[string]*Service{"llm": {Name: "llm", Engines: &EngineConfig{KVTokens: 1000}}, "plain": {Name: "plain"}}})
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -70,8 +70,8 @@
 	Resumable bool
 	// Targets are the services that share the route; weights are positive.
 	Targets []Target
-	// Timeout limits the whole request. Objective is the latency target for an answer, or for the first event of a
-	// stream, and Gap the target for the pause between two events.
+	// Timeout limits the whole request. LatencyTarget is the latency target for an answer, or for the first event of a
+	// stream, and EventGapTarget the target for the pause between two events.
 	Timeout        time.Duration
 	LatencyTarget  time.Duration
 	EventGapTarget time.Duration
@@ -240,20 +240,20 @@
 	ParseReply(resp *http.Response) Reply
 	// RemoveSignature removes the endpoint's signature from the header of an answer that the relay has changed.
 	RemoveSignature(h http.Header)
-	// ParsePrefill reads the answer to a ReadOnly run.
+	// ParsePrefill reads the answer to a PrefillOnly run.
 	ParsePrefill(body []byte) (handle string, err error)
 
-	// Reserve reserves memory at an engine; Held reads the answer.
+	// Reserve reserves memory at an engine; ParseReservation reads the answer.
 	Reserve(tokens int, ttl time.Duration) Call
 	ParseReservation(body []byte) (hold string, err error)
 	// ReleaseReservation and ReleaseHandle free memory that is not needed any more.
 	ReleaseReservation(hold string) Call
 	ReleaseHandle(handle string) Call
-	// Migrate asks an engine to stop the run of a request and to copy its memory to another engine; Migrated reads
+	// Migrate asks an engine to stop the run of a request and to copy its memory to another engine; ParseMigration reads
 	// the answer.
 	Migrate(request, address string) Call
 	ParseMigration(status int, body []byte) (Migration, error)
-	// LoadCall requests an engine's load; Load reads the answer.
+	// LoadCall requests an engine's load; ParseLoad reads the answer.
 	LoadCall() Call
 	ParseLoad(body []byte) (Load, error)
 	// SetRole orders an engine to change its role, provided that it has accepted exactly that number of orders.
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -18,7 +18,7 @@
 
 // Limits are what the platform allows all of its boxes together.
 type Limits struct {
-	// A service may get the share Share of its requests, plus Free, as calls beyond the first of a request
+	// A service may get the share Share of its requests, plus FreeCalls, as calls beyond the first of a request
 	// in any Window.
 	Share     float64
 	FreeCalls float64
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -26,18 +26,18 @@
 	Acquire(ctx context.Context) (lease.Lease, error)
 }
 
-// Manager carries out the advice.
+// Manager carries out the recommendation.
 type Manager struct {
 	Fleet  Fleet
 	Leases Leases
-	// CheckInterval is the mean interval between checks of the advice, and Steady the number of consecutive checks
-	// that must give the same advice before it is carried out.
+	// CheckInterval is the mean interval between checks of the recommendation, and StableChecks the number of
+	// consecutive checks that must give the same recommendation before it is carried out.
 	CheckInterval time.Duration
 	StableChecks  int
 	// Cooldown is how long this box waits after an order, or after it found another box's lease, before it
 	// tries again.
 	Cooldown time.Duration
-	// ExtraChecks returns for how many further checks an advice must last before this box carries it out; nil
+	// ExtraChecks returns for how many further checks a recommendation must last before this box carries it out; nil
 	// for none. It lets one of many boxes act first, so that the others see the result.
 	ExtraChecks func() int
 	// OnLease is called after each attempt to acquire the lease, unless another box held it; it may be nil.
@@ -49,12 +49,12 @@
 // attemptTimeout bounds acquiring the lease and sending the orders.
 const attemptTimeout = 2 * time.Second
 
-// Run checks and carries out the advice until ctx is done.
+// Run checks and carries out the recommendation until ctx is done.
 func (m *Manager) Run(ctx context.Context) {
 	var last decide.RoleChange
 	stableCount, extraChecks := 0, 0
 	for {
-		// The jitter keeps boxes with the same advice from requesting the lease at the same time.
+		// The jitter keeps boxes with the same recommendation from requesting the lease at the same time.
 		wait := m.CheckInterval/2 + time.Duration(rand.Int64N(int64(m.CheckInterval)))
 		a, ok := m.Fleet.RecommendRoleChange()
 		switch {
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -10,7 +10,7 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// fakeFleet gives one advice between adviceFrom and adviceUntil.
+// fakeFleet recommends one role change between recommendFrom and recommendUntil.
 type fakeFleet struct {
 	start                         time.Time
 	recommendFrom, recommendUntil time.Duration
@@ -54,7 +54,7 @@
 	})
 }
 
-// A box with patience sends no order if the advice disappears while it waits.
+// A box with extra checks sends no order if the recommendation disappears while it waits.
 func TestPatienceDelaysOrders(t *testing.T) {
 	for extraChecks, want := range map[int]int{0: 2, 20: 0} {
 		synctest.Test(t, func(t *testing.T) {
@@ -64,7 +64,7 @@
 			m := &Manager{Fleet: f, Leases: fakeLeases{}, CheckInterval: 300 * time.Millisecond, StableChecks: 3, Cooldown: 9 * time.Second, ExtraChecks: func() int { return extraChecks }}
 			m.Run(ctx)
 			if len(f.orders) != want {
-				t.Errorf("patience of %d: expected %d orders, got %v", extraChecks, want, f.orders)
+				t.Errorf("%d extra checks: expected %d orders, got %v", extraChecks, want, f.orders)
 			}
 		})
 	}
--- a/internal/standin/memtable.go
+++ b/internal/standin/memtable.go
@@ -19,7 +19,7 @@
 	mu   sync.Mutex
 	rows map[string]platform.Row
 	rng  *rand.Rand
-	// LostRate is the probability that an answer is lost after the call took effect; Down is the
+	// LostRate is the probability that an answer is lost after the call took effect; FailRate is the
 	// probability that a call fails without an effect.
 	LostRate, FailRate float64
 	// LateRate is the probability that a write with a lost answer takes effect only after its
