--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -58,7 +58,7 @@
 // line the version of the configuration.
 func TestLines(t *testing.T) {
 	b, out := newRecorder(10)
-	b.runRequest("id-1", outcome.Outcome{Kind: outcome.Answered}, record.Step{Kind: record.StepFirst, Decode: "d"})
+	b.runRequest("id-1", outcome.Outcome{Kind: outcome.Answered}, record.Step{Kind: record.StepFirstToken, Decode: "d"})
 	got := parseLines(t, out)
 	if len(got) != 3 {
 		t.Fatalf("expected two decisions and an end, got %v", got)
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -229,7 +229,7 @@
 			{Kind: record.StepPrefill, Attempt: 1, Prefill: "prefill-1", Decode: "decode-1", Choice: ch},
 			{After: 60 * time.Millisecond, Kind: record.StepPrefillDone, Prefill: "prefill-1"},
 			{After: 60 * time.Millisecond, Kind: record.StepDecode, Attempt: 2, Prefill: "prefill-1", Decode: "decode-1"},
-			{After: 80 * time.Millisecond, Kind: record.StepFirst, Decode: "decode-1"},
+			{After: 80 * time.Millisecond, Kind: record.StepFirstToken, Decode: "decode-1"},
 		},
 	}
 }
--- a/internal/box/relay.go
+++ b/internal/box/relay.go
@@ -255,21 +255,21 @@
 
 const (
 	// roleLeaseLength is how long no other box can give orders after this one may have. It is longer
-	// than an engine takes to change roles, and much longer than roleLeaseUse.
+	// than an engine takes to change roles, and much longer than roleLeaseUsableFor.
 	roleLeaseLength = 8 * time.Second
-	// roleLeaseUse is how long after taking the lease its order may be sent.
-	roleLeaseUse = 1500 * time.Millisecond
-	// A recommendation is followed once it was the same in roleSteadyChecks checks, one each roleCheckInterval.
+	// roleLeaseUsableFor is how long after taking the lease its order may be sent.
+	roleLeaseUsableFor = 1500 * time.Millisecond
+	// A recommendation is followed once it was the same in roleStableChecks checks, one each roleCheckInterval.
 	roleCheckInterval = 300 * time.Millisecond
-	roleSteadyChecks  = 3
+	roleStableChecks  = 3
 )
 
 // roleManager changes the roles of engines to match the traffic.
 func (b *RelayBox) roleManager() *roles.Manager {
 	return &roles.Manager{
 		Fleet:         b.Relay,
-		Leases:        &lease.Acquirer{Rows: b.site.Leases, Key: "roles", Holder: b.settings.Load().Name, Length: roleLeaseLength, UsableFor: roleLeaseUse, Observed: b.eraObserved},
-		CheckInterval: roleCheckInterval, StableChecks: roleSteadyChecks, ExtraChecks: b.extraRoleChecks, Cooldown: roleLeaseLength + time.Second,
+		Leases:        &lease.Acquirer{Rows: b.site.Leases, Key: "roles", Holder: b.settings.Load().Name, Length: roleLeaseLength, UsableFor: roleLeaseUsableFor, Observed: b.eraObserved},
+		CheckInterval: roleCheckInterval, StableChecks: roleStableChecks, ExtraChecks: b.extraRoleChecks, Cooldown: roleLeaseLength + time.Second,
 		OnOrder: func(engine string, role decide.EngineRole, l lease.Lease, err error) {
 			b.recorder.Log.StateChange("role ordered", zap.String("endpoint", engine), zap.Stringer("role", role),
 				zap.Int64("fence", l.Fence), zap.Duration("lease_left", clock.Until(l.Until)), zap.Error(err))
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -283,7 +283,7 @@
 		f.firstTokenAt = now
 		f.x.rec.FirstToken = now.Sub(f.x.arrived)
 		f.x.g.m.FirstToken.Update(f.x.rec.FirstToken.Seconds())
-		f.x.trace.Step(record.Step{Kind: record.StepFirst, Decode: f.decodeEngine})
+		f.x.trace.Step(record.Step{Kind: record.StepFirstToken, Decode: f.decodeEngine})
 	} else if ev.chunk.HasChoices {
 		gap := now.Sub(f.lastTokenAt)
 		f.x.g.m.BetweenTokens.Update(gap.Seconds())
--- a/internal/record/explain.go
+++ b/internal/record/explain.go
@@ -73,7 +73,7 @@
 			text += fmt.Sprintf(" This is a move, because %s.", s.Reason.Sentence())
 		}
 		return text
-	case StepFirst:
+	case StepFirstToken:
 		return fmt.Sprintf("%s sent the first token.", s.Decode)
 	case StepRetry:
 		return fmt.Sprintf("The attempt on %s failed: %s. It was tried again.", s.Decode, s.Reason.Sentence())
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -20,7 +20,7 @@
 	StepPrefill          StepKind = "prefill"
 	StepPrefillDone      StepKind = "read" // The prefill engine has read the prompt.
 	StepDecode           StepKind = "decode"
-	StepFirst            StepKind = "first_token"
+	StepFirstToken       StepKind = "first_token"
 	StepRetry            StepKind = "retry"
 	StepResume           StepKind = "resume"
 	StepAbort            StepKind = "abort"
@@ -129,7 +129,7 @@
 func (r *Record) LastEndpoint() string {
 	for i := len(r.Steps) - 1; i >= 0; i-- {
 		switch s := &r.Steps[i]; s.Kind {
-		case StepFirst, StepMigrated, StepEndpoint, StepDecode:
+		case StepFirstToken, StepMigrated, StepEndpoint, StepDecode:
 			return s.Decode
 		}
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -485,7 +485,7 @@
 		f.finishMigration()
 		return f.passEvents(&ev.head.part)
 	}
-	f.x.trace.Step(record.Step{Kind: record.StepFirst, Decode: f.decodeEngine})
+	f.x.trace.Step(record.Step{Kind: record.StepFirstToken, Decode: f.decodeEngine})
 	if !f.x.begun {
 		f.x.copyHead(ev.head.header)
 		f.x.writeStatus(http.StatusOK)
--- a/internal/telemetry/routes.go
+++ b/internal/telemetry/routes.go
@@ -65,7 +65,7 @@
 			observe(StageDecide, s.After)
 		case record.StepDecode:
 			observe(StagePrefill, s.After)
-		case record.StepFirst:
+		case record.StepFirstToken:
 			observe(StageFirstToken, s.After)
 		}
 	}
