--- a/internal/decide/advise.go
+++ b/internal/decide/advise.go
@@ -47,11 +47,11 @@
 	if n == 0 {
 		return defaultWorkRatio
 	}
-	g := p.in(region)
+	reg := p.region(region)
 	f := &flight{Request: Request{
 		Region: region, PromptTokens: int(p.meanPrompt), MaxTokens: int(p.meanOutput), BetweenTokens: p.tokenTarget,
 	}}
-	prefillTime := max(g.decode[0].prefillTime(int(p.meanUncached)), p.minTransferTime(int(p.meanPrompt))) // All engines of a pool are alike.
+	prefillTime := max(reg.decode[0].prefillTime(int(p.meanUncached)), p.minTransferTime(int(p.meanPrompt))) // All engines of a pool are alike.
 	weight := float64(n) / float64(n+defaultRatioWeight)
 	ratio := max(minRatio, p.decodeWork(f).Seconds()/max(minWork, prefillTime.Seconds()))
 	return math.Exp(weight*math.Log(ratio) + (1-weight)*math.Log(defaultWorkRatio))
@@ -83,7 +83,7 @@
 // it is 50 and 71, which is 1.17 times better. With 300 ms instead of 500 it would be 50 and
 // 43 instead of 33 and 50, and nothing changes.
 func (c *Core) RecommendRoleChange() (RoleChange, bool) {
-	for _, name := range c.names {
+	for _, name := range c.poolNames {
 		p := c.pools[name]
 		if c.now.Sub(p.changedAt) < stableFor {
 			continue
@@ -107,8 +107,8 @@
 }
 
 func (p *pool) recommendRoleChange(region string, now time.Time) (RoleChange, bool) {
-	g := p.in(region)
-	prefills, decodes := notLeaving(g.prefill), notLeaving(g.decode)
+	reg := p.region(region)
+	prefills, decodes := notLeaving(reg.prefill), notLeaving(reg.decode)
 	if len(prefills) == 0 && len(decodes) > 1 {
 		return RoleChange{Pool: p.Name, Region: region, Engines: pickAcrossHalls(decodes, 1), Role: Prefill}, true
 	}
--- a/internal/decide/advise_test.go
+++ b/internal/decide/advise_test.go
@@ -255,7 +255,7 @@
 		{100 * time.Microsecond, 0, 190 * time.Millisecond},
 		{10 * time.Millisecond, 0, 5 * time.Second}, // The target allows one.
 	} {
-		p := &pool{minStep: time.Millisecond, minStepPerStream: tc.perStream, regions: map[string]*region{"r": {maxKV: 10_000, maxSlots: tc.slots}}}
+		p := &pool{minStep: time.Millisecond, stepPerStreamAtMinStep: tc.perStream, regions: map[string]*region{"r": {maxKV: 10_000, maxSlots: tc.slots}}}
 		f := &flight{Request: Request{Region: "r", PromptTokens: 500, MaxTokens: 1000, BetweenTokens: 5 * time.Millisecond}}
 		if got := p.decodeWork(f); got != tc.want {
 			t.Errorf("%v per stream, %d slots: expected %v, got %v", tc.perStream, tc.slots, tc.want, got)
--- a/internal/decide/arrive.go
+++ b/internal/decide/arrive.go
@@ -48,14 +48,14 @@
 // checkCapacity refuses a request that is too large for every engine of the pool, or that
 // has no engine in its region at all.
 func (c *Core) checkCapacity(f *flight) bool {
-	g := f.pool.in(f.Region)
+	reg := f.pool.region(f.Region)
 	switch {
-	case g.stayingPrefills == 0 && f.pool.SelfPrefillRatio == 0:
+	case reg.stayingPrefills == 0 && f.pool.SelfPrefillRatio == 0:
 		c.endWithRetryAfter(f, outcome.NoPrefill, defaultRetryAfter)
-	case g.maxKV == 0:
+	case reg.maxKV == 0:
 		c.endWithRetryAfter(f, outcome.NoDecode, defaultRetryAfter)
-	case f.kvNeed() > g.maxKV:
-		c.end(f, outcome.PromptTooLong, fmt.Sprintf("it needs %d tokens of memory and the largest engine has %d", f.kvNeed(), g.maxKV))
+	case f.kvNeed() > reg.maxKV:
+		c.end(f, outcome.PromptTooLong, fmt.Sprintf("it needs %d tokens of memory and the largest engine has %d", f.kvNeed(), reg.maxKV))
 	default:
 		return true
 	}
@@ -72,7 +72,7 @@
 		leastPrefill = min(leastPrefill, e.prefillTime(f.PromptTokens-e.cachedTokens(f)))
 	}
 	if f.pool.SelfPrefillRatio > 0 && len(c.sampledPrefills) == 0 {
-		for _, e := range f.pool.in(f.Region).decode {
+		for _, e := range f.pool.region(f.Region).decode {
 			leastPrefill = min(leastPrefill, time.Duration(float64(e.prefillTime(f.PromptTokens))/f.pool.SelfPrefillRatio))
 		}
 	}
@@ -85,8 +85,8 @@
 func (c *Core) shortestQueue(f *flight) time.Duration {
 	least := time.Duration(1<<63 - 1)
 	for _, e := range c.samplePrefills(f.pool, f) {
-		current, ahead := f.pool.urgency.wait(f, e.queueTime(c.now))
-		least = min(least, current+ahead)
+		inProgress, urgentQueue := f.pool.urgency.wait(f, e.queueTime(c.now))
+		least = min(least, inProgress+urgentQueue)
 	}
 	if wait, ok := f.pool.selfPrefillWait(f, c.now); ok {
 		least = min(least, wait)
@@ -118,13 +118,13 @@
 	v := View{Waiting: len(f.pool.queue.items), PrefillQueue: c.shortestQueue(f)}
 	policy := f.Policy
 	f.Policy = nil // Predict with the built-in rules only.
-	q, _, ok := c.choose(f.pool, f, c.now)
+	chosen, _, ok := c.choose(f.pool, f, c.now)
 	f.Policy = policy
 	for _, e := range c.sampledDecodes {
 		v.DecodeFreeKV = max(v.DecodeFreeKV, e.freeKV())
 	}
 	if ok {
-		v.PredictedTime = q.FirstToken
+		v.PredictedTime = chosen.FirstToken
 	}
 	return v
 }
--- a/internal/decide/attempt.go
+++ b/internal/decide/attempt.go
@@ -11,12 +11,12 @@
 // tryPlace starts the request if a pair is available for it. Decode memory is reserved
 // before the prefill starts, so a prefill always has an engine to send its result to.
 func (c *Core) tryPlace(f *flight) bool {
-	q, ch, ok := c.choose(f.pool, f, c.now)
-	f.lastChoice = ch
+	chosen, choice, ok := c.choose(f.pool, f, c.now)
+	f.lastChoice = choice
 	if !ok {
 		return false
 	}
-	first, target := c.now.Add(q.FirstToken), f.arrived.Add(f.FirstToken)
+	first, target := c.now.Add(chosen.FirstToken), f.arrived.Add(f.FirstToken)
 	if !f.mayBeLate && first.Add(f.pool.urgency.lateness(f)).After(target) {
 		if !first.After(target) {
 			f.pool.urgency.fadeLateness(f)
@@ -24,54 +24,54 @@
 		f.missesTarget = true
 		return false
 	}
-	if c.tooBusy(f, &q) {
-		ch.Excluded.Busy++
+	if c.tooBusy(f, &chosen) {
+		choice.Excluded.Busy++
 		return false
 	}
 	f.pool.throughput.addStarted(f)
 	c.remote.addStart(c.now)
 	f.tries++
 	f.attempt = f.newAttempt()
-	if q.prefill == nil {
-		c.startDecodeOnly(f, q, ch)
+	if chosen.prefill == nil {
+		c.startDecodeOnly(f, chosen, choice)
 		return true
 	}
-	f.prefill, f.prefillAttempt, f.prefillReserved, f.kvMayBeTaken = q.prefill, f.attempt, true, false
-	f.uncachedTokens = f.PromptTokens - q.Cached
+	f.prefill, f.prefillAttempt, f.prefillReserved, f.kvMayBeTaken = chosen.prefill, f.attempt, true, false
+	f.uncachedTokens = f.PromptTokens - chosen.Cached
 	delay := f.pool.speed.PrefillDelay
-	c.setStage(f, prefilling, q.Queue+q.PrefillTime+delay)
-	c.reserveDecode(f, q.decode)
-	f.ownWorkEnd = c.now.Add(q.prefill.ownQueueTime(c.now) + q.PrefillTime + delay)
-	f.tokensAhead = int(q.prefill.ownQueueTime(c.now).Seconds() * q.prefill.PrefillRate)
-	q.prefill.reservePrefill(c.now, f.ID, f.uncachedTokens)
-	q.prefill.cache.add(f.Blocks)
-	q.prefill.health.noteRequest(c.now)
-	c.noteSent(q.prefill)
-	f.predictedPrefillEnd = c.now.Add(q.Queue + q.PrefillTime + delay)
+	c.setStage(f, prefilling, chosen.Queue+chosen.PrefillTime+delay)
+	c.reserveDecode(f, chosen.decode)
+	f.ownWorkEnd = c.now.Add(chosen.prefill.ownQueueTime(c.now) + chosen.PrefillTime + delay)
+	f.tokensAhead = int(chosen.prefill.ownQueueTime(c.now).Seconds() * chosen.prefill.PrefillRate)
+	chosen.prefill.reservePrefill(c.now, f.ID, f.uncachedTokens)
+	chosen.prefill.cache.add(f.Blocks)
+	chosen.prefill.health.noteRequest(c.now)
+	c.noteSent(chosen.prefill)
+	f.predictedPrefillEnd = c.now.Add(chosen.Queue + chosen.PrefillTime + delay)
 	f.planTransfer(f.predictedPrefillEnd)
-	c.emit(StartPrefill{f.ID, f.attempt, q.prefill.Name, q.decode.Name, f.enginePriority(), ch})
+	c.emit(StartPrefill{f.ID, f.attempt, chosen.prefill.Name, chosen.decode.Name, f.enginePriority(), choice})
 	return true
 }
 
 // tooBusy reports that even the best pair has so much queued that the request should wait
 // on this box instead.
-func (c *Core) tooBusy(f *flight, q *chosenPair) bool {
-	if q.prefill == nil {
-		return q.Queue > maxPrefillBacklog
+func (c *Core) tooBusy(f *flight, chosen *chosenPair) bool {
+	if chosen.prefill == nil {
+		return chosen.Queue > maxPrefillBacklog
 	}
-	linkWait := q.Transfer - transferTime(f.pool, f, q.prefill, q.decode)
-	return q.ahead > maxPrefillBacklog || linkWait > maxLinkBacklog
+	linkWait := chosen.Transfer - transferTime(f.pool, f, chosen.prefill, chosen.decode)
+	return chosen.urgentQueue > maxPrefillBacklog || linkWait > maxLinkBacklog
 }
 
 // startDecodeOnly sends the request to a decode engine that prefills the prompt itself.
-func (c *Core) startDecodeOnly(f *flight, q chosenPair, ch *Choice) {
+func (c *Core) startDecodeOnly(f *flight, chosen chosenPair, choice *Choice) {
 	f.prefill, f.prefillAttempt, f.expires = nil, 0, time.Time{}
 	f.decodeAttempt, f.uncachedTokens = f.attempt, f.PromptTokens
-	c.reserveDecode(f, q.decode)
-	q.decode.reservePrefill(c.now, f.ID, int(float64(f.PromptTokens)/f.pool.SelfPrefillRatio))
+	c.reserveDecode(f, chosen.decode)
+	chosen.decode.reservePrefill(c.now, f.ID, int(float64(f.PromptTokens)/f.pool.SelfPrefillRatio))
 	f.selfPrefillReserved = true
-	c.setStage(f, transferring, q.FirstToken)
-	c.emit(StartDecode{ID: f.ID, Attempt: f.attempt, Decode: q.decode.Name, Priority: f.enginePriority(), Choice: ch})
+	c.setStage(f, transferring, chosen.FirstToken)
+	c.emit(StartDecode{ID: f.ID, Attempt: f.attempt, Decode: chosen.decode.Name, Priority: f.enginePriority(), Choice: choice})
 }
 
 // engineEpoch keeps engine priorities small; any fixed time would do.
@@ -196,13 +196,13 @@
 
 // reserveOtherDecode reserves memory on a decode engine other than the present one.
 func (c *Core) reserveOtherDecode(f *flight) bool {
-	f.avoid = f.decode
+	f.engineToAvoid = f.decode
 	c.releaseDecode(f)
 	var excluded Exclusions
 	var best *engine
 	c.findDecodeOptions(f.pool, f, c.now, &excluded)
 	for _, option := range c.decodeOptions {
-		if option.e != f.avoid && (best == nil || option.e.stepTime() < best.stepTime()) {
+		if option.e != f.engineToAvoid && (best == nil || option.e.stepTime() < best.stepTime()) {
 			best = option.e
 		}
 	}
--- a/internal/decide/core.go
+++ b/internal/decide/core.go
@@ -82,7 +82,7 @@
 	tries      int
 	// prefillSent and decodeSent report whether a prefill call and a decode call were sent.
 	prefillSent, decodeSent bool
-	avoid                   *engine // The engine on which the last try failed.
+	engineToAvoid           *engine // The engine on which the last try failed.
 	lastChoice              *Choice // The result of the last attempt to place the request.
 	missesTarget            bool    // Whether that attempt found no pair that meets the target.
 
@@ -113,10 +113,10 @@
 	// firstTokens arrived with the first event; wasMigrated is set once the stream was migrated.
 	firstTokens int
 	wasMigrated bool
-	// target is the engine that the stream is being migrated to by migrateAttempt, with
+	// migrateTarget is the engine that the stream is being migrated to by migrateAttempt, with
 	// targetReservedKV tokens reserved in its ledger; nil if no migration is under way. No
 	// migration starts before noMigrateBefore.
-	target           *engine
+	migrateTarget    *engine
 	targetReservedKV int
 	migrateAttempt   Attempt
 	retryTakenAt     time.Time // When the retry for the migration was taken from the budget.
@@ -158,7 +158,7 @@
 	maxWaiting int
 	engines    map[string]*engine
 	pools      map[string]*pool
-	names      []string // Sorted pool names, so that runs are reproducible.
+	poolNames  []string // Sorted pool names, so that runs are reproducible.
 	flights    map[ID]*flight
 	// priorEstimates are the estimates of pools that were loaded at the start.
 	priorEstimates map[string]Estimates
@@ -232,11 +232,11 @@
 
 // allThrottledFor is how long no engine that stays accepts a new request; 0 if one does now.
 func (c *Core) allThrottledFor(f *flight) time.Duration {
-	g := f.pool.in(f.Region)
-	if wait := c.shortestThrottle(g.decode); wait > 0 || f.pool.SelfPrefillRatio > 0 {
+	reg := f.pool.region(f.Region)
+	if wait := c.shortestThrottle(reg.decode); wait > 0 || f.pool.SelfPrefillRatio > 0 {
 		return wait
 	}
-	return c.shortestThrottle(g.prefill)
+	return c.shortestThrottle(reg.prefill)
 }
 
 func (c *Core) shortestThrottle(list []*engine) (least time.Duration) {
@@ -264,7 +264,7 @@
 // SetGossipConnected sets whether messages of other boxes are received.
 func (c *Core) SetGossipConnected(yes bool) {
 	for _, p := range c.pools {
-		p.endsKnown = yes
+		p.receivesStreamEnds = yes
 	}
 }
 
@@ -367,8 +367,8 @@
 		if c.pools[p.Name] == nil {
 			c.pools[p.Name] = &pool{createdAt: c.now}
 			c.pools[p.Name].setPrior(c.priorEstimates[p.Name])
-			c.names = append(c.names, p.Name)
-			slices.Sort(c.names)
+			c.poolNames = append(c.poolNames, p.Name)
+			slices.Sort(c.poolNames)
 		}
 		c.pools[p.Name].Pool = p
 	}
@@ -406,7 +406,7 @@
 			delete(c.engines, name)
 		}
 	}
-	for _, name := range c.names {
+	for _, name := range c.poolNames {
 		p := c.pools[name]
 		if len(p.prefill)+len(p.decode) != before[p] {
 			p.changedAt = c.now
@@ -466,7 +466,7 @@
 	for _, f := range overdue {
 		c.handleStall(f)
 	}
-	for _, name := range c.names {
+	for _, name := range c.poolNames {
 		c.drainQueue(c.pools[name])
 		c.refuseUnlikely(c.pools[name])
 		c.shedLate(c.pools[name])
--- a/internal/decide/failure.go
+++ b/internal/decide/failure.go
@@ -83,7 +83,7 @@
 	usable := !kvGone && c.now.Add(expiryMargin).Before(f.expires)
 	if usable && (f.Repeatable || !ran) && c.budget.Has(c.now, 1) && c.reserveOtherDecode(f) {
 		c.budget.Take(c.now, 1)
-		c.emit(Retry{f.ID, f.avoid.Name, reason})
+		c.emit(Retry{f.ID, f.engineToAvoid.Name, reason})
 		c.startDecode(f, reason)
 		return
 	}
@@ -120,7 +120,7 @@
 	if f.stage != prefilling || ran {
 		c.emit(WastedPrefill{f.ID, f.uncachedTokens, reason})
 	}
-	f.avoid = f.engineToBlame()
+	f.engineToAvoid = f.engineToBlame()
 	retries := f.retriesForNextTry()
 	c.abortCalls(f)
 	if f.ran && !f.Repeatable || f.tries >= maxTries {
@@ -135,7 +135,7 @@
 		c.end(f, outcome.RetryBudget, reason.Sentence())
 		return
 	}
-	c.emit(Retry{f.ID, f.avoid.Name, reason})
+	c.emit(Retry{f.ID, f.engineToAvoid.Name, reason})
 	c.enqueue(f)
 }
 
@@ -174,7 +174,7 @@
 	if e := f.currentEngine(); e != nil {
 		return e
 	}
-	return f.avoid
+	return f.engineToAvoid
 }
 
 // abortCalls aborts the open calls of the request and releases its ledger entries.
@@ -288,7 +288,9 @@
 		return false
 	}
 	c.findPrefillOptions(f.pool, f, c.now, &excluded)
-	return slices.ContainsFunc(c.prefillOptions, func(option prefillOption) bool { return option.e != f.prefill && option.ahead <= maxPrefillBacklog })
+	return slices.ContainsFunc(c.prefillOptions, func(option prefillOption) bool {
+		return option.e != f.prefill && option.urgentQueue <= maxPrefillBacklog
+	})
 }
 
 // maxTickGap is the largest gap between ticks on a box that runs normally, five times the
--- a/internal/decide/grant.go
+++ b/internal/decide/grant.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// Grant reports whether a decode engine has room for a request of another box, and if so books
-// the request there until a report of the engine includes it. Each engine has one box, its
-// owner, that all others ask. The owner knows at once what it granted, while placements that
-// boxes make by themselves take some hundred milliseconds to reach the others: in a burst, each
-// box would assign the same room again.
+// Grant reports whether a decode engine has room for a request of another box. If it has, the
+// request is added to the load of the engine until a report of the engine includes it.
 //
-// A grant guarantees nothing: the engine itself reserves the memory. A request for an engine
-// that is unknown here is granted, since the asking box knows more about it.
+// Each engine belongs to one box, its owner, and all other boxes ask that box before they send
+// a request. The owner knows at once what it granted. News of placements that boxes make on their
+// own takes some hundred milliseconds to reach the other boxes, so in a burst several boxes would
+// use the same free memory.
+//
+// A grant guarantees nothing, since only the engine itself can reserve its memory. If this box
+// does not know the engine, the request is granted, since the asking box knows more about it.
 func (c *Core) Grant(now time.Time, engine string, r Request) bool {
 	e := c.engines[engine]
 	if e == nil {
--- a/internal/decide/grant_test.go
+++ b/internal/decide/grant_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// newGrantCore returns the owner of one engine of 63,000 tokens that has just reported to be empty.
+// newGrantCore returns the core of the box that owns engine w, and so grants its memory to other
+// boxes. The engine has 63,000 tokens of memory and has just reported that no stream runs.
 func newGrantCore(now time.Time) *Core {
 	c := New(rand.New(rand.NewPCG(1, 1)), 10)
 	c.Step(now, Fleet{
@@ -18,12 +19,13 @@
 	return c
 }
 
-// streamRequest is a stream with a prompt of the given length that an engine is asked to take.
+// streamRequest is a request for a stream with a prompt of the given length and an expected answer of
+// 4,400 tokens.
 func streamRequest(prompt int) Request {
 	return Request{PromptTokens: prompt, MaxTokens: 4000, ExpectedTokens: 4400, OutputReserve: 512}
 }
 
-// countGrants counts how many of the given number of boxes that ask at the same time are granted room.
+// countGrants lets boxes ask for engine w at the same time, each for one stream, and counts the grants.
 func countGrants(c *Core, now time.Time, boxes int) (n int) {
 	for range boxes {
 		if c.Grant(now, "w", streamRequest(5000)) {
@@ -33,9 +35,9 @@
 	return n
 }
 
-// Fifty boxes ask at the same time for room on an engine that reported to be empty. Only as many
-// streams are granted as are expected to fit while they grow to 9,400 of 63,000 tokens. If grants
-// were not booked at once, all fifty would be.
+// Fifty boxes ask at the same time to place a stream on an engine that reported to be empty. Each
+// stream is expected to grow to 9,400 tokens and the engine has 63,000, so six to eight are granted.
+// If a grant did not count at once, all fifty would be granted.
 func TestGrantOnce(t *testing.T) {
 	now := time.Now()
 	if n := countGrants(newGrantCore(now), now, 50); n < 6 || n > 8 {
@@ -43,7 +45,8 @@
 	}
 }
 
-// A grant counts until a report of the engine includes the stream or shows that it never came.
+// A granted stream counts until the next report of the engine, which either includes it or shows that
+// it was never started.
 func TestGrantEndsWithReport(t *testing.T) {
 	now := time.Now()
 	c := newGrantCore(now)
@@ -58,7 +61,7 @@
 	}
 }
 
-// A box that does not know the engine grants the request.
+// A box grants a request for an engine that it does not know.
 func TestGrantForUnknownEngine(t *testing.T) {
 	now := time.Now()
 	if !newGrantCore(now).Grant(now, "elsewhere", streamRequest(5000)) {
@@ -66,7 +69,7 @@
 	}
 }
 
-// While an engine refuses to reserve memory, no other request is granted room on it.
+// After an engine has refused to reserve memory, requests that need as much are not granted for a while.
 func TestNoGrantAfterRefusal(t *testing.T) {
 	now := time.Now()
 	c := newGrantCore(now)
--- a/internal/decide/learned.go
+++ b/internal/decide/learned.go
@@ -52,7 +52,7 @@
 // Estimates returns the estimates of the pools that learn and have had requests.
 func (c *Core) Estimates() []Estimates {
 	var out []Estimates
-	for _, name := range c.names {
+	for _, name := range c.poolNames {
 		if p := c.pools[name]; p.EstimatesSpeed && p.sampleCount() >= minTimings {
 			out = append(out, p.estimates())
 		}
--- a/internal/decide/ledger.go
+++ b/internal/decide/ledger.go
@@ -23,11 +23,11 @@
 	remoteWaitAt time.Time
 
 	report        LoadReport
-	reported      bool
+	hasReport     bool
 	probeFailed   bool           // The last probe was not answered.
 	reportDelayed bool           // The last report was already old when it arrived.
 	placements    []placement    // Work placed after report.At, oldest first.
-	ended         []StreamEnded  // Streams that ended after report.At, oldest first.
+	endedStreams  []StreamEnded  // Streams that ended after report.At, oldest first.
 	forecast      memoryForecast // Reset to zero when anything it depends on changes.
 	cache         blockCache
 	health        health
@@ -43,10 +43,10 @@
 
 // placement is work that was sent to an engine after its last report was taken.
 type placement struct {
-	id      ID
-	at      time.Time
-	tokens  int // To be prefilled by a prefill engine.
-	streams float64
+	id            ID
+	at            time.Time
+	prefillTokens int // To be prefilled by a prefill engine.
+	streams       float64
 	reservation
 }
 
@@ -74,19 +74,19 @@
 // least as much left to prefill as the request needs. Then the request is not stuck but
 // queued behind prompts of other boxes.
 func (e *engine) mayBeQueued(f *flight) bool {
-	return e.reported && e.report.At.After(f.stageStart) && e.report.QueuedTokens >= f.uncachedTokens
+	return e.hasReport && e.report.At.After(f.stageStart) && e.report.QueuedTokens >= f.uncachedTokens
 }
 
 // reportAge is the age of the engine's last report; 0 if there is none.
 func (e *engine) reportAge(now time.Time) time.Duration {
-	if !e.reported {
+	if !e.hasReport {
 		return 0
 	}
 	return now.Sub(e.report.At)
 }
 
 // leaving reports that the engine gets no new work.
-func (e *engine) leaving() bool { return e.Leaving || e.Evacuated || e.reported && e.report.Leaving }
+func (e *engine) leaving() bool { return e.Leaving || e.Evacuated || e.hasReport && e.report.Leaving }
 
 // cold reports that the engine has just started and gets no more work of this box at the moment.
 func (e *engine) cold(now time.Time) bool { return e.Cold.Blocks(now, e.lastUsed) }
@@ -130,7 +130,7 @@
 // must occupy about 300, and 400 is the answer.
 func (e *engine) freeKV() int {
 	free := e.KVTokens - e.reservedKV
-	if !e.reported {
+	if !e.hasReport {
 		return free
 	}
 	reportedFree := e.report.FreeKV
@@ -148,7 +148,7 @@
 // running counts streams in the same way as freeKV counts memory: the larger of this
 // core's own and the reported ones plus those placed since.
 func (e *engine) running() float64 {
-	if !e.reported {
+	if !e.hasReport {
 		return e.streams
 	}
 	reportedStreams := float64(e.report.Streams)
@@ -167,7 +167,7 @@
 func (e *engine) reservePrefill(now time.Time, id ID, tokens int) {
 	e.prefills++
 	e.extendQueue(now, tokens)
-	e.addPlacement(placement{id: id, at: now, tokens: tokens})
+	e.addPlacement(placement{id: id, at: now, prefillTokens: tokens})
 }
 
 // extendQueue appends a prompt that was sent at the given time to the engine's prefill queue.
@@ -186,10 +186,10 @@
 
 // addRemotePlacement books a placement of another box, until a report includes it.
 func (e *engine) addRemotePlacement(s RemotePlacement) {
-	if e.reported && !s.At.After(e.report.At) {
+	if e.hasReport && !s.At.After(e.report.At) {
 		return
 	}
-	w := placement{at: s.At, tokens: s.Tokens, reservation: reservation{s.KV, s.PromptTokens, s.OutputReserve, s.KV - s.PromptTokens}}
+	w := placement{at: s.At, prefillTokens: s.Tokens, reservation: reservation{s.KV, s.PromptTokens, s.OutputReserve, s.KV - s.PromptTokens}}
 	if s.KV > 0 {
 		w.streams = 1
 	}
@@ -214,7 +214,7 @@
 			return
 		}
 	}
-	if e.reported && e.report.Runs == nil {
+	if e.hasReport && e.report.Runs == nil {
 		e.report.FreeKV += kv
 		e.report.Streams = max(0, e.report.Streams-1)
 	}
@@ -223,11 +223,11 @@
 // addStreamEnded removes a stream from the report that still includes it: the one that would have
 // grown to about that size by now.
 func (e *engine) addStreamEnded(p *pool, ev StreamEnded) {
-	if !e.reported || e.report.Runs == nil || !ev.At.After(e.report.At) {
+	if !e.hasReport || e.report.Runs == nil || !ev.At.After(e.report.At) {
 		return
 	}
-	if len(e.ended) < maxPlacements {
-		e.ended = append(e.ended, ev)
+	if len(e.endedStreams) < maxPlacements {
+		e.endedStreams = append(e.endedStreams, ev)
 	}
 	e.removeFromReport(p, ev)
 }
@@ -271,7 +271,7 @@
 // it, the engine counts as free now, even if it was predicted to be busy.
 func (e *engine) releasePrefill(now time.Time) {
 	e.prefills--
-	if e.prefills == 0 && (!e.reported || e.statsUnreliable()) {
+	if e.prefills == 0 && (!e.hasReport || e.statsUnreliable()) {
 		e.busyUntil = now
 	}
 }
@@ -279,12 +279,12 @@
 // addReport replaces the engine's figures and adds the work placed since. A report older
 // than the last is ignored, since reports may arrive out of order.
 func (e *engine) addReport(now time.Time, p *pool, r LoadReport) {
-	if e.reported && r.At.Before(e.report.At) {
+	if e.hasReport && r.At.Before(e.report.At) {
 		return
 	}
 	e.report = r
 	e.forecast = memoryForecast{}
-	e.reported = true
+	e.hasReport = true
 	e.probeFailed = false
 	e.reportDelayed = now.Sub(r.At) > maxReportDelay
 	n := 0
@@ -292,14 +292,14 @@
 		n++
 	}
 	e.placements = append(e.placements[:0], e.placements[n:]...)
-	e.ended = slices.DeleteFunc(e.ended, func(ev StreamEnded) bool { return !ev.At.After(r.At) })
-	for _, ev := range e.ended {
+	e.endedStreams = slices.DeleteFunc(e.endedStreams, func(ev StreamEnded) bool { return !ev.At.After(r.At) })
+	for _, ev := range e.endedStreams {
 		e.removeFromReport(p, ev)
 	}
 	e.busyUntil = r.At.Add(e.prefillTime(r.QueuedTokens))
 	for _, w := range e.placements {
-		if w.tokens > 0 {
-			e.extendQueue(w.at, w.tokens)
+		if w.prefillTokens > 0 {
+			e.extendQueue(w.at, w.prefillTokens)
 		}
 	}
 }
--- a/internal/decide/link.go
+++ b/internal/decide/link.go
@@ -62,15 +62,15 @@
 }
 
 // transferTime is the time of a transfer without sharing, at the slower link's rate.
-func transferTime(p *pool, f *flight, pe, de *engine) time.Duration {
-	rate := min(pe.LinkRate, de.LinkRate)
+func transferTime(p *pool, f *flight, prefillEngine, decodeEngine *engine) time.Duration {
+	rate := min(prefillEngine.LinkRate, decodeEngine.LinkRate)
 	return seconds(float64(f.PromptTokens) * float64(p.KVBytesPerToken) / rate)
 }
 
 // predictTransfer is the time of a transfer that starts at ready and shares its links with others.
-func predictTransfer(p *pool, f *flight, pe, de *engine, ready time.Time) time.Duration {
-	alone := transferTime(p, f, pe, de)
-	known := alone + max(pe.link.delay(ready, alone), de.link.delay(ready, alone))
+func predictTransfer(p *pool, f *flight, prefillEngine, decodeEngine *engine, ready time.Time) time.Duration {
+	alone := transferTime(p, f, prefillEngine, decodeEngine)
+	known := alone + max(prefillEngine.link.delay(ready, alone), decodeEngine.link.delay(ready, alone))
 	return max(known, time.Duration(p.predictionError.transferSlowdown*float64(alone)))
 }
 
--- a/internal/decide/memory_test.go
+++ b/internal/decide/memory_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// expectOverflow has an engine of 63,000 tokens report the given streams, and checks whether a
-// prompt of 4,000 tokens with an answer of 4,400 is predicted to overflow it.
+// expectOverflow checks the prediction for a request with a prompt of 4,000 tokens and an answer of
+// 4,400 on an engine with memory for 63,000 tokens: want says whether it is predicted not to fit. The
+// engine's report lists runs streams, each of which uses tokens and has generated made tokens.
 func expectOverflow(t *testing.T, runs, tokens, made int, age time.Duration, want bool) {
 	t.Helper()
 	now := time.Now()
-	e := &engine{Engine: Engine{KVTokens: 63000}, reported: true}
+	e := &engine{Engine: Engine{KVTokens: 63000}, hasReport: true}
 	e.report.At = now.Add(-age)
 	for range runs {
 		e.report.Runs = append(e.report.Runs, StreamLoad{Tokens: tokens, Output: made})
@@ -31,14 +32,14 @@
 func TestOverflowOldReport(t *testing.T)     { expectOverflow(t, 10, 5000, 0, 10*time.Second, false) }
 func TestOverflowNoStreams(t *testing.T)     { expectOverflow(t, 0, 0, 0, 0, false) }
 
-// Since a report was taken, streams that were nearly done have ended, and those that had just
-// begun have grown.
+// A report that is some seconds old is brought up to date by estimate: streams that were nearly done
+// have ended since, and streams that had just begun have grown.
 func TestOverflowReportAge(t *testing.T) {
 	now := time.Now()
 	p := &pool{requestLengths: requestLengths{meanOutput: 4400}}
 	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 4000, ExpectedTokens: 4400}}
 	room := func(age time.Duration, runs ...StreamLoad) bool {
-		e := &engine{Engine: Engine{KVTokens: 63000, Step: time.Millisecond}, reported: true}
+		e := &engine{Engine: Engine{KVTokens: 63000, Step: time.Millisecond}, hasReport: true}
 		e.report = LoadReport{At: now.Add(-age), Runs: runs, FreeKV: e.KVTokens}
 		for _, r := range runs {
 			e.report.FreeKV -= r.Tokens
@@ -64,10 +65,10 @@
 	}
 }
 
-// An engine without a free slot has no room, whatever its memory.
+// An engine has no room for a request if all its slots are taken, however much memory is free.
 func TestOverflowSlots(t *testing.T) {
 	now := time.Now()
-	e := &engine{Engine: Engine{KVTokens: 63000, Slots: 3, Step: time.Millisecond}, reported: true}
+	e := &engine{Engine: Engine{KVTokens: 63000, Slots: 3, Step: time.Millisecond}, hasReport: true}
 	e.report = LoadReport{At: now, Runs: []StreamLoad{{1000, 10}, {1000, 10}, {1000, 10}}, FreeKV: 60000}
 	f := &flight{Request: Request{PromptTokens: 1000, MaxTokens: 1000, ExpectedTokens: 1000}}
 	if e.hasRoom(&pool{requestLengths: requestLengths{meanOutput: 4400}}, f, now) {
@@ -75,10 +76,11 @@
 	}
 }
 
-// Memory reserved for streams that have not begun counts as used.
+// An engine reports one stream of 5,000 tokens but little free memory, because it has reserved the
+// difference for streams without a first token. The reserved memory counts as used.
 func TestOverflowReservedMemory(t *testing.T) {
 	now := time.Now()
-	e := &engine{Engine: Engine{KVTokens: 63000}, reported: true}
+	e := &engine{Engine: Engine{KVTokens: 63000}, hasReport: true}
 	e.report = LoadReport{At: now, Runs: []StreamLoad{{Tokens: 5000}}, FreeKV: 4000}
 	f := &flight{Request: Request{PromptTokens: 4000, MaxTokens: 0, ExpectedTokens: 4400}}
 	if e.hasRoom(&pool{requestLengths: requestLengths{meanOutput: 4400}}, f, now) {
@@ -86,8 +88,8 @@
 	}
 }
 
-// A request is placed on the engine that will have room, even if another engine has as much
-// free memory now and is otherwise equal.
+// Two engines have the same free memory now. A request is placed on the engine whose streams are
+// expected to end soon, and not on the one whose streams have just begun.
 func TestPlacementUsesForecast(t *testing.T) {
 	ending, begun := make([]StreamLoad, 8), make([]StreamLoad, 16)
 	for i := range ending {
@@ -112,12 +114,12 @@
 	}
 }
 
-// The forecast is bounded by the memory that streams take if none of them ends: short answers
-// to long prompts can fill an engine nearly to the end. Without that bound, the uncertainty
-// about the ends of six streams counted as 2,000 tokens that they could not grow to.
+// The forecast never exceeds the memory that an engine's streams use if none of them ends. Long
+// prompts with short answers can therefore fill an engine nearly completely. Without this limit, the
+// uncertainty about when six streams end counted as 2,000 tokens that they could never use.
 func TestOverflowUpperBound(t *testing.T) {
 	now := time.Now()
-	e := &engine{Engine: Engine{KVTokens: 28400, Step: 5 * time.Millisecond}, reported: true}
+	e := &engine{Engine: Engine{KVTokens: 28400, Step: 5 * time.Millisecond}, hasReport: true}
 	e.report = LoadReport{At: now.Add(-500 * time.Millisecond), FreeKV: 28400 - 6*3650}
 	for i := range 6 {
 		e.report.Runs = append(e.report.Runs, StreamLoad{Tokens: 3500 + 60*i, Output: 20 + 60*i})
--- a/internal/decide/migrate.go
+++ b/internal/decide/migrate.go
@@ -69,7 +69,7 @@
 	p.lastMigrateCheck = c.now
 	var list []*flight
 	for _, f := range c.flights {
-		if f.pool == p && f.stage == streaming && f.target == nil && !c.now.Before(f.noMigrateBefore) && c.shouldMigrate(p, f) {
+		if f.pool == p && f.stage == streaming && f.migrateTarget == nil && !c.now.Before(f.noMigrateBefore) && c.shouldMigrate(p, f) {
 			list = append(list, f)
 		}
 	}
@@ -158,7 +158,7 @@
 		f.noMigrateBefore = c.now.Add(migrateInterval)
 		return
 	}
-	f.target, f.targetReservedKV, f.retryTakenAt = to, remaining.kvNeed(), c.now
+	f.migrateTarget, f.targetReservedKV, f.retryTakenAt = to, remaining.kvNeed(), c.now
 	f.migrateAttempt = f.newAttempt()
 	c.noteSent(to)
 	to.reserveDecode(c.now, f.ID, reservation{f.targetReservedKV, remaining.PromptTokens, 0, remaining.expectedOutput()}, f.streamWeight())
@@ -170,15 +170,15 @@
 
 // releaseTarget releases the memory reserved for a migration.
 func (c *Core) releaseTarget(f *flight) {
-	if f.target != nil {
-		f.target.releaseDecode(f.ID, f.targetReservedKV, f.streamWeight())
-		f.target, f.targetReservedKV = nil, 0
+	if f.migrateTarget != nil {
+		f.migrateTarget.releaseDecode(f.ID, f.targetReservedKV, f.streamWeight())
+		f.migrateTarget, f.targetReservedKV = nil, 0
 	}
 }
 
 func (c *Core) handleMigrated(ev Migrated) {
 	f := c.flights[ev.ID]
-	if f == nil || f.target == nil || ev.Attempt != f.migrateAttempt {
+	if f == nil || f.migrateTarget == nil || ev.Attempt != f.migrateAttempt {
 		return
 	}
 	f.noMigrateBefore = c.now.Add(migrationCooldown)
@@ -189,15 +189,15 @@
 	}
 	f.decode.releaseDecode(f.ID, f.reservedKV, f.streamWeight())
 	f.wasMigrated = true
-	f.decode, f.reservedKV = f.target, f.targetReservedKV
-	f.target, f.targetReservedKV = nil, 0
+	f.decode, f.reservedKV = f.migrateTarget, f.targetReservedKV
+	f.migrateTarget, f.targetReservedKV = nil, 0
 	c.noteSuccess(f.decode)
 	c.drainQueue(f.pool)
 }
 
 func (c *Core) handleMigrateFailed(ev MigrateFailed) {
 	f := c.flights[ev.ID]
-	if f == nil || f.target == nil || ev.Attempt != f.migrateAttempt {
+	if f == nil || f.migrateTarget == nil || ev.Attempt != f.migrateAttempt {
 		return
 	}
 	f.noMigrateBefore = c.now.Add(migrationCooldown)
--- a/internal/decide/queue.go
+++ b/internal/decide/queue.go
@@ -90,11 +90,11 @@
 // timeAhead is how long the requests that start before f will take.
 func (p *pool) timeAhead(f *flight) time.Duration {
 	work := 0.0
-	for _, g := range p.queue.items {
-		if byOrder(g, f) >= 0 {
+	for _, other := range p.queue.items {
+		if byOrder(other, f) >= 0 {
 			break
 		}
-		work += g.work[p.scarceRole].Seconds()
+		work += other.work[p.scarceRole].Seconds()
 	}
 	return seconds(work / p.throughput.rate(p.scarceRole))
 }
--- a/internal/decide/snapshot.go
+++ b/internal/decide/snapshot.go
@@ -58,7 +58,7 @@
 // Imbalance describes, for each pool that is limited by one or both roles, which role that is.
 func (c *Core) Imbalance(now time.Time) []string {
 	var out []string
-	for _, name := range c.names {
+	for _, name := range c.poolNames {
 		if text := c.pools[name].imbalance(now); text != "" {
 			out = append(out, text)
 		}
--- a/internal/decide/types.go
+++ b/internal/decide/types.go
@@ -3,13 +3,20 @@
 // moves to other engines or is refused.
 //
 // The core does no I/O, starts no goroutine and reads no clock. It takes typed
-// events and returns typed actions; time and randomness are passed in. The box
-// drives it from HTTP handlers, the benchmark from a virtual clock, and tests
-// from generated event orders: all three run the very same code.
+// events and returns typed actions; time and randomness are passed in. The program
+// that passes events to the core and carries out its actions is one of three: the box
+// with its HTTP handlers, the benchmark with a virtual clock, or tests with generated
+// orders of events. All three run the very same code.
 //
-// Nothing here is shared between boxes. The observed state of an engine may be
-// stale, which costs goodput but never breaks a guarantee; whatever boxes must
-// agree on goes through the platform's table instead (package claim).
+// A box is a machine that runs the router, and has its own core: no state is shared
+// between boxes. What a core has observed of an engine may be out of date. This costs
+// goodput (the share of requests that are served in time), but never breaks a guarantee. Whatever
+// boxes must agree on is kept in the platform's table instead (package claim).
+//
+// A pool is the set of engines that serve one model. Each engine has a role: prefill
+// engines compute the KV cache of a prompt, decode engines fetch the cache and generate the
+// answer as a stream of tokens. A pair is a prefill engine and a decode engine. The
+// ledger of an engine is the list of memory and work that this box has reserved there.
 package decide
 
 import (
@@ -19,15 +26,14 @@
 	"github.com/stoatramp/stoatramp/internal/pacing"
 )
 
-// ID names a request within one core.
+// ID identifies a request within one core.
 type ID uint64
 
-// Attempt numbers the calls that one request makes to engines, from 1. Events
-// carry the attempt that they belong to; those that do not match the current
-// one are ignored.
+// Attempt numbers the calls that one request makes to engines, from 1. Each event carries the
+// number of the call that it reports on. Events of earlier calls are ignored.
 type Attempt uint32
 
-// BlockTokens is how many prompt tokens one hash in Request.Blocks covers.
+// BlockTokens is the number of prompt tokens in a block. Request.Blocks has one hash per block.
 const BlockTokens = 128
 
 // Request holds the properties of a request that decisions depend on.
@@ -35,47 +41,53 @@
 	ID     ID
 	Pool   string
 	Region string
-	// Hall is the data hall of the box; empty if it does not matter. Engines in other halls cost more.
+	// Hall is the data hall of the box, which makes engines in other halls cost more. If it is empty,
+	// halls do not matter.
 	Hall   string
 	Route  string
 	Client string
 
 	PromptTokens int
-	// MaxTokens bounds the answer; decode memory is reserved for prompt and answer together.
+	// MaxTokens bounds the length of the answer. Memory for prompt and answer together is reserved on
+	// the decode engine.
 	MaxTokens int
-	// OutputReserve is how many answer tokens must fit in free memory for decoding to begin; 0 stands for MaxTokens.
+	// OutputReserve is the number of answer tokens for which a decode engine must have free memory
+	// before decoding begins; 0 stands for MaxTokens.
 	OutputReserve int
 	// ExpectedTokens is the expected length of the answer; 0 stands for MaxTokens.
 	ExpectedTokens int
-	// Blocks are chained hashes of the prompt's leading blocks: Blocks[i] stands
-	// for blocks 0 to i, so two prompts share it only if they share the whole prefix.
+	// Blocks are chained hashes of the prompt's leading blocks: Blocks[i] depends on blocks 0 to i.
+	// Two prompts have the same Blocks[i] only if they have the same text up to there.
 	Blocks []uint64
 
+	// FirstToken is the target for the time from arrival to the first token of the answer, and
+	// BetweenTokens the target for the time between two tokens.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// Repeatable reports whether more than one call may run parts of the request. If it is
-	// false, at most one call may ever run any of it.
+	// Repeatable reports whether the request may be tried again after the failure of a call that may
+	// have run a part of it.
 	Repeatable bool
 	// Resumable reports whether a stream that loses its decode engine may continue on another
 	// one after the last token that the caller received. Such a request is Repeatable too.
 	Resumable bool
-	// MaxEngines bounds the number of decode engines that may run any part of the request;
-	// 0 leaves that to Repeatable.
+	// MaxEngines bounds the number of decode engines that may run any part of the request; 0 means
+	// no bound, except the one that Repeatable sets.
 	MaxEngines int
-	// PrefillNotRun reports that a prefill alone does not count as running the request: only
-	// generated tokens do.
+	// PrefillNotRun reports that a prefill alone does not count as running the request. Only
+	// generated tokens then do.
 	PrefillNotRun bool
-	// ServeLate runs the request even when FirstToken cannot be met.
+	// ServeLate reports that the request is to be run even if the FirstToken target cannot be met.
 	ServeLate bool
 	// CallerRetry reports that the caller was refused before and retries at the time it was given.
 	// Such a request goes before others, since another refusal would waste that wait.
 	CallerRetry bool
-	// RefuseEarly refuses a waiting request as soon as it is not expected to start in time;
-	// otherwise it waits until its latest start.
+	// RefuseEarly reports that a waiting request is refused as soon as it is not expected to start in
+	// time. Otherwise it waits until the latest time at which it could start.
 	RefuseEarly bool
-	// MaxWait bounds the wait of a request that may be late; 0 stands for 30 seconds.
+	// MaxWait bounds the wait of a request that may run late; 0 stands for 30 seconds.
 	MaxWait time.Duration
-	// Priority moves the request before (lower) or after others, in seconds of deadline.
+	// Priority is added to the deadline by which requests are ordered, in seconds: a request with a
+	// negative priority goes before others, one with a positive priority after them.
 	Priority int
 	// Kind and Rank are the name of the route's kind and its priority, 0 being the highest.
 	// Only policies read them.
@@ -91,8 +103,8 @@
 type Policy interface {
 	// Admit is called once for each arrival.
 	Admit(r *Request, v View) Verdict
-	// Weigh returns seconds to add to the cost of a pair. It is called for the pairs with
-	// the lowest built-in cost, at most six of them.
+	// Weigh returns seconds to add to the cost of a pair of a prefill and a decode engine. It is called
+	// for the pairs with the lowest built-in cost, at most six.
 	Weigh(r *Request, c *Candidate) (float64, error)
 }
 
@@ -101,17 +113,17 @@
 	Waiting       int
 	PrefillQueue  time.Duration // Shortest time until a prefill engine is free.
 	DecodeFreeKV  int           // Largest free memory of a decode engine, in tokens.
-	PredictedTime time.Duration // Predicted first-token time of the best pair; 0 if there is none.
+	PredictedTime time.Duration // Predicted time to the first token on the best pair of engines; 0 if no pair can take the request.
 }
 
 // Verdict is a policy's answer for one arrival.
 type Verdict struct {
 	Refuse bool
-	// Wait lets the request wait past its first-token target instead of being refused.
+	// Wait lets the request wait past its first-token target; otherwise it would be refused.
 	Wait bool
 	// Text is the operator's explanation, shown by `stoatramp why`.
 	Text string
-	// Fault is the error of a program that failed; the built-in rules applied instead.
+	// Fault is the error of an operator's program that failed. The built-in rules then apply.
 	Fault string
 }
 
@@ -138,21 +150,24 @@
 	Hall    string
 	Role    EngineRole
 	Leaving bool
-	// Evacuated engines get no new requests and finish those they have, since their data hall is
-	// being evacuated. Unlike Leaving engines they keep running, so their streams are not moved.
+	// Evacuated engines finish the requests that they have and get no new ones, because their data
+	// hall is being evacuated. They keep running, so their streams are not moved. Engines with
+	// Leaving set will stop, so their streams may be moved to other engines.
 	Evacuated bool
 	// Cold describes the engine's warm-up period after its start, during which it takes little load.
 	Cold pacing.Cold
 
-	PrefillRate   float64 // Prompt tokens a second.
-	KVTokens      int     // Decode memory in tokens.
-	Slots         int     // Streams at once; 0 if only memory bounds them.
+	PrefillRate float64 // Prompt tokens a second.
+	KVTokens    int     // Decode memory in tokens.
+	Slots       int     // The most streams that run at once; 0 if only memory bounds them.
+	// Step is the time that a step takes, in which each stream generates one token. StepPerStream
+	// is how much longer it takes for each stream that runs.
 	Step          time.Duration
 	StepPerStream time.Duration
-	LinkRate      float64 // Bytes a second.
+	LinkRate      float64 // Rate of the engine's network link in bytes per second.
 }
 
-// Pool describes the engines that serve one model.
+// Pool is the configuration of a pool: the engines that serve one model.
 type Pool struct {
 	Name            string
 	KVBytesPerToken int
@@ -160,23 +175,23 @@
 	// SelfPrefillRatio is the fraction of the prefill rate at which a decode engine prefills a prompt
 	// itself, between the tokens of its streams; 0 if it cannot.
 	SelfPrefillRatio float64
-	// ForecastsMemory reports that engines are asked for their streams before requests are placed. An
-	// engine without a fresh report is then a last resort.
+	// ForecastsMemory reports that decode engines are asked for a list of their streams, from which
+	// their memory use is forecast. Engines without a recent report are then a last resort.
 	ForecastsMemory bool
 	// Migrates reports that engines can hand a running stream over to another engine.
 	Migrates bool
-	// UnlistedEngines counts, by role, the engines of the driver's region that are not listed because
-	// other boxes use them. They count when the split of the roles is judged.
+	// UnlistedEngines counts, by role, engines in the box's region that are used by other boxes only and
+	// so are missing in Fleet.Engines. They count when the numbers of engines per role are compared.
 	UnlistedEngines [2]int
-	// EstimatesSpeed reports that the engines' rates and step times are only estimates, to be refined
-	// from the timings of requests. Otherwise the configured values apply.
+	// EstimatesSpeed reports that the configured rates and step times are only a first guess, and that
+	// the core estimates them from the timings of requests. Otherwise the configured values are used.
 	EstimatesSpeed bool
 }
 
 // Event is an input of the core. The concrete types follow.
 type Event interface{ event() }
 
-// Fleet replaces the known pools and engines.
+// Fleet replaces the configuration of all pools and engines.
 type Fleet struct {
 	Pools   []Pool
 	Engines []Engine
@@ -216,23 +231,23 @@
 	ID      ID
 	Attempt Attempt
 	Reason  outcome.Reason
-	// Ran is false only if no byte was sent to the engine or the engine said it did not run the request.
+	// Ran is false only if the engine cannot have run the request: no byte was sent to it, or it said so.
 	Ran bool
 	// KVGone reports that the prefill engine no longer has the KV cache.
 	KVGone bool
 }
 
-// ReservationRefused reports that the decode engine of a placed request refused to reserve memory
-// for it, before the prompt was sent anywhere.
+// ReservationRefused reports that the decode engine chosen for a request refused to reserve memory
+// for it. The prompt has not been sent to any engine by then.
 type ReservationRefused struct {
 	ID      ID
-	Attempt Attempt // The prefill's.
+	Attempt Attempt // The number of the StartPrefill, or of the StartDecode if there was none.
 }
 
 // LoadReport is the load that an engine reports.
 type LoadReport struct {
 	Engine string
-	At     time.Time // When the engine took the figures, by this box's clock.
+	At     time.Time // When the engine measured the figures, in the time of this box's clock.
 	// QueuedTokens are the uncached prompt tokens in the queue of a prefill engine.
 	QueuedTokens int
 	// FreeKV is the unreserved decode memory in tokens.
@@ -241,30 +256,32 @@
 	// Queued counts the streams for which a decode engine has no memory: new ones, and those
 	// that it preempted and will prefill again.
 	Queued int
-	// Runs are its streams one by one; nil if the engine does not report them.
+	// Runs lists the running streams; nil if the engine does not report them.
 	Runs    []StreamLoad
 	Leaving bool
 }
 
-// RemotePlacement reports that another box sends a request to an engine. An engine report taken later
-// includes it.
+// RemotePlacement reports that another box sent a request to an engine. It is ignored if the last
+// report of the engine was measured later, because that report includes the request.
 type RemotePlacement struct {
 	Engine string
 	At     time.Time
-	// Tokens are to be prefilled by a prefill engine. KV is the memory that the request takes of
-	// a decode engine; Prompt is the part taken from the start, and OutputReserve is reserved with it.
+	// Tokens is the number of tokens that a prefill engine has to prefill; 0 for a decode engine.
+	// KV is the memory, in tokens, that the request will take on a decode engine; 0 for a prefill
+	// engine. PromptTokens is the part of KV that is taken from the start, and OutputReserve is
+	// the further memory that must be free at the start.
 	Tokens        int
 	KV            int
 	PromptTokens  int
 	OutputReserve int
 }
 
-// StreamEnded reports that a stream of any box ended on a decode engine, with its size in tokens of
-// memory. An engine report taken later does not include it.
+// StreamEnded reports that a stream of this or another box ended on a decode engine. A report of the
+// engine that was measured later no longer includes the stream.
 type StreamEnded struct {
 	Engine string
 	At     time.Time
-	Tokens int
+	Tokens int // The memory that the stream used.
 }
 
 // RemoteQueue reports how many requests wait for engines on all other boxes together.
@@ -280,11 +297,11 @@
 type Evicted struct {
 	Engine string
 	Blocks []uint64
-	// All reports that events were lost, so nothing is known of the cache any more.
+	// All reports that an unknown number of such events was lost, so all knowledge of the cache is void.
 	All bool
 }
 
-// Tick fires timeouts and retries waiting requests.
+// Tick makes the core check deadlines and try to start waiting requests. It is sent regularly.
 type Tick struct{}
 
 func (Fleet) event()                {}
@@ -307,8 +324,8 @@
 // Action is an output of the core. The concrete types follow.
 type Action interface{ action() }
 
-// StartPrefill sends the prompt to a prefill engine. Memory on the decode engine is
-// already reserved in the ledger.
+// StartPrefill sends the prompt to a prefill engine. The core has already reserved memory on the
+// decode engine in its own ledger.
 type StartPrefill struct {
 	ID       ID
 	Attempt  Attempt
@@ -318,23 +335,24 @@
 	Choice   *Choice
 }
 
-// StartDecode sends the request and its KV handle to a decode engine. If Prefill is empty,
-// the decode engine prefills the prompt itself.
+// StartDecode sends the request to a decode engine, with the handle of the KV cache that the prefill
+// engine holds. If Prefill is empty, the decode engine prefills the prompt itself.
 type StartDecode struct {
 	ID      ID
 	Attempt Attempt
 	Prefill string
-	// PrefillAttempt is the call that produced the KV cache.
+	// PrefillAttempt is the number of the call that produced the KV cache.
 	PrefillAttempt Attempt
 	Decode         string
 	Priority       int
-	// Moved is why the decode engine is not the one that was chosen first; OK if it is.
+	// Moved is why the decode engine that was chosen first could not be used, or why its call failed;
+	// OK if neither happened.
 	Moved outcome.Reason
-	// Choice is set only if Prefill is empty: otherwise StartPrefill carried it.
+	// Choice is set only if Prefill is empty. Otherwise the Choice is in the StartPrefill action.
 	Choice *Choice
 }
 
-// Abort asks an engine to free the resources of a call.
+// Abort asks an engine to stop a call and to free its memory.
 type Abort struct {
 	ID      ID
 	Attempt Attempt
@@ -348,14 +366,15 @@
 	Reason outcome.Reason
 }
 
-// Waiting reports that the request waits on this box, and why.
+// Waiting reports that the request waits on this box, with the role of engine that it waits for as
+// the reason.
 type Waiting struct {
 	ID     ID
 	Reason outcome.Reason
 	View   View
 }
 
-// WastedPrefill reports that prefill work was discarded.
+// WastedPrefill reports that the work of prefilling a request's prompt was in vain.
 type WastedPrefill struct {
 	ID     ID
 	Tokens int
@@ -373,7 +392,8 @@
 // State is the observed state of an engine.
 type State uint8
 
-// The states. An unresponsive engine did not answer a load probe.
+// The states of an engine. SetAside: several calls failed in a row, so no requests are sent for some
+// time. Unresponsive: the engine did not answer a load probe.
 const (
 	Usable State = iota
 	SetAside
@@ -396,7 +416,8 @@
 	Verdict Verdict
 }
 
-// End refuses or ends a request without a complete answer. Answered requests need no End.
+// End reports that a request was refused, or ended before its answer was complete. No End follows a
+// Done or Cancel event.
 type End struct {
 	ID      ID
 	Outcome outcome.Outcome
@@ -412,17 +433,18 @@
 func (StateChange) action()   {}
 func (End) action()           {}
 
-// Choice records how a pair was selected.
+// Choice records how the prefill and the decode engine of a request were selected.
 type Choice struct {
 	// Candidates are the compared pairs with the lowest cost, cheapest first, at most maxCandidates.
 	Candidates []Candidate `json:"candidates"`
-	// Compared is how many pairs were compared.
+	// Compared is the number of pairs of a prefill and a decode engine that were compared, or the number
+	// of decode engines if no prefill engine could take the request.
 	Compared int `json:"compared"`
-	// Excluded counts excluded engines by cause.
+	// Excluded counts the engines that could not take the request, by cause.
 	Excluded Exclusions `json:"passed_over"`
 }
 
-// Exclusions counts the engines of the pool that were not candidates, by cause.
+// Exclusions counts sampled engines that could not take the request, by cause.
 type Exclusions struct {
 	Leaving  int `json:"leaving"`
 	SetAside int `json:"set_aside"`
@@ -430,11 +452,11 @@
 	TooSlow  int `json:"too_slow"`
 	Busy     int `json:"busy"`
 	Cold     int `json:"cold"`
-	// Throttled engines reached an announced limit or asked for a pause.
+	// Throttled counts engines that reached a limit that they announced, or that asked for a pause.
 	Throttled int `json:"throttled"`
 }
 
-// Candidate is one pair of engines and the figures by which it was judged.
+// Candidate is one pair of a prefill and a decode engine with the figures it was judged by.
 type Candidate struct {
 	Prefill string `json:"prefill"` // Empty if the decode engine prefills the prompt.
 	Decode  string `json:"decode"`
@@ -443,7 +465,7 @@
 	Cached      int           `json:"cached"`            // Prompt tokens expected to be cached.
 	Queue       time.Duration `json:"queue_ns"`          // Wait until the prefill engine is free.
 	PrefillTime time.Duration `json:"read_ns"`           // Prefilling the uncached part of the prompt.
-	Transfer    time.Duration `json:"transfer_ns"`       // Transferring the KV cache, including the link backlog.
+	Transfer    time.Duration `json:"transfer_ns"`       // Transferring the KV cache, including the wait for other transfers on the links.
 	FirstToken  time.Duration `json:"first_token_ns"`    // Predicted time to the first token, from now.
 	Step        time.Duration `json:"between_tokens_ns"` // Predicted time between tokens.
 	FreeKV      int           `json:"free_kv_tokens"`    // Free decode memory before this request, in tokens.
--- a/internal/decide/urgency.go
+++ b/internal/decide/urgency.go
@@ -86,7 +86,7 @@
 // Example: 500 ms are queued, a tenth of all work is as urgent as the request, and the other
 // prompts take 170 ms each. It waits for the one in progress and for a tenth of the rest:
 // 170 and 33 ms.
-func (u *urgency) wait(f *flight, queued time.Duration) (current, ahead time.Duration) {
+func (u *urgency) wait(f *flight, queued time.Duration) (inProgress, urgentQueue time.Duration) {
 	all, urgent, longest := 0.0, 0.0, time.Duration(0)
 	for _, c := range u.classes {
 		all += c.recentWork
@@ -99,6 +99,6 @@
 	if all == 0 || longest == 0 {
 		return 0, queued
 	}
-	current = min(queued, longest)
-	return current, time.Duration(urgent / all * float64(queued-current))
+	inProgress = min(queued, longest)
+	return inProgress, time.Duration(urgent / all * float64(queued-inProgress))
 }
