--- a/internal/decide/advise.go
+++ b/internal/decide/advise.go
@@ -7,60 +7,61 @@
 	"time"
 )
 
-// RoleChange proposes that engines of a pool change their role.
+// RoleChange recommends that engines of a pool change their role.
 type RoleChange struct {
 	Pool    string
 	Region  string
 	Engines []string
-	Role    EngineRole // The role they should take.
+	Role    EngineRole // The new role of the engines.
 }
 
 const (
-	// minGain is by what factor the capacity of a pool must grow for a change of role while it
-	// has requests: an engine that changes its role is unavailable for some seconds. minIdleGain
-	// is the same while the pool has none, when a change costs nothing.
+	// minGain is the factor by which a change of role must raise the capacity of a pool that has requests,
+	// because an engine that changes its role is unavailable for some seconds. minIdleGain is the factor for
+	// a pool without requests, for which a change costs nothing.
 	minGain     = 1.25
 	minIdleGain = 1.1
-	// idleAfter is the time without requests after which a pool counts as idle. A box must
-	// also have been running for that long.
+	// idleAfter is the time without requests after which a pool counts as idle. The pool must also have been
+	// known to this box for that long.
 	idleAfter = 2 * time.Second
-	// busyChangeDivisor bounds how many engines change at once while there are requests: one in
-	// so many of a role. The other engines must take over their work meanwhile.
+	// busyChangeDivisor bounds how many engines change their role at once while the pool has requests: the
+	// number of engines of the role divided by this. The others must do all the work until the change is done.
 	busyChangeDivisor = 4
-	// stableFor is how long no engine must have been added or removed: when a fleet starts or its
-	// list is read again, engines appear one by one, and a partial list gives wrong recommendations.
+	// stableFor is the time for which the number of engines must not have changed. When a fleet starts or its
+	// list is read again, engines are listed one by one, and an incomplete list gives wrong recommendations.
 	stableFor = 1500 * time.Millisecond
-	// defaultWorkRatio is the ratio of a request's work on a decode engine to that on a prefill
-	// engine before any requests are observed. On real deployments it is 2.8 to 3.4
-	// (docs/design/measures.md). It has the weight of defaultRatioWeight requests.
+	// defaultWorkRatio is the ratio of a request's work on a decode engine to its work on a prefill engine
+	// before any requests are observed. On real deployments it is 2.8 to 3.4 (docs/design/measures.md). In
+	// workRatio it counts as much as defaultRatioWeight observed requests.
 	defaultWorkRatio   = 3.0
 	defaultRatioWeight = 100
 )
 
-// workRatio is the ratio of a mean request's work on a decode engine to that on a prefill
-// engine. The more requests have been observed, the less the default ratio counts.
+// workRatio is the ratio of a mean request's work on a decode engine to its work on a prefill engine. It is a
+// weighted mean of the observed and the default ratio. The more requests were observed, the less weight has
+// the default.
 //
-// Example: the first 100 requests take a decode engine as long as a prefill engine, and the
-// default is three times as long. The ratio is the geometric mean of both: 1.7.
+// Example: the first 100 requests took decode engines as long as prefill engines, so the observed ratio is 1.
+// The default is 3 and has the same weight. The result is the geometric mean of both, 1.7.
 func (p *pool) workRatio(region string) float64 {
 	n := p.sampleCount()
 	if n == 0 {
 		return defaultWorkRatio
 	}
-	reg := p.region(region)
+	reg := p.regionNamed(region)
 	f := &flight{Request: Request{
 		Region: region, PromptTokens: int(p.meanPrompt), MaxTokens: int(p.meanOutput), BetweenTokens: p.tokenTarget,
 	}}
 	prefillTime := max(reg.decode[0].prefillTime(int(p.meanUncached)), p.minTransferTime(int(p.meanPrompt))) // All engines of a pool are alike.
 	weight := float64(n) / float64(n+defaultRatioWeight)
-	ratio := max(minRatio, p.decodeWork(f).Seconds()/max(minWork, prefillTime.Seconds()))
-	return math.Exp(weight*math.Log(ratio) + (1-weight)*math.Log(defaultWorkRatio))
+	observedRatio := max(minRatio, p.decodeWork(f).Seconds()/max(minWork, prefillTime.Seconds()))
+	return math.Exp(weight*math.Log(observedRatio) + (1-weight)*math.Log(defaultWorkRatio))
 }
 
-// sampleCount is how many requests the estimated work per request is based on.
+// sampleCount is the number of requests that the observed work ratio is based on.
 func (p *pool) sampleCount() int {
 	switch {
-	case !p.speedKnown() || p.tokenTarget == 0: // The target between tokens is known only from the box's own requests.
+	case !p.speedKnown() || p.tokenTarget == 0: // Only the box's own requests show the target between tokens.
 		return 0
 	case !p.EstimatesSpeed:
 		return p.requestCount
@@ -68,20 +69,21 @@
 	return min(p.requestCount, p.speed.prefillCount, p.speed.stepCount)
 }
 
-// minRatio and minWork, in seconds, avoid division by zero and the logarithm of zero.
+// minRatio, and minWork in seconds, avoid the logarithm of zero and a division by zero.
 const (
 	minRatio = 1e-3
 	minWork  = 1e-6
 )
 
-// RecommendRoleChange returns which engines should change their role, if any. A pool carries as many
-// requests as its scarcer role does, so the best split is the one whose busier role is
-// least busy.
+// RecommendRoleChange returns engines that should change their role, if there are any. A pool can serve as
+// many requests as its scarcer role. So the best split of the engines into roles is the one with the lowest
+// load on the role with the higher load.
 //
-// Example: a request takes 100 ms of a prefill engine and 500 ms of a decode engine, and
-// there are 3 and 6 of them. The roles take 33 and 83 ms per request; with 2 and 7 engines
-// it is 50 and 71, which is 1.17 times better. With 300 ms instead of 500 it would be 50 and
-// 43 instead of 33 and 50, and nothing changes.
+// Example: a request takes 100 ms of a prefill engine and 500 ms of a decode engine, and there are 3 and 6 of
+// these. Per request, the prefill engines together are busy for 33 ms and the decode engines for 83 ms. With
+// 2 and 7 engines these are 50 and 71 ms, which raises the capacity by a factor of 1.17 (83/71). If a decode
+// engine took only 300 ms, the present split would give 33 and 50 ms, and 2 and 7 engines 50 and 43 ms. The
+// higher figure is the same, so nothing would change.
 func (c *Core) RecommendRoleChange() (RoleChange, bool) {
 	for _, name := range c.poolNames {
 		p := c.pools[name]
@@ -107,7 +109,7 @@
 }
 
 func (p *pool) recommendRoleChange(region string, now time.Time) (RoleChange, bool) {
-	reg := p.region(region)
+	reg := p.regionNamed(region)
 	prefills, decodes := notLeaving(reg.prefill), notLeaving(reg.decode)
 	if len(prefills) == 0 && len(decodes) > 1 {
 		return RoleChange{Pool: p.Name, Region: region, Engines: pickAcrossHalls(decodes, 1), Role: Prefill}, true
@@ -150,13 +152,13 @@
 	return RoleChange{Pool: p.Name, Region: region, Engines: pickAcrossHalls(from, n), Role: role}, true
 }
 
-// notLeaving returns the engines that are not leaving, in the same order.
+// notLeaving returns the engines that may get new work, in the same order.
 func notLeaving(list []*engine) []*engine {
 	return slices.DeleteFunc(slices.Clone(list), func(e *engine) bool { return e.leaving() })
 }
 
-// pickAcrossHalls picks n engines, each in the hall with the most engines of the role left,
-// so that every hall keeps some.
+// pickAcrossHalls selects n engines of a role. Each is taken from the hall that has the most engines of the
+// role left, so that no hall loses many more than others.
 func pickAcrossHalls(list []*engine, n int) []string {
 	list = slices.Clone(list)
 	halls := map[string]int{}
--- a/internal/decide/advise_test.go
+++ b/internal/decide/advise_test.go
@@ -9,7 +9,7 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// newPoolCore returns a core with the given number of engines of each role, in three halls.
+// newPoolCore returns a core with one pool of the given numbers of engines, spread over three halls.
 func newPoolCore(prefills, decodes int, selfPrefillRatio float64) *Core {
 	c := New(rand.New(rand.NewPCG(1, 1)), 100)
 	f := Fleet{Pools: []Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: time.Second, SelfPrefillRatio: selfPrefillRatio}}}
@@ -25,11 +25,12 @@
 	}
 	now := time.Unix(1_800_000_000, 0)
 	c.Step(now, f)
-	c.now = now.Add(idleAfter + time.Millisecond) // RecommendRoleChange waits until the list of engines is stable.
+	c.now = now.Add(idleAfter + time.Millisecond) // By now the list of engines counts as complete and the pool as idle.
 	return c
 }
 
-// observeOutputs makes the pool observe many requests of 5,000 tokens with answers of the given length.
+// observeOutputs makes the pool observe many requests with prompts of 5,000 tokens and answers of the given
+// length.
 func (c *Core) observeOutputs(output int) *Core {
 	for range 100 * defaultRatioWeight {
 		c.pools["p"].observe(c.now, 5000, 5000, output, 5*time.Millisecond)
@@ -37,8 +38,8 @@
 	return c
 }
 
-// expectRoleChange makes a pool observe requests with answers of the given length, the last one
-// the given time ago, and expects that number of engines to be told to change.
+// expectRoleChange checks how many engines are told to change to the given role. The pool has observed
+// requests with answers of the given length, the last of them the given time ago.
 func expectRoleChange(t *testing.T, prefills, decodes, output int, ago time.Duration, changes int, role EngineRole) {
 	t.Helper()
 	c := newPoolCore(prefills, decodes, 0).observeOutputs(output)
@@ -56,13 +57,13 @@
 	expectRoleChange(t, 2, 7, 4400, 0, 0, Decode)
 	expectRoleChange(t, 1, 8, 4400, 0, 1, Prefill)
 	expectRoleChange(t, 0, 9, 4400, 0, 1, Prefill)
-	expectRoleChange(t, 3, 6, 100, 0, 1, Prefill) // Long prompts, short answers.
+	expectRoleChange(t, 3, 6, 100, 0, 1, Prefill) // Prompts are long and answers short.
 	expectRoleChange(t, 3, 6, 100, idleAfter+time.Millisecond, 5, Prefill)
 	expectRoleChange(t, 30, 60, 100, 0, 15, Prefill)
 	expectRoleChange(t, 1, 0, 4400, 0, 0, Decode)
 }
 
-// A change that gains little is made only while there are no requests that it could disturb.
+// Changes of role that gain little are recommended for a pool without requests only, where they disturb none.
 func TestAdviseSmallGain(t *testing.T) {
 	expectRoleChange(t, 4, 5, 4400, 0, 0, Decode)
 	expectRoleChange(t, 4, 5, 4400, idleAfter+time.Millisecond, 2, Decode)
@@ -70,7 +71,7 @@
 	expectRoleChange(t, 3, 6, 5500, idleAfter+time.Millisecond, 1, Decode)
 }
 
-// Before the first requests the default work ratio of the roles applies.
+// Before any requests are observed, the default work ratio of the roles determines the recommendation.
 func TestAdviseWithoutRequests(t *testing.T) {
 	for _, tc := range []struct{ prefills, decodes, changes int }{{4, 5, 2}, {3, 6, 0}, {2, 7, 0}, {30, 60, 7}} {
 		a, _ := newPoolCore(tc.prefills, tc.decodes, 0).RecommendRoleChange()
@@ -80,7 +81,7 @@
 	}
 }
 
-// While engines are still being listed there is no recommendation, since the list is incomplete.
+// Shortly after an engine was listed there is no recommendation, because more engines may follow.
 func TestAdviseGrowingList(t *testing.T) {
 	c := newPoolCore(4, 5, 0)
 	c.now = c.pools["p"].changedAt.Add(stableFor - time.Millisecond)
@@ -89,7 +90,8 @@
 	}
 }
 
-// A box that knows only the requests of other boxes knows no target between tokens.
+// A box that has seen requests of other boxes only does not know the target between tokens, and so makes no
+// recommendation.
 func TestAdviseRemoteRequestsOnly(t *testing.T) {
 	c := newPoolCore(2, 7, 0)
 	for range 100 * defaultRatioWeight {
@@ -100,7 +102,8 @@
 	}
 }
 
-// A few timings that suggest slow engines must not reverse the roles.
+// A pool has the right numbers of engines per role. The first few timings suggest slower engines, which must
+// not lead to a recommendation.
 func TestAdviseLittleEvidence(t *testing.T) {
 	c := newPoolCore(2, 7, 0).observeOutputs(4400)
 	p := c.pools["p"]
@@ -113,8 +116,8 @@
 	}
 }
 
-// Without prefill engines, a decode engine prefills the prompt itself if it can. If it
-// cannot, the request is refused as not run.
+// A pool has no prefill engines. If decode engines can prefill prompts themselves, a request is sent to one.
+// Otherwise the request is refused as not run.
 func TestNoPrefillEngines(t *testing.T) {
 	for _, self := range []float64{0, 0.5} {
 		c := newPoolCore(0, 3, self)
@@ -134,7 +137,7 @@
 	}
 }
 
-// retriesLeft is how many retries the budget allows now.
+// retriesLeft is how many retries the core's budget has left.
 func retriesLeft(c *Core) (n int) {
 	for c.budget.Has(c.now, n+1) {
 		n++
@@ -142,8 +145,8 @@
 	return n
 }
 
-// An engine that refused to reserve memory is not asked again for a short time, and the next
-// placement takes no retry from the budget.
+// A decode engine refuses to reserve memory for a request. The request is placed on the other engine, without
+// a retry from the budget. When both have refused, it waits and is tried again after a short pause.
 func TestNoRoomTriesAnother(t *testing.T) {
 	c := newPoolCore(1, 2, 0)
 	before := retriesLeft(c)
@@ -163,7 +166,7 @@
 	}
 }
 
-// expectPrefillOn places one request and expects the given engine to prefill its prompt.
+// expectPrefillOn submits a request and expects the given engine to prefill its prompt, or any if none is given.
 func expectPrefillOn(t *testing.T, c *Core, id ID, want string) Attempt {
 	t.Helper()
 	out := c.Step(c.now, Submit{Request{ID: id, Pool: "p", Region: "r", PromptTokens: 100, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond, Repeatable: true, PrefillNotRun: true}})
@@ -174,8 +177,8 @@
 	return a.Attempt
 }
 
-// An engine that refused a prompt is a last resort for some seconds: the cause usually
-// persists, and each further refusal would take one of the few retries.
+// An engine that refused a prompt is used only if all others refuse too, for some seconds. Its reason usually
+// persists, and each further refusal would cost one of the few retries.
 func TestRefusingEngineIsLastResort(t *testing.T) {
 	c := newPoolCore(2, 2, 0)
 	out := c.Step(c.now, Submit{Request{ID: 1, Pool: "p", Region: "r", PromptTokens: 100, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond, Repeatable: true, PrefillNotRun: true}})
@@ -199,8 +202,8 @@
 	expectPrefillOn(t, c, 9, "")
 }
 
-// An engine that completed a role change takes work as soon as its new role is known, and not
-// only after the next load probe.
+// An engine reports that it is leaving, because it changes its role. It gets work again as soon as the
+// configuration lists it with the new role, without waiting for the next load probe.
 func TestRoleChangeClearsLeaving(t *testing.T) {
 	c := newPoolCore(1, 2, 0)
 	e := c.engines["e01"]
@@ -219,7 +222,8 @@
 	}
 }
 
-// A box that has just started has observed no requests and cannot tell whether the pool is idle.
+// Shortly after its start a box has observed no requests, but cannot tell whether the pool is idle. So it does
+// not recommend a change with a small gain.
 func TestAdviseAtStart(t *testing.T) {
 	c := newPoolCore(4, 5, 0)
 	c.now = c.pools["p"].createdAt.Add(stableFor)
@@ -228,12 +232,12 @@
 	}
 }
 
-// A box that starts with the estimates of other boxes uses them at once instead of the default ratio.
+// A box that starts with the estimates of other boxes recommends by these and not by the default ratio.
 func TestAdviseWithPriorEstimates(t *testing.T) {
 	c := newPoolCore(2, 7, 0).observeOutputs(4400)
 	l := c.pools["p"].estimates()
 	l.PrefillRate, l.Step, l.Requests = 50_000, 600*time.Microsecond, 10_000
-	l.Output = 2200 // Equal work for both roles.
+	l.Output = 2200 // With these lengths both roles have the same work.
 	other := newPoolCore(4, 5, 0)
 	other.pools["p"].EstimatesSpeed = true
 	other.Step(other.now, SetEstimates{l})
@@ -242,18 +246,18 @@
 	}
 }
 
-// Engines whose streams do not slow each other, or seem not to by the first timings, are
-// bounded by memory and slots. They must not be treated as running one stream at a time.
+// The streams of an engine may not slow each other, or not measurably in the first timings. Then memory and
+// slots determine how many streams run at once, and the engine is not treated as running one at a time.
 func TestBatch(t *testing.T) {
 	for _, tc := range []struct {
 		perStream time.Duration
 		slots     int
-		want      time.Duration // The work of an answer of 1,000 tokens.
+		want      time.Duration // The work of a request with an answer of 1,000 tokens.
 	}{
-		{0, 0, 100 * time.Millisecond}, // Memory for 10 streams, 1 ms a token.
+		{0, 0, 100 * time.Millisecond}, // The memory is enough for 10 streams, and a token takes 1 ms.
 		{0, 5, 200 * time.Millisecond},
 		{100 * time.Microsecond, 0, 190 * time.Millisecond},
-		{10 * time.Millisecond, 0, 5 * time.Second}, // The target allows one.
+		{10 * time.Millisecond, 0, 5 * time.Second}, // The target between tokens allows one stream.
 	} {
 		p := &pool{minStep: time.Millisecond, stepPerStreamAtMinStep: tc.perStream, regions: map[string]*region{"r": {maxKV: 10_000, maxSlots: tc.slots}}}
 		f := &flight{Request: Request{Region: "r", PromptTokens: 500, MaxTokens: 1000, BetweenTokens: 5 * time.Millisecond}}
--- a/internal/decide/arrive.go
+++ b/internal/decide/arrive.go
@@ -8,7 +8,7 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file handles requests from their arrival to the queue, and those that leave the queue.
+// This file takes in arriving requests, keeps them in the queue, and starts or refuses waiting requests.
 
 func (c *Core) handleSubmit(r Request) {
 	c.budget.CountRequest(c.now)
@@ -42,13 +42,14 @@
 	c.enqueue(f)
 }
 
-// defaultRetryAfter is the retry delay for a reason that is temporary but whose end is unknown.
+// defaultRetryAfter is the retry delay that a refused caller is told if the cause is temporary but its end
+// is unknown.
 const defaultRetryAfter = time.Second
 
-// checkCapacity refuses a request that is too large for every engine of the pool, or that
-// has no engine in its region at all.
+// checkCapacity refuses a request that is too large for every decode engine of its region, or whose region
+// lacks engines of a role that it needs. It reports whether the request may go on.
 func (c *Core) checkCapacity(f *flight) bool {
-	reg := f.pool.region(f.Region)
+	reg := f.pool.regionNamed(f.Region)
 	switch {
 	case reg.stayingPrefills == 0 && f.pool.SelfPrefillRatio == 0:
 		c.endWithRetryAfter(f, outcome.NoPrefill, defaultRetryAfter)
@@ -62,8 +63,8 @@
 	return false
 }
 
-// estimateWork computes the least work of the request, and the latest start of its prefill
-// if nothing else is running.
+// estimateWork computes the least engine time that the request takes, and the latest time at which its
+// prefill can start and still meet the first-token target. Both assume that no other request runs.
 func (c *Core) estimateWork(f *flight) {
 	leastPrefill := time.Duration(1<<63 - 1)
 	f.uncachedTokens = f.PromptTokens
@@ -72,7 +73,7 @@
 		leastPrefill = min(leastPrefill, e.prefillTime(f.PromptTokens-e.cachedTokens(f)))
 	}
 	if f.pool.SelfPrefillRatio > 0 && len(c.sampledPrefills) == 0 {
-		for _, e := range f.pool.region(f.Region).decode {
+		for _, e := range f.pool.regionNamed(f.Region).decode {
 			leastPrefill = min(leastPrefill, time.Duration(float64(e.prefillTime(f.PromptTokens))/f.pool.SelfPrefillRatio))
 		}
 	}
@@ -82,6 +83,7 @@
 	f.latestStart = f.arrived.Add(f.FirstToken - leastPrefill - f.pool.speed.PrefillDelay - transfer - f.pool.beginTime(f.pool.minStep))
 }
 
+// shortestQueue is the shortest predicted wait of the request for an engine that prefills its prompt.
 func (c *Core) shortestQueue(f *flight) time.Duration {
 	least := time.Duration(1<<63 - 1)
 	for _, e := range c.samplePrefills(f.pool, f) {
@@ -94,8 +96,8 @@
 	return least
 }
 
-// retryAfter is how long the work ahead will take, at least a second, so that a refused
-// caller retries when it has a chance.
+// retryAfter is the retry delay that a refused caller is told. It is the predicted time until the requests
+// before it have started, and at least a second, so that the caller returns when it has a chance.
 func (c *Core) retryAfter(f *flight) time.Duration {
 	return max(time.Second, f.pool.timeAhead(f)+c.shortestQueue(f))
 }
@@ -129,9 +131,9 @@
 	return v
 }
 
-// enqueue adds the request to the queue and then tries to start the first ones, so that a
-// new request never passes a more urgent one. The queue length limits only new requests:
-// it would otherwise cut off a stream that has begun.
+// enqueue adds the request to the queue and then tries to start requests from its front, so that a new
+// request never overtakes a more urgent one. If the queue is full, a new request is refused. A stream that
+// lost its connection is always queued, because otherwise its answer would be cut off.
 func (c *Core) enqueue(f *flight) {
 	p := f.pool
 	if len(p.queue.items) >= c.maxWaiting && f.connectionLostAt.IsZero() {
@@ -148,7 +150,7 @@
 	c.emit(Waiting{f.ID, f.waitReason(), View{Waiting: len(p.queue.items)}})
 }
 
-// waitReason is the role that the request waits for.
+// waitReason is the role of engine that the request waits for, as a reason.
 func (f *flight) waitReason() outcome.Reason {
 	if f.lastChoice != nil && f.lastChoice.Excluded.NoRoom+f.lastChoice.Excluded.TooSlow > 0 && f.lastChoice.Compared == 0 {
 		return outcome.NoDecode
@@ -156,9 +158,9 @@
 	return outcome.NoPrefill
 }
 
-// drainQueue starts waiting requests, most urgent first, and refuses those that can no
-// longer meet their target. After one that does not fit, a few more are tried, so that a
-// large request does not block small ones.
+// drainQueue starts waiting requests, most urgent first, and refuses those that can no longer meet their
+// target. If a request cannot be started now, a few more are tried, so that a large request does not block
+// small ones.
 func (c *Core) drainQueue(p *pool) {
 	if p == nil {
 		return
@@ -189,7 +191,7 @@
 	p.throughput.update(c.now, len(p.queue.items) > 0)
 }
 
-// updateScarceRole determines which role most of the first waiting requests lack.
+// updateScarceRole sets the role of engine that most of the requests at the front of the queue wait for.
 func (p *pool) updateScarceRole(tried int) {
 	n := 0
 	considered := min(tried, len(p.queue.items))
@@ -213,8 +215,8 @@
 	return defaultMaxWait
 }
 
-// refuseUnlikely refuses requests that are not expected to start in time: the sooner callers
-// know, the sooner they can react.
+// refuseUnlikely refuses waiting requests with RefuseEarly that are not expected to start in time. The sooner
+// their callers know, the sooner they can do something else.
 func (c *Core) refuseUnlikely(p *pool) {
 	for _, f := range slices.Clone(p.queue.items) {
 		if !f.RefuseEarly || f.mayBeLate {
@@ -230,8 +232,8 @@
 	}
 }
 
-// startDeadline is when a waiting request is given up. For a stream that has begun, the wait
-// counts from the loss of its connection.
+// startDeadline is the time at which a waiting request is given up. A stream that lost its connection may wait
+// for maxWait from the loss, a request that may be late for maxWait from its arrival.
 func (f *flight) startDeadline() time.Time {
 	switch {
 	case !f.connectionLostAt.IsZero():
--- a/internal/decide/attempt.go
+++ b/internal/decide/attempt.go
@@ -6,19 +6,19 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file starts attempts and handles their success.
+// This file starts the prefill and decode calls of requests, and handles their success.
 
-// tryPlace starts the request if a pair is available for it. Decode memory is reserved
-// before the prefill starts, so a prefill always has an engine to send its result to.
+// tryPlace starts the request if a pair of engines can take it. Decode memory is reserved before the prefill
+// starts, so that each prefill has an engine that will fetch its KV cache.
 func (c *Core) tryPlace(f *flight) bool {
 	chosen, choice, ok := c.choose(f.pool, f, c.now)
 	f.lastChoice = choice
 	if !ok {
 		return false
 	}
-	first, target := c.now.Add(chosen.FirstToken), f.arrived.Add(f.FirstToken)
-	if !f.mayBeLate && first.Add(f.pool.urgency.lateness(f)).After(target) {
-		if !first.After(target) {
+	firstToken, target := c.now.Add(chosen.FirstToken), f.arrived.Add(f.FirstToken)
+	if !f.mayBeLate && firstToken.Add(f.pool.urgency.lateness(f)).After(target) {
+		if !firstToken.After(target) {
 			f.pool.urgency.fadeLateness(f)
 		}
 		f.missesTarget = true
@@ -53,8 +53,8 @@
 	return true
 }
 
-// tooBusy reports that even the best pair has so much queued that the request should wait
-// on this box instead.
+// tooBusy reports whether even the chosen pair has so much queued that the request should wait on this box
+// instead.
 func (c *Core) tooBusy(f *flight, chosen *chosenPair) bool {
 	if chosen.prefill == nil {
 		return chosen.Queue > maxPrefillBacklog
@@ -74,7 +74,8 @@
 	c.emit(StartDecode{ID: f.ID, Attempt: f.attempt, Decode: chosen.decode.Name, Priority: f.enginePriority(), Choice: choice})
 }
 
-// engineEpoch keeps engine priorities small; any fixed time would do.
+// engineEpoch is the time from which engine priorities are counted, which keeps them small. Any fixed time
+// would do.
 var engineEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // setStage begins a stage with the given predicted duration.
@@ -88,8 +89,8 @@
 	return max(minStallMargin, min(maxStallMargin, f.FirstToken/2))
 }
 
-// enginePriority is the request's order in milliseconds. Engines run the lowest first, so
-// the prompts of all boxes are prefilled earliest deadline first.
+// enginePriority is the request's order in milliseconds since engineEpoch. Engines run the request with the
+// lowest value first, so that the requests of all boxes are served earliest deadline first.
 func (f *flight) enginePriority() int { return int(f.order.Sub(engineEpoch).Milliseconds()) }
 
 func (c *Core) reserveDecode(f *flight, e *engine) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// releaseSelfPrefill removes a prompt from the queue of a decode engine that prefills it itself.
+// releaseSelfPrefill removes the prompt from the ledger of the decode engine that prefills it itself.
 func (c *Core) releaseSelfPrefill(f *flight) {
 	if f.selfPrefillReserved {
 		f.decode.releasePrefill(c.now)
@@ -159,8 +160,8 @@
 	c.drainQueue(f.pool)
 }
 
-// startDecode is called after the planned transfer was removed from its links, so that it
-// does not delay itself in the prediction.
+// startDecode sends the request to its decode engine. The planned transfer must have been removed from its
+// links before. Otherwise it would count as another transfer and delay itself in the prediction.
 func (c *Core) startDecode(f *flight, moved outcome.Reason) {
 	f.attempt = f.newAttempt()
 	f.decodeAttempt = f.attempt
@@ -173,9 +174,9 @@
 	})
 }
 
-// improveDecode changes the decode engine before the transfer starts if the answer would
-// begin clearly sooner on another one: loads of links and batches have changed since the
-// engine was selected, before the prefill. Memory is reserved on one of the two at all times.
+// improveDecode changes the decode engine if the answer would begin clearly sooner on another one. It is
+// called after the prefill and before the transfer, because the load of links and engines has changed since
+// the decode engine was chosen. Memory is reserved on one of the two engines at all times.
 func (c *Core) improveDecode(f *flight) {
 	var excluded Exclusions
 	c.findDecodeOptions(f.pool, f, c.now, &excluded)
@@ -194,7 +195,8 @@
 	}
 }
 
-// reserveOtherDecode reserves memory on a decode engine other than the present one.
+// reserveOtherDecode releases the memory on the present decode engine and reserves memory on another one. It
+// reports whether there is another one.
 func (c *Core) reserveOtherDecode(f *flight) bool {
 	f.engineToAvoid = f.decode
 	c.releaseDecode(f)
@@ -228,7 +230,7 @@
 		f.timing.FirstEventDelay = max(0, took-alone)
 	}
 	f.firstTokens = ev.Tokens
-	f.prefillAttempt = 0 // The decode engine has taken the KV cache.
+	f.prefillAttempt = 0 // The decode engine has fetched the KV cache, so the prefill engine no longer holds it.
 	f.stageDeadline = time.Time{}
 	c.noteSuccess(f.decode)
 }
--- a/internal/decide/core.go
+++ b/internal/decide/core.go
@@ -11,39 +11,45 @@
 )
 
 const (
-	// maxPrefillBacklog is how much work of at least the same urgency a prefill engine may
-	// have queued ahead of a new prompt. Beyond it the request waits on the box, where a better
-	// engine or a more urgent request can still come first.
+	// maxPrefillBacklog is how long a prompt may be predicted to wait on a prefill engine for
+	// queued prompts that are at least as urgent. If it would wait longer, the request waits on
+	// the box instead, where a better engine or a more urgent request can still come first.
 	maxPrefillBacklog = 80 * time.Millisecond
-	// maxLinkBacklog is the same for the transfer: how long it may wait for its links. Large
-	// transfers that wait on the box leave room for small ones.
+	// maxLinkBacklog is how long the transfer of a KV cache may be predicted to wait for other
+	// transfers on its links. If it would wait longer, the request waits on the box, which
+	// leaves the links to smaller transfers.
 	maxLinkBacklog = 100 * time.Millisecond
-	// minRebindGain is how much sooner an answer must begin for the decode engine to be
-	// changed once the prompt is prefilled.
+	// minRebindGain is how much sooner an answer must be predicted to begin on another decode
+	// engine for that engine to be used. This is checked when the prompt has been prefilled.
 	minRebindGain = 5 * time.Millisecond
-	// A stage counts as stalled when it takes longer than stallFactor times its predicted
-	// duration plus half the first-token target, the latter within these margins. The
-	// request is then moved if another engine can take it, and otherwise left alone: a slow
-	// call is not a lost one, and giving up many at once would only load the other engines.
+	// A stage of a request (prefill or transfer) counts as stalled after stallFactor times its
+	// predicted duration plus a margin. The margin is half the first-token target, but at least
+	// minStallMargin and at most maxStallMargin. A stalled request is moved if another engine can
+	// take it, and otherwise left alone: a slow call is not a lost call, and giving up many calls
+	// at once would only load the other engines.
 	stallFactor    = 3
 	minStallMargin = 300 * time.Millisecond
 	maxStallMargin = 2 * time.Second
-	// hardStallTimeout plus the first-token target ends a stage in any case.
+	// After hardStallTimeout plus the first-token target, a call is given up even if no other
+	// engine can take the request.
 	hardStallTimeout = 5 * time.Second
-	// expiryMargin is how long before its expiry a KV cache is no longer used.
+	// expiryMargin is how long before the expiry of a KV cache on its prefill engine the cache is
+	// no longer fetched.
 	expiryMargin = 50 * time.Millisecond
-	// defaultMaxWait bounds the wait of a request that may be late.
+	// defaultMaxWait bounds the wait of a request that may run late, if the request sets no bound.
 	defaultMaxWait = 30 * time.Second
-	// lateOrderDelay puts requests that may be late behind those that may not. Otherwise
-	// they would become the most urgent ones as soon as they are late, and delay all
-	// others past their targets too.
+	// lateOrderDelay is added to the deadline by which requests that may run late are ordered, so
+	// that all others go before them. Without it, such requests would become the most urgent as
+	// soon as they are late, and would make the others late too.
 	lateOrderDelay = defaultMaxWait
-	// maxTries bounds the prefills of one request, even if the retry budget allows more.
+	// maxTries is how many times a request may be started, even if the retry budget allows more.
 	maxTries = 3
 	// maxPlacementTries bounds how many waiting requests one event tries to place.
 	maxPlacementTries = 8
 )
 
+// stage is the stage of a request: it waits on the box, a prefill engine prefills the prompt, the
+// decode engine fetches the KV cache, or the answer is being streamed.
 type stage uint8
 
 const (
@@ -53,80 +59,91 @@
 	streaming
 )
 
-// flight is one request from its arrival to its end.
+// flight is one request from its arrival to its end. A try is one run of the request on a pair of
+// engines: a prefill call, and then one or more decode calls.
 type flight struct {
 	Request
 	pool    *pool
 	stage   stage
 	arrived time.Time
-	// latestStart is when the prefill must start for the first-token target to be met.
+	// latestStart is the latest time at which the prefill can start and still meet the first-token
+	// target.
 	latestStart time.Time
-	// work is the least time that the request takes of an engine of each role. For a
-	// prefill engine it is the longer of the prefill and the transfer of the KV cache;
-	// for a decode engine, the request's share of a full batch while it is decoded.
+	// work is the least engine time that the request takes, by role. For a prefill engine it is the
+	// duration of the prefill, or of the transfer of the KV cache if that is longer. For a decode
+	// engine it is the request's share of a full batch while its answer is generated.
 	work [2]time.Duration
-	// order is latestStart adjusted by the route's priority; the queue and the engines
-	// run the earliest first.
+	// order is the deadline by which requests are ordered, earliest first, on the box and on the
+	// engines. It is latestStart plus the priority of the route.
 	order time.Time
-	// mayBeLate requests wait past their target.
+	// mayBeLate means that the request may start after latestStart: it waits on past its target
+	// instead of being refused.
 	mayBeLate bool
 	// connectionLostAt is when the connection of a running stream was last lost; zero if it never was.
 	connectionLostAt time.Time
-	// yieldsToOnTime requests go behind all requests that can still be on time.
+	// yieldsToOnTime means that the request goes behind all requests that can still be on time.
 	yieldsToOnTime bool
-	attempt        Attempt
+	// attempt is the number of the latest call to an engine.
+	attempt Attempt
 	// ran is set once any part of the request may have run, and is never reset.
 	ran bool
-	// enginesRun are the decode engines that may have run any part of the request.
+	// enginesRun are the decode engines that may have run any part of the request. tries is the number
+	// of tries so far.
 	enginesRun []*engine
 	tries      int
-	// prefillSent and decodeSent report whether a prefill call and a decode call were sent.
+	// prefillSent and decodeSent report whether any prefill call and any decode call were sent yet.
 	prefillSent, decodeSent bool
-	engineToAvoid           *engine // The engine on which the last try failed.
-	lastChoice              *Choice // The result of the last attempt to place the request.
-	missesTarget            bool    // Whether that attempt found no pair that meets the target.
+	// engineToAvoid is the engine on which the last call failed, or the decode engine that had to be
+	// replaced. It is used again only if there is no other.
+	engineToAvoid *engine
+	// lastChoice is the result of the last attempt to place the request. missesTarget reports that the
+	// best pair of engines was predicted to miss the first-token target then.
+	lastChoice   *Choice
+	missesTarget bool
 
 	prefill             *engine
-	prefillAttempt      Attempt // 0 if no prefill engine holds anything for the request.
-	prefillReserved     bool    // Whether the ledger of the prefill engine contains the prompt.
-	selfPrefillReserved bool    // The same for a decode engine that prefills the prompt itself.
-	uncachedTokens      int     // Prompt tokens that are not cached on the prefill engine.
-	expires             time.Time
-	kvMayBeTaken        bool // Whether a decode engine may have taken the KV cache from the prefill engine.
+	prefillAttempt      Attempt   // The prefill call whose KV cache is used or awaited; 0 if no prefill engine holds anything.
+	prefillReserved     bool      // Whether the ledger of the prefill engine contains the prompt.
+	selfPrefillReserved bool      // Whether the ledger of the decode engine contains the prompt, because that engine prefills it.
+	uncachedTokens      int       // Prompt tokens that are not cached on the prefill engine.
+	expires             time.Time // When the prefill engine drops the KV cache.
+	kvMayBeTaken        bool      // Whether a decode engine may have taken the KV cache from the prefill engine.
 
 	predictedPrefillEnd time.Time
-	// ownWorkEnd is the predicted end of the prefill if no other box has sent work to the engine.
+	// ownWorkEnd is the end of the prefill that is predicted from this box's own work on the engine
+	// alone. Any delay beyond it is due to work of other boxes.
 	ownWorkEnd time.Time
-	// plannedLinks are the engines whose links the running or expected transfer uses.
+	// plannedLinks are the two engines between which the current or next transfer takes place.
 	plannedLinks [2]*engine
 
 	decode        *engine
 	decodeAttempt Attempt // 0 if no decode engine was sent anything.
 	reservedKV    int     // Tokens reserved in the ledger of the decode engine.
 
-	// tokensAhead is how many tokens were known to be queued ahead of the prompt, and timing
-	// collects the time that the request took on engines.
+	// tokensAhead is the number of prompt tokens that were known to be queued on the prefill engine
+	// before the prompt. timing collects how long the engines took for the request.
 	tokensAhead int
 	timing      Timing
 
 	streamStart time.Time // When the answer began.
-	// firstTokens arrived with the first event; wasMigrated is set once the stream was migrated.
+	// firstTokens is the number of tokens in the first event of the answer. wasMigrated is set once the
+	// stream was migrated to another decode engine.
 	firstTokens int
 	wasMigrated bool
-	// migrateTarget is the engine that the stream is being migrated to by migrateAttempt, with
-	// targetReservedKV tokens reserved in its ledger; nil if no migration is under way. No
-	// migration starts before noMigrateBefore.
+	// migrateTarget is the engine that the stream is being migrated to; nil if no migration is under
+	// way. The migration has the attempt number migrateAttempt, and targetReservedKV tokens are
+	// reserved in the ledger of the target. No migration starts before noMigrateBefore.
 	migrateTarget    *engine
 	targetReservedKV int
 	migrateAttempt   Attempt
-	retryTakenAt     time.Time // When the retry for the migration was taken from the budget.
+	retryTakenAt     time.Time // When the retry that pays for the migration was taken from the retry budget.
 	noMigrateBefore  time.Time
 
 	stageStart    time.Time
 	stageDeadline time.Time // When the stage counts as stalled; zero if it cannot stall.
 }
 
-// kvNeed is the decode memory that the request can take, in tokens.
+// kvNeed is the largest decode memory that the request can need, in tokens.
 func (f *flight) kvNeed() int { return f.PromptTokens + f.MaxTokens }
 
 // kvNeedAtStart is the decode memory that must be free for decoding to begin, in tokens.
@@ -145,11 +162,11 @@
 	return f.MaxTokens
 }
 
-// fullStreamTokens is the answer length from which a request counts as a whole stream in
-// step-time predictions. Shorter answers end after a few steps.
+// fullStreamTokens is the answer length from which a request counts as a whole stream when step times
+// are predicted. Shorter answers count in proportion, since they end after a few steps.
 const fullStreamTokens = 64
 
-// streamWeight is the fraction of a stream that the request counts as in step-time predictions.
+// streamWeight is the fraction of a stream as which the request counts when step times are predicted.
 func (f *flight) streamWeight() float64 { return min(1, float64(f.MaxTokens)/fullStreamTokens) }
 
 // Core is the scheduling state of one box. It is not safe for concurrent use.
@@ -158,27 +175,28 @@
 	maxWaiting int
 	engines    map[string]*engine
 	pools      map[string]*pool
-	poolNames  []string // Sorted pool names, so that runs are reproducible.
+	poolNames  []string // Sorted pool names. Pools are visited in this order, so that equal events give equal results.
 	flights    map[ID]*flight
-	// priorEstimates are the estimates of pools that were loaded at the start.
+	// priorEstimates are estimates of engine speeds and request lengths, by pool, from before this
+	// core started.
 	priorEstimates map[string]Estimates
 	budget         retry.Budget
 	// lastTick is the time of the last tick; zero before the first.
 	lastTick time.Time
 	remote   remoteLoad
-	// notices are the limits and pauses that engines announce in their answers; nil if unknown.
+	// notices tells which limits and pauses engines have announced; nil if nothing does.
 	notices Notices
 	now     time.Time
 	actions []Action
 
-	// Scratch space of choose, reused to avoid allocations.
+	// The following slices are working memory of choose, which reuses them to avoid allocations.
 	sampledPrefills, sampledDecodes []*engine
 	prefillOptions                  []prefillOption
 	decodeOptions                   []decodeOption
 	bestPairs                       []pair
 }
 
-// New returns an empty core that lets at most maxWaiting requests wait.
+// New returns a core without pools that lets at most maxWait requests wait.
 func New(rng *rand.Rand, maxWait int) *Core {
 	c := &Core{
 		rng:            rng,
@@ -192,26 +210,26 @@
 	return c
 }
 
-// Notices gives access to the limits and pauses that engines announce to this box in their answers.
+// Notices tells the limits and pauses that engines announced to this box in their answers.
 type Notices interface {
 	// ThrottledFor is how long an engine accepts no new requests of this box; 0 if it accepts some now.
 	ThrottledFor(engine string, now time.Time) time.Duration
 	// Sent records that a new request is sent to an engine.
 	Sent(engine string, now time.Time)
-	// IsPaused reports whether an engine asked this box for a pause, during which not even
-	// requests that were placed on it before may be sent.
+	// IsPaused reports whether an engine asked this box for a pause. During a pause the engine is
+	// not even sent requests that were placed on it before.
 	IsPaused(engine string, now time.Time) bool
 }
 
-// SetNotices makes the core obey engine notices. It must be called before the first event;
-// on a nil core it does nothing.
+// SetNotices makes the core obey the limits and pauses of engines. It must be called before the first
+// event. On a nil core it does nothing.
 func (c *Core) SetNotices(n Notices) {
 	if c != nil {
 		c.notices = n
 	}
 }
 
-// throttledFor is how long an engine accepts no new requests of this box.
+// throttledFor is how long an engine accepts no new requests of this box; 0 if it accepts some now.
 func (c *Core) throttledFor(e *engine) time.Duration {
 	if c.notices == nil {
 		return 0
@@ -219,6 +237,7 @@
 	return c.notices.ThrottledFor(e.Name, c.now)
 }
 
+// noteSent records that a request is sent to the engine.
 func (c *Core) noteSent(e *engine) {
 	e.lastUsed = c.now
 	if c.notices != nil {
@@ -230,15 +249,18 @@
 	return c.notices != nil && c.notices.IsPaused(e.Name, c.now)
 }
 
-// allThrottledFor is how long no engine that stays accepts a new request; 0 if one does now.
+// allThrottledFor is how long no engine of the role that the request needs accepts new requests; 0 if
+// an engine accepts some now.
 func (c *Core) allThrottledFor(f *flight) time.Duration {
-	reg := f.pool.region(f.Region)
+	reg := f.pool.regionNamed(f.Region)
 	if wait := c.shortestThrottle(reg.decode); wait > 0 || f.pool.SelfPrefillRatio > 0 {
 		return wait
 	}
 	return c.shortestThrottle(reg.prefill)
 }
 
+// shortestThrottle is the shortest time until one of the engines accepts a new request. Engines that are
+// leaving do not count. It is 0 if an engine accepts one now, or if there is none.
 func (c *Core) shortestThrottle(list []*engine) (least time.Duration) {
 	for _, e := range list {
 		if e.leaving() {
@@ -255,20 +277,21 @@
 	return least
 }
 
-// SetRetryLimits limits the box to its share of the retries that a platform allows for the
-// given number of boxes. The box started at the given time.
+// SetRetryLimits sets the retries that the platform allows to all its boxes together. This box takes its
+// share of them, given the number of boxes and the time at which it started.
 func (c *Core) SetRetryLimits(l retry.Limits, boxes int, started time.Time) {
 	c.budget.SetBound(l, boxes, started)
 }
 
-// SetGossipConnected sets whether messages of other boxes are received.
+// SetGossipConnected sets whether this box receives the messages (gossip) of the other boxes, among them
+// the ends of their streams.
 func (c *Core) SetGossipConnected(yes bool) {
 	for _, p := range c.pools {
 		p.receivesStreamEnds = yes
 	}
 }
 
-// IsAnswering reports whether a decode call of a request is the one that its caller is answered from.
+// IsAnswering reports whether a decode call is the one whose answer is passed on to the caller.
 func (c *Core) IsAnswering(id ID, a Attempt) bool {
 	f := c.flights[id]
 	return f != nil && f.stage == streaming && f.decodeAttempt == a
@@ -360,8 +383,8 @@
 
 func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-// updateFleet replaces the engines and keeps the state of those that remain. An engine
-// that was removed keeps its ledger until its last request has ended.
+// updateFleet replaces the configuration of pools and engines, and keeps the state of engines that
+// remain. The ledger of a removed engine is kept until its last request has ended.
 func (c *Core) updateFleet(ev Fleet) {
 	for _, p := range ev.Pools {
 		if c.pools[p.Name] == nil {
@@ -377,7 +400,7 @@
 		before[p] = len(p.prefill) + len(p.decode)
 		p.prefill, p.decode = nil, nil
 	}
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, cfg := range ev.Engines {
 		p := c.pools[cfg.Pool]
 		if p == nil {
@@ -393,7 +416,7 @@
 			e.report.Leaving = false
 		}
 		e.Engine = cfg
-		named[cfg.Name] = true
+		listed[cfg.Name] = true
 		if cfg.Role == Prefill {
 			p.prefill = append(p.prefill, e)
 		} else {
@@ -401,7 +424,7 @@
 		}
 	}
 	for name := range c.engines {
-		if !named[name] {
+		if !listed[name] {
 			c.engines[name].Leaving = true
 			delete(c.engines, name)
 		}
@@ -445,10 +468,10 @@
 	c.drainQueue(p)
 }
 
-// tickInterval is how often the driver is expected to send Tick.
+// tickInterval is how often the core expects a Tick event.
 const tickInterval = 20 * time.Millisecond
 
-// TickEvery is how often the driver should send Tick.
+// TickEvery is how often the program that runs the core should send a Tick event.
 func TickEvery() time.Duration { return tickInterval }
 
 func (c *Core) handleTick() {
--- a/internal/decide/core_test.go
+++ b/internal/decide/core_test.go
@@ -11,7 +11,8 @@
 
 var start = time.Unix(1800000000, 0)
 
-// fixture is a core with a small pool and a clock for short tests.
+// fixture is a core with one small pool and a clock, for short tests. It keeps the core's last actions for
+// each request.
 type fixture struct {
 	t        *testing.T
 	c        *Core
@@ -21,6 +22,8 @@
 	decodes  map[ID]StartDecode
 }
 
+// newFixture returns a fixture with prefill engines a, b, ... and decode engines with the letters after these.
+// A prefill engine prefills 10,000 tokens per second.
 func newFixture(t *testing.T, prefills, decodes int) *fixture {
 	s := &fixture{
 		t: t, c: New(rand.New(rand.NewPCG(1, 2)), 1000), now: start,
@@ -51,6 +54,8 @@
 	}
 }
 
+// arrive submits a request of a client with a prompt of the given number of tokens and a first-token target
+// of one second.
 func (s *fixture) arrive(id ID, client string, tokens int) {
 	s.step(Submit{Request: Request{
 		ID: id, Pool: "p", Region: "r", Client: client, PromptTokens: tokens, MaxTokens: 10,
@@ -77,10 +82,11 @@
 	}
 }
 
-// When too much is waiting, the largest request is refused at once and the others are on time.
+// More requests wait for the only prefill engine than can be on time. The largest is refused at once, and the
+// others are started in time.
 func TestLargestRequestIsRefused(t *testing.T) {
 	s := newFixture(t, 1, 1)
-	s.arrive(1, "a", 4000) // 400 ms of prefill: starts.
+	s.arrive(1, "a", 4000) // Takes 400 ms of prefill and is started at once.
 	s.arrive(2, "a", 5000)
 	s.arrive(3, "a", 1000)
 	s.arrive(4, "a", 1500)
@@ -88,13 +94,14 @@
 	s.expectRefused(2, outcome.TooLate)
 	s.advance(400 * time.Millisecond)
 	s.step(PrefillDone{ID: 1, Attempt: 1, Expires: s.now.Add(time.Second)})
-	s.expectStarted(4) // It must start first to be on time.
+	s.expectStarted(4) // It has the longer prompt, so it must start first to be on time.
 	s.advance(150 * time.Millisecond)
 	s.step(PrefillDone{ID: 4, Attempt: 1, Expires: s.now.Add(time.Second)})
 	s.expectStarted(3)
 }
 
-// The bulk load of one client does not displace another client's request, even a larger one.
+// One client submits many requests, another client one larger request. The larger request is still started,
+// since it is requests of the busy client that are refused.
 func TestBulkDoesNotStarve(t *testing.T) {
 	s := newFixture(t, 1, 1)
 	s.arrive(1, "bulk", 3000)
@@ -111,7 +118,8 @@
 	s.expectStarted(2)
 }
 
-// An engine with three failures in a row is set aside and later probed by one request.
+// After three failures in a row an engine gets no requests. When that period is over, it gets exactly one
+// request as a probe.
 func TestSetAside(t *testing.T) {
 	s := newFixture(t, 2, 1)
 	bad := s.c.engines["a"]
@@ -139,7 +147,8 @@
 	}
 }
 
-// Retries are limited to a share of the requests: when everything fails they run out.
+// All prefill calls fail. The number of retries stays within the budget, which is a share of the number of
+// requests plus some free retries.
 func TestRetryBudget(t *testing.T) {
 	s := newFixture(t, 3, 3)
 	retries := 0
@@ -177,7 +186,8 @@
 	expectDelay(t, link{[]transfer{{1, start.Add(-200 * ms), 130 * ms}}}, 2*ms, 0)
 }
 
-// The predicted cache size adapts to what the engine really keeps.
+// The assumed cache size of an engine falls to the minimum after many wrong predictions, and rises to the
+// maximum after many right ones.
 func TestCacheSizeAdapts(t *testing.T) {
 	c := &blockCache{}
 	for range 100 {
@@ -207,15 +217,17 @@
 	}
 }
 
-func expectWait(t *testing.T, u *urgency, target, queued, reading, ahead time.Duration) {
+// expectWait checks the predicted wait of a request with the given first-token target for an engine with the
+// given queue: the part for the prompt that is being prefilled, and the part for prompts at least as urgent.
+func expectWait(t *testing.T, u *urgency, target, queued, wantInProgress, wantUrgentQueue time.Duration) {
 	t.Helper()
-	r, a := u.wait(&flight{Request: Request{FirstToken: target}}, queued)
-	if r != reading || a != ahead {
-		t.Errorf("expected %s and %s, got %s and %s", reading, ahead, r, a)
+	inProgress, urgentQueue := u.wait(&flight{Request: Request{FirstToken: target}}, queued)
+	if inProgress != wantInProgress || urgentQueue != wantUrgentQueue {
+		t.Errorf("expected %s and %s, got %s and %s", wantInProgress, wantUrgentQueue, inProgress, urgentQueue)
 	}
 }
 
-// A request waits for the prompt in progress and for work of at least the same urgency.
+// A request waits for the prompt that is being prefilled and for queued prompts that are at least as urgent.
 func TestUrgency(t *testing.T) {
 	ms := time.Millisecond
 	u := &urgency{classes: []urgencyClass{{target: 400 * ms, recentWork: 1, meanPrefill: 10 * ms}, {target: 2 * time.Second, recentWork: 9, meanPrefill: 170 * ms}}}
@@ -225,10 +237,10 @@
 	expectWait(t, &urgency{}, 400*ms, 500*ms, 0, 500*ms)
 }
 
-// A request that may be late is served after the others.
+// A request that may run late arrives first, but is started after a request that can still be on time.
 func TestLateRequestsGoLast(t *testing.T) {
 	s := newFixture(t, 1, 1)
-	s.arrive(1, "a", 3000) // Takes 300 ms.
+	s.arrive(1, "a", 3000) // Its prefill takes 300 ms.
 	s.step(Submit{Request: Request{
 		ID: 2, Pool: "p", Region: "r", Client: "late", PromptTokens: 2000, MaxTokens: 10,
 		FirstToken: 100 * time.Millisecond, BetweenTokens: 20 * time.Millisecond, ServeLate: true,
@@ -246,7 +258,7 @@
 	s.expectStarted(2)
 }
 
-// In a pool with two regions each request uses only the engines of its own, even if they are few.
+// A pool has two engines in region r and 78 in another region. Each request of region r uses only those two.
 func TestRegionsOfOnePool(t *testing.T) {
 	s := newFixture(t, 0, 0)
 	f := Fleet{Pools: []Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: 5 * time.Second}}}
@@ -271,7 +283,8 @@
 	}
 }
 
-// Once a request may have run on MaxEngines decode engines, it continues on one of these only.
+// Two decode engines may run a request (MaxEngines), and all calls fail. Further tries use only the two decode
+// engines that may have run the request already.
 func TestMaxEngines(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newFixture(t, 1, 4)
--- a/internal/decide/failure.go
+++ b/internal/decide/failure.go
@@ -7,7 +7,7 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file handles failed and stalled attempts, cancellations and the ends of requests.
+// This file handles failed and stalled calls, cancellations and the ends of requests.
 
 func (c *Core) handleFailed(ev Failed) {
 	f := c.flights[ev.ID]
@@ -30,7 +30,8 @@
 	c.drainQueue(f.pool)
 }
 
-// recoverFromFailure decides what becomes of a request whose current call failed.
+// recoverFromFailure decides what happens to a request whose current call failed. ran reports that the call
+// may have run the request, and kvGone that the prefill engine no longer has the KV cache.
 func (c *Core) recoverFromFailure(f *flight, reason outcome.Reason, ran, kvGone bool) {
 	switch f.stage {
 	case prefilling:
@@ -39,8 +40,8 @@
 		c.retryDecode(f, reason, ran, kvGone)
 	case streaming:
 		if f.Resumable {
-			// The caller waits in the middle of its answer, and there is no target left to
-			// miss: any pair is better than none.
+			// The caller waits in the middle of its answer, so the first-token target no longer matters, and
+			// any pair of engines is better than none.
 			f.mayBeLate = true
 			f.connectionLostAt = c.now
 			f.order = f.latestStart
@@ -52,13 +53,13 @@
 	}
 }
 
-// refusedKVPause is how long a decode engine that refused to reserve memory is not asked
-// for as much again. On a busy engine several streams end per second.
+// refusedKVPause is how long a decode engine that refused to reserve memory is not asked for as much again.
+// It is short, because several streams per second end on a busy engine.
 const refusedKVPause = 100 * time.Millisecond
 
-// handleNoRoom places a request again whose decode engine turned out to be full, because
-// its figures were old or other boxes were faster. Nothing was sent, so this does not
-// count as a try and takes no retry from the budget.
+// handleNoRoom places a request again whose decode engine refused to reserve memory. The engine was full,
+// because its figures were old or other boxes were faster. Nothing was sent, so the placement does not count
+// as a try and takes no retry from the budget.
 func (c *Core) handleNoRoom(ev ReservationRefused) {
 	f := c.flights[ev.ID]
 	selfPrefilling := f != nil && f.stage == transferring && f.prefill == nil
@@ -72,12 +73,12 @@
 	c.enqueue(f)
 }
 
-// retryDecode transfers the KV cache to a second decode engine while the prefill engine
-// still has it, and otherwise abandons the try.
+// retryDecode has another decode engine fetch the KV cache, if the prefill engine still has it. Otherwise it
+// abandons the try.
 func (c *Core) retryDecode(f *flight, reason outcome.Reason, ran, kvGone bool) {
 	c.abortDecode(f)
-	// A call that may have run may have taken the KV cache, which can be taken only once. If another
-	// engine then refuses the request, the cache is gone; trying further engines would waste retries.
+	// A call that may have run may have taken the KV cache, which can be taken only once. If another engine
+	// then refuses the request, the cache is gone, and calling further engines would waste retries.
 	kvGone = kvGone || f.kvMayBeTaken && reason == outcome.EndpointRefused
 	f.kvMayBeTaken = f.kvMayBeTaken || ran
 	usable := !kvGone && c.now.Add(expiryMargin).Before(f.expires)
@@ -90,21 +91,21 @@
 	c.abandonTry(f, reason, ran)
 }
 
-// noteMayHaveRun records that the present decode engine may have run the request.
+// noteMayHaveRun records that the present decode engine may have run a part of the request.
 func (f *flight) noteMayHaveRun() {
 	if f.decode != nil && !slices.Contains(f.enginesRun, f.decode) {
 		f.enginesRun = append(f.enginesRun, f.decode)
 	}
 }
 
-// canRunOn reports whether a decode engine may run the request. Once MaxEngines engines
-// may have run it, only these may continue.
+// canRunOn reports whether the decode engine may run the request. Once MaxEngines engines may have run a part
+// of it, only these engines may run it again.
 func (f *flight) canRunOn(e *engine) bool {
 	return f.MaxEngines <= 0 || len(f.enginesRun) < f.MaxEngines || slices.Contains(f.enginesRun, e)
 }
 
-// canUseAnotherEngine reports whether an engine other than the previous ones and the present
-// one may still run the request.
+// canUseAnotherEngine reports whether MaxEngines allows a decode engine besides the present one and those
+// that may already have run a part of the request.
 func (f *flight) canUseAnotherEngine() bool {
 	n := len(f.enginesRun)
 	if f.stage != prefilling && f.decode != nil && !slices.Contains(f.enginesRun, f.decode) {
@@ -113,8 +114,8 @@
 	return f.MaxEngines <= 0 || n < f.MaxEngines
 }
 
-// abandonTry frees everything that the try holds, and starts another one if the request
-// may be repeated, the budget allows it and the target can still be met.
+// abandonTry ends the calls of the present try and releases its memory. It starts another try if the request
+// may be run again, the retry budget allows it and the first-token target can still be met.
 func (c *Core) abandonTry(f *flight, reason outcome.Reason, ran bool) {
 	f.ran = f.ran || ran
 	if f.stage != prefilling || ran {
@@ -139,18 +140,18 @@
 	c.enqueue(f)
 }
 
-// CanResume reports whether a stream whose connection is lost now would be tried again.
+// CanResume reports whether the stream would be resumed on other engines if its connection were lost now.
 func (c *Core) CanResume(now time.Time, id ID) bool {
 	f := c.flights[id]
 	return f != nil && f.stage == streaming && f.Resumable && f.tries < maxTries && f.canUseAnotherEngine() && c.budget.Has(now, f.retriesForNextTry())
 }
 
-// TakeRetries takes n retries, all or none, and reports whether there were enough.
+// TakeRetries takes n retries from the budget and reports whether there were n. If not, it takes none.
 func (c *Core) TakeRetries(now time.Time, n int) bool { return c.budget.Take(now, n) }
 
-// retriesForNextTry is how many calls beyond the first of their kind the next try sends, now
-// that the present one failed. A platform counts a repeated prefill as well as a repeated
-// decode: when one retry paid for both, the boxes together sent twice what they had taken.
+// retriesForNextTry is how many retries the next try costs, if the present one failed. A platform counts
+// each prefill call and each decode call of a request beyond the first as a retry, so a try may cost two.
+// When one retry paid for both calls, the boxes together sent twice as many such calls as they had retries.
 func (f *flight) retriesForNextTry() int {
 	f.prefillSent = f.prefillSent || f.prefill != nil
 	f.decodeSent = f.decodeSent || f.stage != prefilling
@@ -160,7 +161,7 @@
 	return 1
 }
 
-// currentEngine is the engine that the present stage waits for; nil while nothing is sent.
+// currentEngine is the engine of the call that the present stage waits for; nil if there is none.
 func (f *flight) currentEngine() *engine {
 	if f.stage == prefilling {
 		return f.prefill
@@ -168,8 +169,8 @@
 	return f.decode
 }
 
-// engineToBlame is the engine responsible for a failure of the present stage. If the
-// decode engine was already released in search of another, it is the avoided one.
+// engineToBlame is the engine responsible for a failure in the present stage. If the decode engine was
+// released and no other was found, it is the released one.
 func (f *flight) engineToBlame() *engine {
 	if e := f.currentEngine(); e != nil {
 		return e
@@ -177,7 +178,7 @@
 	return f.engineToAvoid
 }
 
-// abortCalls aborts the open calls of the request and releases its ledger entries.
+// abortCalls aborts the open calls of the request and releases what the ledgers of engines hold for it.
 func (c *Core) abortCalls(f *flight) {
 	c.abortDecode(f)
 	c.releasePrefill(f)
@@ -208,7 +209,7 @@
 	c.drainQueue(f.pool)
 }
 
-// end ends a request without an answer. If it has not run and the reason is temporary, the
+// end ends a request without a complete answer. If the request has not run and the cause is temporary, the
 // caller is told when to retry.
 func (c *Core) end(f *flight, reason outcome.Reason, detail string) {
 	o := outcome.Outcome{Kind: f.kindWithoutAnswer(), Reason: reason, Detail: detail}
@@ -222,12 +223,12 @@
 	c.finish(f, outcome.Outcome{Kind: f.kindWithoutAnswer(), Reason: reason, RetryAfter: after})
 }
 
-// endTooLate refuses a request that cannot be on time; detail says why.
+// endTooLate refuses a request that cannot be on time. The caller is told why (detail) and when to retry.
 func (c *Core) endTooLate(f *flight, detail string) {
 	c.finish(f, outcome.Outcome{Kind: f.kindWithoutAnswer(), Reason: outcome.TooLate, Detail: detail, RetryAfter: c.retryAfter(f)})
 }
 
-// kindWithoutAnswer is the outcome kind of a request that ends without an answer.
+// kindWithoutAnswer is the kind of outcome of a request that ends without a complete answer.
 func (f *flight) kindWithoutAnswer() outcome.Kind {
 	if f.ran {
 		return outcome.MayHaveRun
@@ -240,7 +241,7 @@
 	c.forget(f)
 }
 
-// forget removes the request and all its ledger entries.
+// forget removes the request from the queue and from the ledgers of all engines.
 func (c *Core) forget(f *flight) {
 	if f.pool != nil {
 		f.pool.queue.remove(f)
@@ -250,7 +251,8 @@
 	delete(c.flights, f.ID)
 }
 
-// handleStall retries a request whose stage takes too long, or gives the stage more time.
+// handleStall handles a stage that takes too long. If another engine can take the request or the hard timeout
+// has passed, the call counts as failed. Otherwise it gets more time.
 func (c *Core) handleStall(f *flight) {
 	if c.now.Before(f.stageStart.Add(hardStallTimeout+f.FirstToken)) && !c.hasAlternative(f) {
 		f.stageDeadline = c.now.Add(f.stallMargin())
@@ -269,9 +271,9 @@
 	c.recoverFromFailure(f, reason, ran, false)
 }
 
-// hasAlternative reports whether a stalled request can be moved to another engine.
+// hasAlternative reports whether a stalled request can be moved to another engine, and a retry is left for it.
 func (c *Core) hasAlternative(f *flight) bool {
-	calls := 1 // Once prefilled, only the decode call is repeated.
+	calls := 1 // After the prefill, only the decode call has to be repeated.
 	if f.stage == prefilling {
 		calls = f.retriesForNextTry()
 	}
@@ -293,14 +295,13 @@
 	})
 }
 
-// maxTickGap is the largest gap between ticks on a box that runs normally, five times the
-// tick interval. A larger gap means that the box itself was paused.
+// maxTickGap is the longest time between two ticks on a box that runs normally: five tick intervals. After a
+// longer time, the box itself must have been paused.
 const maxTickGap = 5 * tickInterval
 
-// extendDeadlinesAfterPause adds the time for which this box was paused (frozen or without a
-// CPU) to the deadlines of running stages. Answers that arrived meanwhile are still unread, so
-// missing answers say nothing about the engines. Giving up these calls would cost a retry and
-// a repeated prefill each.
+// extendDeadlinesAfterPause adds the time for which this box was paused (frozen or without a CPU) to the
+// deadlines of all running stages. Answers that arrived in that time have not been read yet, so a missing
+// answer does not mean that an engine failed. Each call that is given up costs a retry and another prefill.
 func (c *Core) extendDeadlinesAfterPause() {
 	gap := c.now.Sub(c.lastTick)
 	first := c.lastTick.IsZero()
--- a/internal/decide/hall_test.go
+++ b/internal/decide/hall_test.go
@@ -22,6 +22,7 @@
 	return c
 }
 
+// expectHall submits a request on a box in the given hall and checks which engines it is placed on.
 func expectHall(t *testing.T, c *Core, id ID, hall, wantPrefill, wantDecode string) {
 	t.Helper()
 	out := c.Step(c.now, Submit{Request{ID: id, Pool: "p", Region: "r", Hall: hall, PromptTokens: 1000, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond}})
@@ -31,14 +32,14 @@
 	}
 }
 
-// Among similar engines, those in the box's own hall are selected.
+// Engines in the box's own hall are preferred to similar engines in another hall.
 func TestPrefersOwnHall(t *testing.T) {
 	for _, hall := range []string{"a", "b"} {
 		expectHall(t, newTwoHallCore(), 1, hall, "prefill-"+hall, "decode-"+hall)
 	}
 }
 
-// An idle engine in another hall is preferred to one in the own hall with a queue.
+// A prefill engine without a queue in another hall is preferred to one with a queue in the box's own hall.
 func TestQueueOutweighsHall(t *testing.T) {
 	c := newTwoHallCore()
 	c.Step(c.now, RemotePlacement{Engine: "prefill-a", At: c.now, Tokens: 5000})
--- a/internal/decide/learned.go
+++ b/internal/decide/learned.go
@@ -2,41 +2,44 @@
 
 import "time"
 
-// Estimates holds a core's estimates for a pool, with which another core can start.
+// Estimates holds what a core has estimated for a pool: the speed of its engines and the mean lengths of
+// its requests. It is stored and given to cores that start later.
 type Estimates struct {
 	Pool string
 	Speed
-	// Prompt, UncachedPrompt and Output are the mean lengths of prompts, of their uncached parts and of
-	// answers, in tokens. TokenTarget is the target between tokens.
+	// Prompt, UncachedPrompt and Output are the mean lengths, in tokens, of prompts, of the uncached parts
+	// of prompts and of answers. TokenTarget is the target for the time between tokens.
 	Prompt, UncachedPrompt, Output float64
 	TokenTarget                    time.Duration
 	// Requests is how many requests the estimates are based on.
 	Requests int
 }
 
-// SetEstimates sets the estimates of a pool from before this core started.
+// SetEstimates gives a core the estimates of a pool that other cores made before it started.
 type SetEstimates struct{ Estimates }
 
 func (SetEstimates) event() {}
 
-// EstimatesChanged reports that the estimates of a pool changed by more than minPublishedChange.
+// EstimatesChanged reports that an estimate of a pool changed by more than the share minPublishedChange,
+// so that the estimates should be published again.
 type EstimatesChanged struct{ Estimates }
 
 func (EstimatesChanged) action() {}
 
-// minPublishedChange is the fraction by which a figure must differ from the last published one.
+// minPublishedChange is the relative difference to the last published estimates from which the estimates
+// are published again.
 const minPublishedChange = 0.2
 
-// learn updates a pool's estimates by the timing of a request.
+// learn improves a pool's estimates by the timing of one request.
 func (c *Core) learn(p *pool, t Timing) {
 	if !p.EstimatesSpeed || !p.speed.add(t) {
 		return
 	}
 	p.applySpeed()
 	p.updateFigures()
-	if l := p.estimates(); p.speedKnown() && l.Differs(p.published, minPublishedChange) {
-		p.published = l
-		c.emit(EstimatesChanged{l})
+	if estimates := p.estimates(); p.speedKnown() && estimates.Differs(p.published, minPublishedChange) {
+		p.published = estimates
+		c.emit(EstimatesChanged{estimates})
 	}
 }
 
@@ -44,12 +47,12 @@
 	return Estimates{p.Name, p.speed.Speed, p.meanPrompt, p.meanUncached, p.meanOutput, p.tokenTarget, p.sampleCount()}
 }
 
-// maxPriorRequests bounds the weight of prior estimates, in requests. It is large enough for
-// them to outweigh the default ratio of the roles, and small enough for changed traffic to
-// show soon.
+// maxPriorRequests bounds the number of requests as which prior estimates (those from before this core
+// started) count. It is large enough for them to outweigh the default ratio of the roles, and small
+// enough for changed traffic to show soon.
 const maxPriorRequests = 4 * defaultRatioWeight
 
-// Estimates returns the estimates of the pools that learn and have had requests.
+// Estimates returns the estimates of all pools that estimate their speed and have had enough requests.
 func (c *Core) Estimates() []Estimates {
 	var out []Estimates
 	for _, name := range c.poolNames {
@@ -60,7 +63,7 @@
 	return out
 }
 
-// handleSetEstimates stores the estimates of a pool, also of one that is not configured yet.
+// handleSetEstimates stores the estimates of a pool. The pool may be configured later.
 func (c *Core) handleSetEstimates(l Estimates) {
 	c.priorEstimates[l.Pool] = l
 	if p := c.pools[l.Pool]; p != nil {
@@ -79,18 +82,19 @@
 	}
 }
 
-// Differs reports whether any figure of the two estimates differs by more than the given fraction.
-func (l Estimates) Differs(o Estimates, part float64) bool {
+// Differs reports whether any figure of the two estimates differs by more than the given fraction of
+// the larger value.
+func (l Estimates) Differs(o Estimates, fraction float64) bool {
 	other := o.figures()
 	for i, a := range l.figures() {
-		if b := other[i]; max(a, b)-min(a, b) > part*max(a, b) {
+		if b := other[i]; max(a, b)-min(a, b) > fraction*max(a, b) {
 			return true
 		}
 	}
 	return false
 }
 
-// figures are the estimates that decisions are based on.
+// figures are the estimates that are compared by Differs.
 func (l Estimates) figures() [5]float64 {
 	return [5]float64{l.PrefillRate, l.Step.Seconds(), l.FirstEventDelay.Seconds(), l.Prompt, l.Output}
 }
--- a/internal/decide/ledger.go
+++ b/internal/decide/ledger.go
@@ -5,74 +5,79 @@
 	"time"
 )
 
-// engine is the configuration, the ledger and the observed state of one engine.
+// engine is what a core knows of one engine: its configuration, the ledger and what was observed of it.
+// The ledger is the memory and work that this box has reserved on the engine.
 type engine struct {
 	Engine
 
-	// reservedKV and streams are what this core's own requests occupy on a decode engine.
+	// reservedKV is the memory, in tokens, and streams the number of streams that this box's requests
+	// have reserved on a decode engine. Short answers count as a fraction of a stream.
 	reservedKV int
 	streams    float64
-	// prefills counts this core's own prefills in flight.
+	// prefills is the number of this box's prompts that are queued or being prefilled on the engine.
 	prefills int
 
-	// busyUntil is when a prefill engine is expected to finish all known work.
+	// busyUntil is when a prefill engine is expected to finish all work that this box knows of.
 	busyUntil time.Time
 	link      link
-	// remoteWait is the wait, as of remoteWaitAt, that only work of other boxes can explain.
+	// remoteWait is the part of an observed wait that this box's own work does not explain, and so is due
+	// to other boxes. It was observed at remoteWaitAt.
 	remoteWait   time.Duration
 	remoteWaitAt time.Time
 
 	report        LoadReport
 	hasReport     bool
-	probeFailed   bool           // The last probe was not answered.
-	reportDelayed bool           // The last report was already old when it arrived.
-	placements    []placement    // Work placed after report.At, oldest first.
+	probeFailed   bool           // Whether the last load probe was not answered.
+	reportDelayed bool           // Whether the last report was older than maxReportDelay on arrival.
+	placements    []placement    // Work sent to the engine after report.At, oldest first.
 	endedStreams  []StreamEnded  // Streams that ended after report.At, oldest first.
-	forecast      memoryForecast // Reset to zero when anything it depends on changes.
+	forecast      memoryForecast // Cached by forecastMemory; reset when the engine's load changes.
 	cache         blockCache
 	health        health
 
-	// refusedKV is the memory, in tokens, that the engine refused to reserve; until
-	// refusedKVUntil it is not asked for that much again.
+	// refusedKV is the memory, in tokens, that the engine last refused to reserve. Until refusedKVUntil
+	// no request that needs as much or more is placed on it.
 	refusedKV      int
 	refusedKVUntil time.Time
 
-	// lastUsed is when the engine was last selected for a request.
+	// lastUsed is when this box last sent a request to the engine.
 	lastUsed time.Time
 }
 
-// placement is work that was sent to an engine after its last report was taken.
+// placement is a request that was sent to an engine after the engine measured its last report, so that
+// the report does not include it.
 type placement struct {
 	id            ID
 	at            time.Time
-	prefillTokens int // To be prefilled by a prefill engine.
+	prefillTokens int // Tokens to be prefilled by a prefill engine.
 	streams       float64
 	reservation
 }
 
 // reservation is decode memory reserved for a stream, in tokens.
 type reservation struct {
-	kv            int // The most that the stream may take.
+	kv            int // The most memory that the stream may take.
 	prompt        int // The part of kv that is taken from the start.
-	outputReserve int // Further memory that must be free at the start.
+	outputReserve int // Further memory that must be free when decoding begins.
 	answer        int // Expected length of the answer.
 }
 
 const (
-	// maxPlacements bounds the list for an engine that reports nothing at all.
+	// maxPlacements bounds the lists of placements and of ended streams of an engine.
 	maxPlacements = 512
-	// maxReportDelay is how old a report may be when it arrives.
+	// maxReportDelay is the age on arrival up to which a report is relied on.
 	maxReportDelay = 3 * time.Second
 )
 
-// statsUnreliable reports that the engine's figures cannot be relied on. The time since
-// the last report does not matter: reports come with answers, and an engine that is sent
-// nothing need not report.
+// statsUnreliable reports that the engine's reported load cannot be relied on: the engine did not answer
+// the last load probe, or its last report was already old when it arrived. The time since the last
+// report does not count, since engines report with their answers, and an engine without requests has no
+// reason to report.
 func (e *engine) statsUnreliable() bool { return e.probeFailed || e.reportDelayed }
 
-// mayBeQueued reports that, by a report taken since the request was sent, the engine has at
-// least as much left to prefill as the request needs. Then the request is not stuck but
-// queued behind prompts of other boxes.
+// mayBeQueued reports that a prefill engine has at least as many tokens left to prefill as the request
+// needs, by a report measured since the request was sent. The request is then not stuck but may be queued
+// behind prompts of other boxes.
 func (e *engine) mayBeQueued(f *flight) bool {
 	return e.hasReport && e.report.At.After(f.stageStart) && e.report.QueuedTokens >= f.uncachedTokens
 }
@@ -85,32 +90,34 @@
 	return now.Sub(e.report.At)
 }
 
-// leaving reports that the engine gets no new work.
+// leaving reports that the engine may get no new work.
 func (e *engine) leaving() bool { return e.Leaving || e.Evacuated || e.hasReport && e.report.Leaving }
 
-// cold reports that the engine has just started and gets no more work of this box at the moment.
+// cold reports that the engine was started recently and is still warming up, so that this box has to
+// wait before it sends the engine another request.
 func (e *engine) cold(now time.Time) bool { return e.Cold.Blocks(now, e.lastUsed) }
 
-// queueTime is how long a prompt sent now would wait for this box's own work and for the
-// observed work of other boxes.
+// queueTime is how long a prompt that is sent now is expected to wait on the engine, for prompts of this
+// box and of other boxes.
 func (e *engine) queueTime(now time.Time) time.Duration {
 	return e.ownQueueTime(now) + e.remoteQueueTime(now)
 }
 
 func (e *engine) ownQueueTime(now time.Time) time.Duration { return max(0, e.busyUntil.Sub(now)) }
 
-// remoteQueueTime is what remains of the wait that other boxes caused. It assumes that they
-// sent nothing since: if they did, the next prompt shows it.
+// remoteQueueTime is what is left by now of the wait that other boxes cause. It assumes that they have
+// sent nothing since the wait was observed. If they have, the next prompt of this box shows it.
 func (e *engine) remoteQueueTime(now time.Time) time.Duration {
 	return max(0, e.remoteWait-now.Sub(e.remoteWaitAt))
 }
 
-// observeWait records how much longer a prompt took, or has taken so far, than this box's
-// own work explains. Until the prompt is done that is a lower bound.
+// observeWait records the wait that other boxes caused: how much longer a prompt of this box takes than
+// the box's own work explains. While the prompt is not done, this is a lower bound, so it is only used
+// if it exceeds the known wait.
 //
-// Example: a prompt that takes 100 ms to prefill was sent behind 50 ms of our own work and
-// comes back after 900 ms. Other boxes have 750 ms of work there, and the next prompt,
-// sent 200 ms later, is expected to wait 550 ms for it.
+// Example: this box sends a prompt that takes 100 ms behind 50 ms of its own work, and the prompt is done
+// after 900 ms. So work of other boxes took 750 ms. A prompt that is sent 200 ms later is expected to
+// wait 550 ms for other boxes.
 func (e *engine) observeWait(now time.Time, excess time.Duration, done bool) {
 	if done || excess > e.remoteQueueTime(now) {
 		e.remoteWait, e.remoteWaitAt = max(0, excess), now
@@ -121,13 +128,13 @@
 	return seconds(float64(tokens) / e.PrefillRate)
 }
 
-// freeKV estimates the free decode memory. It takes the smaller of two figures: this
-// core's own ledger, which is exact but does not include other boxes, and the engine's
-// report less what was placed since it was taken.
+// freeKV estimates the free memory of a decode engine, in tokens. It is the smaller of two figures. One
+// is the memory that this box's ledger leaves free, which is exact but ignores other boxes. The other is
+// the free memory that the engine reported, less the memory of requests sent since.
 //
-// Example: capacity 1000; our requests reserve 300; the report, taken before our last
-// 100 were sent, says 500 free. The ledger gives 700 and the report 400, so another box
-// must occupy about 300, and 400 is the answer.
+// Example: the engine has memory for 1000 tokens. This box's requests reserve 300, of which 100 were sent
+// after the last report, which says that 500 are free. The ledger leaves 700 and the report 400, so 400
+// is the estimate: other boxes must occupy about 300.
 func (e *engine) freeKV() int {
 	free := e.KVTokens - e.reservedKV
 	if !e.hasReport {
@@ -140,13 +147,13 @@
 	return min(free, reportedFree)
 }
 
-// stepTime predicts the time between tokens with one more stream.
+// stepTime predicts the time between tokens on the engine if it gets one more stream.
 func (e *engine) stepTime() time.Duration {
 	return e.Step + time.Duration((e.running()+1)*float64(e.StepPerStream))
 }
 
-// running counts streams in the same way as freeKV counts memory: the larger of this
-// core's own and the reported ones plus those placed since.
+// running estimates the number of streams on the engine. It is the larger of two figures: the streams in
+// this box's ledger, and the reported streams plus the streams placed since the report.
 func (e *engine) running() float64 {
 	if !e.hasReport {
 		return e.streams
@@ -158,8 +165,8 @@
 	return max(e.streams, reportedStreams)
 }
 
-// cachedTokens is how much of the prompt the engine is expected to have cached. At least
-// one token is always prefilled, since the engine must generate the next one.
+// cachedTokens is how many tokens of the prompt the engine is expected to have in its cache. It is less
+// than the whole prompt, since the engine must prefill one token to generate the next.
 func (e *engine) cachedTokens(f *flight) int {
 	return max(0, min(e.cache.matched(f.Blocks)*BlockTokens, f.PromptTokens-1))
 }
@@ -184,7 +191,7 @@
 	e.addPlacement(placement{id: id, at: now, reservation: b, streams: weight})
 }
 
-// addRemotePlacement books a placement of another box, until a report includes it.
+// addRemotePlacement adds a placement of another box, which counts until a report includes it.
 func (e *engine) addRemotePlacement(s RemotePlacement) {
 	if e.hasReport && !s.At.After(e.report.At) {
 		return
@@ -199,13 +206,13 @@
 	e.addPlacement(w)
 }
 
-// releaseDecode returns the memory. Work that no report includes yet is removed from the
-// placements too; otherwise the estimate would stay too low until the next report.
+// releaseDecode releases a stream's memory in the ledger. If no report includes the stream yet, its
+// placement is removed too. Otherwise the estimate of free memory would be too low until the next report.
 func (e *engine) releaseDecode(id ID, kv int, weight float64) {
 	e.reservedKV -= kv
 	e.streams = max(0, e.streams-weight)
 	if e.reservedKV == 0 {
-		e.streams = 0 // Sums of fractions do not come back to zero by themselves.
+		e.streams = 0 // A sum of fractions may not return to exactly zero.
 	}
 	for i := range e.placements {
 		if e.placements[i].id == id && e.placements[i].kv > 0 {
@@ -220,8 +227,7 @@
 	}
 }
 
-// addStreamEnded removes a stream from the report that still includes it: the one that would have
-// grown to about that size by now.
+// addStreamEnded removes an ended stream from the last report, if that report is older than the end.
 func (e *engine) addStreamEnded(p *pool, ev StreamEnded) {
 	if !e.hasReport || e.report.Runs == nil || !ev.At.After(e.report.At) {
 		return
@@ -232,6 +238,8 @@
 	e.removeFromReport(p, ev)
 }
 
+// removeFromReport removes an ended stream from the report. Reports do not identify streams, so the
+// reported stream is removed whose size would by now be closest to that of the ended stream.
 func (e *engine) removeFromReport(p *pool, ev StreamEnded) {
 	grown := int(ev.At.Sub(e.report.At) / max(time.Microsecond, e.stepTime()))
 	best, least := -1, int(endedTolerance*p.meanOutput)
@@ -249,8 +257,8 @@
 	e.forecast = memoryForecast{}
 }
 
-// endedTolerance is how much the size of an ended stream may differ from that of the
-// reported stream that it is matched with, as a fraction of a mean answer.
+// endedTolerance is how much the size of an ended stream may differ from the expected size of the reported
+// stream that is removed for it, as a fraction of a mean answer.
 const endedTolerance = 0.35
 
 func abs(n int) int { return max(n, -n) }
@@ -261,14 +269,14 @@
 	}
 	i := len(e.placements)
 	for i > 0 && e.placements[i-1].at.After(w.at) {
-		i-- // Placements of other boxes arrive late.
+		i-- // Placements of other boxes may arrive out of order.
 	}
 	e.placements = slices.Insert(e.placements, i, w)
 	e.forecast = memoryForecast{}
 }
 
-// releasePrefill removes a prompt. When none of ours is left and no report contradicts
-// it, the engine counts as free now, even if it was predicted to be busy.
+// releasePrefill removes one of this box's prompts from the ledger. If none is left and there is no
+// reliable report, the engine counts as free from now on, even if it was predicted to be busy for longer.
 func (e *engine) releasePrefill(now time.Time) {
 	e.prefills--
 	if e.prefills == 0 && (!e.hasReport || e.statsUnreliable()) {
@@ -276,8 +284,8 @@
 	}
 }
 
-// addReport replaces the engine's figures and adds the work placed since. A report older
-// than the last is ignored, since reports may arrive out of order.
+// addReport replaces the engine's figures by those of a report, and drops placements that the report
+// includes. Reports may arrive out of order: a report older than the last is ignored.
 func (e *engine) addReport(now time.Time, p *pool, r LoadReport) {
 	if e.hasReport && r.At.Before(e.report.At) {
 		return
@@ -306,28 +314,29 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// blockCache predicts which prompt blocks an engine has cached. It keeps two
-// generations: new blocks go to the young one, and when that is full it becomes the old
-// one and the blocks of the previous old one are dropped. This takes two map look-ups and
-// no list, and evicts roughly as an engine short of memory does.
+// blockCache predicts which prompt blocks an engine has in its cache. Blocks are kept in two sets. New
+// blocks are added to the young set. When it is full, it becomes the old set, and the blocks of the
+// former old set are dropped. A look-up takes two map accesses, and blocks are dropped in about the
+// same order as on an engine whose memory is full.
 //
-// The number of blocks that the engine really keeps is learned: the generations shrink
-// whenever fewer tokens were cached than predicted, and slowly grow otherwise.
+// The number of blocks that the engine really keeps is learned. The size of the sets shrinks whenever
+// fewer tokens were cached than predicted, and grows slowly otherwise.
 type blockCache struct {
 	young, old  map[uint64]struct{}
-	learnedSize float64 // Blocks of one generation; 0 before the first observation.
+	learnedSize float64 // Most blocks in the young set; 0 before the first observation.
 }
 
 const (
-	// maxBlocks bounds a generation; two cost about 150 KB per engine.
-	maxBlocks   = 2048
-	minBlocks   = 32
+	// maxBlocks and minBlocks limit the size of a set. Two sets of maxBlocks take about 150 KB per engine.
+	maxBlocks = 2048
+	minBlocks = 32
+	// cacheShrink and cacheGrow are the factors by which one observation changes the size.
 	cacheShrink = 0.9
 	cacheGrow   = 1.01
 )
 
-// size is sizeOrMax as a whole number. learn works on the fraction, since a small size
-// grows by less than one block at a time.
+// size is the most blocks in the young set. The exact size is kept as a fraction, since a small size grows
+// by less than one block at a time.
 func (c *blockCache) size() int { return int(c.sizeOrMax()) }
 
 func (c *blockCache) sizeOrMax() float64 {
@@ -337,7 +346,7 @@
 	return c.learnedSize
 }
 
-// learn compares the predicted number of cached prompt tokens with the actual one.
+// learn adjusts the size by the predicted and the real number of cached tokens of a prompt.
 func (c *blockCache) learn(predicted, cached, blocks int) {
 	if blocks == 0 {
 		return
@@ -377,8 +386,8 @@
 	}
 }
 
-// matched counts the leading cached blocks. Blocks are chained, so if block i is cached,
-// 0 to i-1 were cached with it, and a binary search finds the end.
+// matched counts how many leading blocks of a prompt are cached. If block i is cached, blocks 0 to i-1 are
+// too, since they were added with it, so a binary search finds the end.
 func (c *blockCache) matched(blocks []uint64) int {
 	lo, hi := 0, len(blocks)
 	for lo < hi {
@@ -392,15 +401,16 @@
 	return lo
 }
 
-// health sets an engine aside after consecutive failures. After that period a single
-// request may probe it. The period then starts again, so that further requests stay away
-// until the probe succeeds, and another probe follows if it never returns.
+// health tracks the failures of an engine. After several failures in a row, the engine is set aside: no
+// requests are sent to it for some time. After that time, one request is sent as a probe, and the time
+// starts again. Further requests follow only after the probe succeeds. If the probe is never answered,
+// another one is sent after the same time.
 type health struct {
 	failuresInRow int
 	setAsideUntil time.Time
 	setAsideFor   time.Duration
-	// refusalsInRow counts the prompts that the engine refused in a row; until avoidUntil
-	// it is a last resort.
+	// refusalsInRow is how many prompts the engine refused in a row. Until avoidUntil, its cost is raised
+	// by refusedCost.
 	refusalsInRow int
 	avoidUntil    time.Time
 }
@@ -409,16 +419,17 @@
 	failuresToSetAside = 3
 	minSetAside        = time.Second
 	maxSetAside        = 30 * time.Second
-	// An engine that refuses a prompt changes its role, is faulty or is full, and goes on
-	// refusing for seconds. It is a last resort for minAvoidPeriod, and for twice as long
-	// after each further refusal, up to maxAvoidPeriod.
+	// An engine that refuses a prompt is about to change its role, is faulty or is full, and usually goes
+	// on refusing for seconds. It is a last resort for minAvoidPeriod, and for twice as long after each
+	// further refusal, up to maxAvoidPeriod.
 	minAvoidPeriod = 2 * time.Second
 	maxAvoidPeriod = 8 * time.Second
-	// refusedCost is its extra cost meanwhile, in seconds: more than any queue behind which a
-	// prompt can still be on time.
+	// refusedCost, in seconds, is added to the cost of such an engine. It is more than the cost of any
+	// queue behind which a prompt can still be on time.
 	refusedCost = 0.8
 )
 
+// setAside reports whether no requests may be sent to the engine now.
 func (h *health) setAside(now time.Time) bool {
 	return h.failuresInRow >= failuresToSetAside && now.Before(h.setAsideUntil)
 }
--- a/internal/decide/link.go
+++ b/internal/decide/link.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// link holds the known transfers over one engine's link, which they share evenly: those in
-// progress and those whose prompt is still being prefilled.
+// link holds the transfers that use the network link of one engine, as far as this box knows them:
+// transfers in progress, and transfers planned for prompts that are still being prefilled. Transfers
+// on the same link share its rate evenly.
 type link struct{ transfers []transfer }
 
 type transfer struct {
 	id       ID
-	ready    time.Time     // When the transfer started, or is expected to.
-	duration time.Duration // Without sharing its links.
+	ready    time.Time     // When the transfer started or is expected to start.
+	duration time.Duration // How long the transfer takes if it does not share its links.
 }
 
 func (l *link) add(t transfer) { l.transfers = append(l.transfers, t) }
@@ -21,27 +22,27 @@
 	l.transfers = slices.DeleteFunc(l.transfers, func(t transfer) bool { return t.id == id })
 }
 
-// delay predicts how much longer a transfer takes because of the others that share the
-// link when it is ready. Sharing with k others makes it k+1 times as long, but never adds
-// more than the total duration of the others.
+// delay predicts how much longer a transfer takes because it shares the link. All transfers count that
+// still run at the time ready, when this one starts. Sharing with n others adds n times the transfer's
+// own duration, but never more than the total duration of the others.
 //
-// Example: two others need 130 ms each. A transfer of 2 ms takes 4 ms longer; one
-// of 500 ms takes 260 ms longer.
+// Example: two other transfers take 130 ms each. A transfer of 2 ms then takes 4 ms longer, and a
+// transfer of 500 ms takes 260 ms longer.
 func (l *link) delay(ready time.Time, duration time.Duration) time.Duration {
-	k, sum := 0, time.Duration(0)
+	sharing, total := 0, time.Duration(0)
 	for _, t := range l.transfers {
 		if t.ready.After(ready) {
 			continue
 		}
-		if rest := t.duration - ready.Sub(t.ready); rest > 0 {
-			k++
-			sum += t.duration
+		if remaining := t.duration - ready.Sub(t.ready); remaining > 0 {
+			sharing++
+			total += t.duration
 		}
 	}
-	return min(time.Duration(k)*duration, sum)
+	return min(time.Duration(sharing)*duration, total)
 }
 
-// planTransfer registers on both links a transfer that is ready at the given time.
+// planTransfer adds the request's transfer to the links of both engines. It starts at the time ready.
 func (f *flight) planTransfer(ready time.Time) {
 	f.cancelTransfer()
 	f.plannedLinks = [2]*engine{f.prefill, f.decode}
@@ -51,7 +52,7 @@
 	}
 }
 
-// cancelTransfer removes the transfer from its links, when it is done or abandoned.
+// cancelTransfer removes the request's transfer from its links, once it is done or given up.
 func (f *flight) cancelTransfer() {
 	for _, e := range f.plannedLinks {
 		if e != nil {
@@ -61,28 +62,30 @@
 	f.plannedLinks = [2]*engine{}
 }
 
-// transferTime is the time of a transfer without sharing, at the slower link's rate.
+// transferTime is how long the transfer of the request's KV cache takes at the rate of the slower link
+// if no other transfer shares the links.
 func transferTime(p *pool, f *flight, prefillEngine, decodeEngine *engine) time.Duration {
 	rate := min(prefillEngine.LinkRate, decodeEngine.LinkRate)
 	return seconds(float64(f.PromptTokens) * float64(p.KVBytesPerToken) / rate)
 }
 
-// predictTransfer is the time of a transfer that starts at ready and shares its links with others.
+// predictTransfer is how long a transfer that starts at the time ready takes if it shares its links with
+// other transfers.
 func predictTransfer(p *pool, f *flight, prefillEngine, decodeEngine *engine, ready time.Time) time.Duration {
 	alone := transferTime(p, f, prefillEngine, decodeEngine)
 	known := alone + max(prefillEngine.link.delay(ready, alone), decodeEngine.link.delay(ready, alone))
 	return max(known, time.Duration(p.predictionError.transferSlowdown*float64(alone)))
 }
 
-// predictionError tracks how far recent predictions were off. Reports of what other boxes
-// send to the same engines arrive late, and their transfers are not reported at all, so a
-// box estimates both from the times of its own requests.
+// predictionError tracks by how much recent predictions of cached tokens and transfer times were wrong.
+// They are wrong because of other boxes: news of the prompts that these send to the same engines arrives
+// late, and there is no news of their transfers. A box measures the effect on its own requests.
 type predictionError struct {
-	transferSlowdown float64 // Mean ratio of the actual transfer time to that without sharing.
-	cacheErrorRate   float64 // Share of prompts with another amount cached than predicted.
+	transferSlowdown float64 // Mean ratio of the real transfer time to the time without sharing.
+	cacheErrorRate   float64 // Share of prompts whose cached part differed from the prediction by a block or more.
 }
 
-// errorBlend is the weight of a new observation.
+// errorBlend is the weight of a new observation in the running means.
 const errorBlend = 0.1
 
 // observeCache compares the predicted number of cached prompt tokens with the actual one.
@@ -94,15 +97,15 @@
 	s.cacheErrorRate += errorBlend * (mispredicted - s.cacheErrorRate)
 }
 
-// affinityFactor is how strongly a prefix favors its preferred engine. While this
-// box's cache predictions are right they are the better guide. Where other boxes send the
-// same prefixes to other engines, a common rule that depends on no observations is better.
+// affinityFactor is how strongly the preferred engine of a prefix is favored. While the box predicts
+// correctly which engine has the prefix in its cache, predictions are the better guide. They fail if other
+// boxes send the same prefix to other engines; it is then better that all boxes prefer the same engine.
 func (s *predictionError) affinityFactor() float64 {
 	return maxAffinityFactor * min(1, affinityGain*s.cacheErrorRate)
 }
 
-// minObservedTransfer is the least duration of a transfer to learn from: in shorter ones,
-// other kinds of waiting dominate.
+// minObservedTransfer is the shortest duration of a transfer to learn from. In shorter transfers, other
+// delays make up most of the time.
 const minObservedTransfer = 2 * time.Millisecond
 
 func (s *predictionError) observeTransfer(took, alone time.Duration) {
--- a/internal/decide/migrate.go
+++ b/internal/decide/migrate.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// This file migrates running streams off decode engines that will run out of memory or
-// leave. An engine that runs out of memory preempts its newest stream, whose prompt is
-// prefilled again while the caller waits. Migrating its KV cache instead takes milliseconds.
+// This file migrates running streams from decode engines that will run out of memory, or that leave, to other
+// decode engines. An engine that runs out of memory preempts its newest stream: the stream's prompt is
+// prefilled again while the caller waits. Migrating the stream's KV cache takes only milliseconds.
 
 // Migrate moves a running stream to another decode engine.
 type Migrate struct {
 	ID ID
-	// Attempt is the call that continues the stream.
+	// Attempt is the number of the call that continues the stream on the engine To.
 	Attempt Attempt
 	From    string
 	To      string
-	// Leaving reports that the engine leaves; otherwise it will run out of memory.
+	// Leaving reports that the engine From leaves. Otherwise it is about to run out of memory.
 	Leaving bool
 }
 
-// Migrated reports that the stream continues under the attempt of a Migrate.
+// Migrated reports the end of a migration. From now on the stream has the attempt number of the Migrate.
 type Migrated struct {
 	ID      ID
 	Attempt Attempt
-	// Aborted reports that the migration was aborted and the stream resumed on its engine.
+	// Aborted reports that the migration was aborted and the stream continues on its old engine.
 	Aborted bool
 }
 
-// MigrateFailed reports that the stream was not migrated and its call continues.
+// MigrateFailed reports that the stream was not migrated. Its call continues with the old attempt number.
 type MigrateFailed struct {
 	ID      ID
 	Attempt Attempt
@@ -41,27 +41,28 @@
 func (MigrateFailed) event() {}
 
 const (
-	// migrateInterval is the time between checks of the engines' memory forecasts.
+	// migrateInterval is the time between two searches for streams to migrate.
 	migrateInterval = 60 * time.Millisecond
-	// migrateHorizonIndex is the forecast horizon until which an engine must not be full, and
-	// migrateSigma how many standard deviations above the expected use must fit until then.
+	// migrateHorizonIndex is the index in forecastHorizons of the time up to which an engine must have enough
+	// memory. Its memory must suffice for migrateSigma standard deviations more than the expected use then.
 	migrateHorizonIndex = 1
 	migrateSigma        = 0.5
-	// migrationCooldown is how long a stream is not migrated again after a migration or a failed attempt.
+	// migrationCooldown is how long a stream is not migrated again after a migration or a failure of one.
 	migrationCooldown = 1500 * time.Millisecond
-	// minRemainingShare is how much a stream must be expected to generate yet to be worth
-	// migrating, as a fraction of a mean answer.
+	// minRemainingShare is how many tokens a stream must still be expected to generate to be migrated, as a
+	// fraction of a mean answer.
 	minRemainingShare = 0.12
-	// crossHallReserve is what a decode engine in another hall must have free beyond one in the
-	// same hall, as a fraction of its memory: migrations between halls take twice as long.
+	// crossHallReserve is how much more free memory a decode engine in another data hall must have to be
+	// preferred to one in the same hall, as a fraction of its memory. Migrations between halls take twice as long.
 	crossHallReserve = 0.1
-	// maxTargetReportAge is how old the report of the target engine may be.
+	// maxTargetReportAge is how old the last report of an engine may be that a stream is migrated to.
 	maxTargetReportAge = 2 * time.Second
-	// sameStartTolerance is how far apart the observed starts of two streams may be if they are the same.
+	// sameStartTolerance is the largest difference between the observed starts of two streams that may be the
+	// same stream.
 	sameStartTolerance = 120 * time.Millisecond
 )
 
-// migrateStreams starts migrations of this box's streams.
+// migrateStreams starts migrations of those streams of this box that shouldMigrate selects.
 func (c *Core) migrateStreams(p *pool) {
 	if !p.Migrates || c.now.Sub(p.lastMigrateCheck) < migrateInterval {
 		return
@@ -79,9 +80,10 @@
 	}
 }
 
-// shouldMigrate reports whether a stream is better off elsewhere: its engine leaves, or will
-// run out of memory and preempt this stream, its newest. Streams in an evacuated hall are not
-// migrated while their engine keeps running: an aborted migration might have to send them back there.
+// shouldMigrate reports whether a stream should be migrated. Either its engine leaves, or its engine will
+// run out of memory and would then preempt this stream, its newest. Streams on an evacuated engine that
+// keeps running are not migrated: if the migration were aborted, they would have to continue in the hall that
+// is being evacuated.
 func (c *Core) shouldMigrate(p *pool, f *flight) bool {
 	if f.decode.Evacuated && !f.decode.Leaving {
 		return false
@@ -92,16 +94,16 @@
 	return f.decode.Leaving || f.decode.willOverflow(p, c.now) && f.decode.isNewest(f)
 }
 
-// willOverflow reports whether the engine is expected to run out of memory soon.
+// willOverflow reports whether the engine is expected to run out of memory up to the horizon of migrations.
 func (e *engine) willOverflow(p *pool, now time.Time) bool {
 	if e.lacksForecast(now) || len(e.report.Runs) < 2 || p.meanOutput <= 0 {
 		return false
 	}
-	o := e.forecastMemory(p, now)
-	return o.mean[migrateHorizonIndex]+migrateSigma*math.Sqrt(o.variance[migrateHorizonIndex]) > float64(e.KVTokens)
+	forecast := e.forecastMemory(p, now)
+	return forecast.mean[migrateHorizonIndex]+migrateSigma*math.Sqrt(forecast.variance[migrateHorizonIndex]) > float64(e.KVTokens)
 }
 
-// isNewest reports whether no stream on the engine is known to be newer.
+// isNewest reports whether no stream is known that began on the engine after this one.
 func (e *engine) isNewest(f *flight) bool {
 	step := e.stepTime()
 	for _, r := range e.report.Runs {
@@ -128,10 +130,11 @@
 	if made < n {
 		return n - made
 	}
-	return n / 4 // Longer than expected, and so perhaps much longer.
+	return n / 4 // The answer is longer than expected, and so is likely to go on for long.
 }
 
-// startMigration migrates a stream to the engine with the most free memory, if there is one.
+// startMigration migrates a stream to the engine that is forecast to have the largest free share of memory. If
+// no engine can take the stream or no retry is left, it does nothing.
 func (c *Core) startMigration(p *pool, f *flight) {
 	remaining := &flight{Request: f.Request, pool: p}
 	remaining.PromptTokens += f.outputSoFar(c.now)
@@ -139,10 +142,11 @@
 	remaining.ExpectedTokens, remaining.MaxEngines, remaining.Policy = remaining.MaxTokens, 0, nil
 	var excluded Exclusions
 	c.findDecodeOptions(p, remaining, c.now, &excluded)
-	var to *engine
+	var destination *engine
 	mostFree := 0.0
 	for _, option := range c.decodeOptions {
-		// The forecast of an unresponsive engine shows its streams ending and its memory becoming free.
+		// An engine that does not answer its load probes would look better with time: its last reported streams
+		// are forecast to end.
 		if option.e == f.decode || option.e.statsUnreliable() || option.e.report.Queued > 0 || option.e.lacksForecast(c.now) || option.e.reportAge(c.now) > maxTargetReportAge {
 			continue
 		}
@@ -150,25 +154,25 @@
 		if option.e.Hall != f.decode.Hall {
 			free -= crossHallReserve
 		}
-		if to == nil || free > mostFree {
-			to, mostFree = option.e, free
+		if destination == nil || free > mostFree {
+			destination, mostFree = option.e, free
 		}
 	}
-	if to == nil || !c.budget.Take(c.now, 1) {
+	if destination == nil || !c.budget.Take(c.now, 1) {
 		f.noMigrateBefore = c.now.Add(migrateInterval)
 		return
 	}
-	f.migrateTarget, f.targetReservedKV, f.retryTakenAt = to, remaining.kvNeed(), c.now
+	f.migrateTarget, f.targetReservedKV, f.retryTakenAt = destination, remaining.kvNeed(), c.now
 	f.migrateAttempt = f.newAttempt()
-	c.noteSent(to)
-	to.reserveDecode(c.now, f.ID, reservation{f.targetReservedKV, remaining.PromptTokens, 0, remaining.expectedOutput()}, f.streamWeight())
-	c.emit(Migrate{f.ID, f.migrateAttempt, f.decode.Name, to.Name, f.decode.Leaving})
+	c.noteSent(destination)
+	destination.reserveDecode(c.now, f.ID, reservation{f.targetReservedKV, remaining.PromptTokens, 0, remaining.expectedOutput()}, f.streamWeight())
+	c.emit(Migrate{f.ID, f.migrateAttempt, f.decode.Name, destination.Name, f.decode.Leaving})
 }
 
-// newAttempt returns an attempt number that no earlier call of the request had.
+// newAttempt returns an attempt number that no call or migration of the request has had.
 func (f *flight) newAttempt() Attempt { return max(f.attempt, f.migrateAttempt) + 1 }
 
-// releaseTarget releases the memory reserved for a migration.
+// releaseTarget releases the memory reserved on the engine that the stream was to be migrated to.
 func (c *Core) releaseTarget(f *flight) {
 	if f.migrateTarget != nil {
 		f.migrateTarget.releaseDecode(f.ID, f.targetReservedKV, f.streamWeight())
@@ -202,6 +206,6 @@
 	}
 	f.noMigrateBefore = c.now.Add(migrationCooldown)
 	c.releaseTarget(f)
-	// No call was made, and the stream may need the retry if its connection is lost.
+	// No call was made, so the retry is given back: the stream may need it if its connection is lost.
 	c.budget.Return(f.retryTakenAt, 1)
 }
--- a/internal/decide/migrate_test.go
+++ b/internal/decide/migrate_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// migrateFixture is a pool with one prefill engine, a, and decode engines b to d. A stream of
-// this box is running on b.
+// migrateFixture is a fixture with prefill engine a and decode engines b, c and d. Request 1 is being streamed
+// from b. The fixture keeps all migrations that the core starts.
 type migrateFixture struct {
 	*fixture
 	migrations []Migrate
@@ -30,7 +30,7 @@
 	return s
 }
 
-// updateFleet sets the engines, one of which may be leaving.
+// updateFleet sets the configuration of the engines; the named engine is leaving.
 func (s *migrateFixture) updateFleet(leaving string) {
 	f := Fleet{Pools: []Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: 5 * time.Second, ForecastsMemory: true, Migrates: true}}}
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -49,7 +49,8 @@
 	}
 }
 
-// report makes b report streams that had generated the given number of tokens each, and c none.
+// report makes engine b report the given number of streams that have generated made tokens each, and engine c
+// report that it has no streams.
 func (s *migrateFixture) report(runs, made int) {
 	r := LoadReport{Engine: "b", At: s.now, FreeKV: 100000 - runs*9000, Streams: runs}
 	for range runs {
@@ -71,7 +72,7 @@
 	}
 }
 
-// expectReservedOn expects the stream's memory to be reserved on these engines only.
+// expectReservedOn checks that memory for the stream is reserved on the named engines and on no other.
 func (s *migrateFixture) expectReservedOn(names ...string) {
 	s.t.Helper()
 	for _, e := range s.c.engines {
@@ -85,8 +86,8 @@
 	}
 }
 
-// The newest stream of an engine that will run out of memory is migrated to the one with the
-// most room, and memory is reserved on both until it continues there.
+// An engine is about to run out of memory. Its newest stream is migrated to the engine with the most free memory,
+// and memory stays reserved on both engines until the stream continues on the new one.
 func TestMovesNewest(t *testing.T) {
 	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
@@ -102,7 +103,7 @@
 	s.expectMigrations("while it is being migrated", 1)
 	s.step(Migrated{ID: 1, Attempt: 3})
 	s.expectReservedOn("c")
-	s.step(Failed{ID: 1, Attempt: 2, Reason: outcome.EndpointLost, Ran: true}) // A late event of the old call.
+	s.step(Failed{ID: 1, Attempt: 2, Reason: outcome.EndpointLost, Ran: true}) // A late event of the old call has no effect.
 	if f := s.c.flights[1]; f == nil || f.decode.Name != "c" || f.attempt != 3 {
 		t.Errorf("expected the stream to continue on c, got %+v", f)
 	}
@@ -135,7 +136,7 @@
 	s.expectReservedOn()
 }
 
-// A stream that is not the newest is not migrated, since the engine preempts a newer one.
+// A stream is not migrated if newer streams run on its engine, since the engine would preempt one of these.
 func TestOlderStreamIsNotMigrated(t *testing.T) {
 	s := newMigrateFixture(t)
 	s.now = s.now.Add(time.Second)
@@ -152,7 +153,8 @@
 	s.expectMigrations("an engine with room", 0)
 }
 
-// An unresponsive engine seems to become empty, and one with queued streams is full.
+// Streams are not migrated to an engine that does not answer load probes (it only seems to become empty), nor
+// to an engine on which streams wait for memory.
 func TestNoMigrationToUnsuitableEngine(t *testing.T) {
 	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
@@ -163,7 +165,7 @@
 	s.expectMigrations("only an unresponsive engine and one with a queue", 0)
 }
 
-// Streams are migrated off an engine that leaves, unless they are nearly done.
+// An engine leaves. Its stream is migrated, unless the stream is nearly done.
 func TestMigratesOffLeavingEngine(t *testing.T) {
 	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
@@ -182,10 +184,10 @@
 	s.expectMigrations("a stream that is nearly done", 0)
 }
 
-// A migration that failed before any call was made used up the retry taken for it. An engine that
-// leaves is asked again every 1.5 s while no target has room for the copy. With ten retries in all,
-// none was left when a stream that could have resumed lost its connection, and its caller was
-// disconnected.
+// A migration takes a retry from the budget, and must return it if the migration fails before any call was made.
+// For a leaving engine the core tries again every 1.5 s while no other engine has room. Failed migrations used
+// to keep their retries, ten in all. None was left when a stream that could have been resumed lost its
+// connection, and its caller was disconnected.
 func TestFailedMigrationReturnsRetry(t *testing.T) {
 	s := newMigrateFixture(t)
 	before := s.retriesLeft()
@@ -205,7 +207,7 @@
 	}
 }
 
-// retriesLeft is how many retries the budget allows now.
+// retriesLeft is how many retries the core's budget has left.
 func (s *migrateFixture) retriesLeft() (n int) {
 	for s.c.budget.Has(s.now, n+1) {
 		n++
--- a/internal/decide/notices_test.go
+++ b/internal/decide/notices_test.go
@@ -7,7 +7,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// fakeNotices lets engines accept nothing new until the given times; sent counts their requests.
+// fakeNotices makes engines accept no new requests until the given times, and counts the requests sent to each
+// engine.
 type fakeNotices struct {
 	until map[string]time.Time
 	sent  map[string]int
@@ -23,7 +24,8 @@
 
 func (a *fakeNotices) Sent(engine string, _ time.Time) { a.sent[engine]++ }
 
-// newNoticeFixture has prefill engines a and b and decode engines c and d.
+// newNoticeFixture returns a fixture with prefill engines a and b and decode engines c and d. Engines accept no
+// requests until the given times.
 func newNoticeFixture(t *testing.T, until map[string]time.Time) (*fixture, *fakeNotices) {
 	s := newFixture(t, 2, 2)
 	a := &fakeNotices{until, map[string]int{}}
@@ -68,7 +70,7 @@
 	s.expectStarted(1)
 }
 
-// A request that may be late waits for a throttled engine as long as for one without room.
+// All decode engines are throttled for 2 s. A request that may run late waits for them as it waits for memory.
 func TestPatientRequestWaitsForALimitedEngine(t *testing.T) {
 	soon := start.Add(2 * time.Second)
 	s, _ := newNoticeFixture(t, map[string]time.Time{"c": soon, "d": soon})
@@ -83,7 +85,7 @@
 	s.expectStarted(1)
 }
 
-// The decode engine may have asked for a pause during the prefill.
+// The chosen decode engine asks for a pause during the prefill. The answer is decoded by the other engine.
 func TestDecodeAvoidsPausedEngine(t *testing.T) {
 	s, a := newNoticeFixture(t, map[string]time.Time{})
 	s.arrive(1, "x", 100)
--- a/internal/decide/place.go
+++ b/internal/decide/place.go
@@ -102,8 +102,8 @@
 	maxSlots int
 }
 
-// region returns the engines of the pool in a region, of which there may be none.
-func (p *pool) region(name string) *region {
+// regionNamed returns the engines of the pool that are in the named region, of which there may be none.
+func (p *pool) regionNamed(name string) *region {
 	found := p.regions[name]
 	if found == nil {
 		found = &region{}
@@ -136,7 +136,7 @@
 func (p *pool) decodeWork(f *flight) time.Duration {
 	n := p.maxBatch(f.BetweenTokens)
 	step := f.BetweenTokens
-	reg := p.region(f.Region)
+	reg := p.regionNamed(f.Region)
 	fits := reg.maxKV / max(1, f.PromptTokens+f.MaxTokens/2)
 	if reg.maxSlots > 0 {
 		fits = min(fits, reg.maxSlots)
@@ -191,7 +191,7 @@
 	p.maxLinkRate, p.minStep = 0, 0
 	p.regions = map[string]*region{}
 	for _, e := range p.prefill {
-		reg := p.region(e.Region)
+		reg := p.regionNamed(e.Region)
 		reg.prefill = append(reg.prefill, e)
 		if e.Leaving || e.Evacuated {
 			continue
@@ -202,7 +202,7 @@
 	p.throughput.setEngines(Prefill, len(p.prefill))
 	p.throughput.setEngines(Decode, len(p.decode))
 	for _, e := range p.decode {
-		reg := p.region(e.Region)
+		reg := p.regionNamed(e.Region)
 		reg.decode = append(reg.decode, e)
 		if e.Leaving || e.Evacuated {
 			continue
@@ -431,7 +431,7 @@
 // have free memory for it and are fast enough.
 func (c *Core) findDecodeOptions(p *pool, f *flight, now time.Time, excluded *Exclusions) {
 	c.decodeOptions = c.decodeOptions[:0]
-	c.sampledDecodes = c.appendSample(c.sampledDecodes[:0], p.region(f.Region).decode)
+	c.sampledDecodes = c.appendSample(c.sampledDecodes[:0], p.regionNamed(f.Region).decode)
 	for _, e := range c.sampledDecodes {
 		if !c.usable(e, now, excluded) || !f.canRunOn(e) {
 			continue
@@ -518,7 +518,7 @@
 	if p.SelfPrefillRatio == 0 {
 		return 0, false
 	}
-	for _, e := range p.region(f.Region).decode {
+	for _, e := range p.regionNamed(f.Region).decode {
 		if e.leaving() {
 			continue
 		}
@@ -539,6 +539,6 @@
 		c.sampledPrefills = p.appendAffine(c.sampledPrefills, f.Blocks[0])
 	}
 	c.sampledPrefills = slices.DeleteFunc(c.sampledPrefills, func(e *engine) bool { return e.Region != f.Region })
-	c.sampledPrefills = c.appendSample(c.sampledPrefills, p.region(f.Region).prefill)
+	c.sampledPrefills = c.appendSample(c.sampledPrefills, p.regionNamed(f.Region).prefill)
 	return c.sampledPrefills
 }
--- a/internal/decide/promise_test.go
+++ b/internal/decide/promise_test.go
@@ -13,8 +13,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// model drives a core with generated events and checks after each one that no
-// guarantee is violated. It sees only events and actions, not the core's state.
+// model feeds generated events to a core and checks after each event that no guarantee is violated. It knows the
+// events and the core's actions, but does not look at the core's state.
 type model struct {
 	t       *rapid.T
 	c       *Core
@@ -31,14 +31,15 @@
 	ended bool
 	// ran is set once an engine may have run some of it.
 	ran bool
-	// mayHaveRunFailed is set once a call that may have run has failed.
+	// mayHaveRunFailed is set once a call has failed that may have run some of the request.
 	mayHaveRunFailed bool
-	// openCalls are the calls that may hold engine memory, by attempt.
+	// openCalls maps the attempt numbers of calls that may hold memory on an engine to the engine.
 	openCalls      map[Attempt]string
 	currentAttempt Attempt
-	prefillAttempt Attempt // The attempt that produced the KV cache.
+	prefillAttempt Attempt // The prefill call that produced the KV cache.
 	stage          stage
-	// migrateAttempt is the attempt of the migration under way to migrateTo; 0 if none is.
+	// migrateAttempt is the attempt number of the running migration, and migrateTo its target engine. 0 means
+	// that no migration is running.
 	migrateAttempt Attempt
 	migrateTo      string
 }
@@ -53,7 +54,7 @@
 	return m
 }
 
-// updateFleet sets a fleet in which some engines may be leaving or missing.
+// updateFleet gives the core a generated configuration, in which some engines are leaving or missing.
 func (m *model) updateFleet() {
 	f := Fleet{Pools: []Pool{{
 		Name: "p", KVBytesPerToken: 1000, PrefillExpiry: time.Second,
@@ -122,6 +123,7 @@
 	}
 }
 
+// live returns a request that must not have ended yet.
 func (m *model) live(id ID) *trackedRequest {
 	r := m.reqs[id]
 	if r == nil || r.ended {
@@ -130,6 +132,7 @@
 	return r
 }
 
+// checkAllowed checks that a request may be sent to the engine: same region, not leaving.
 func (m *model) checkAllowed(r *trackedRequest, engine string) {
 	if m.region[engine] != r.req.Region {
 		m.t.Fatalf("request of %s sent to %s in %s", r.req.Region, engine, m.region[engine])
@@ -176,7 +179,7 @@
 	return live[rapid.IntRange(0, len(live)-1).Draw(m.t, "request")]
 }
 
-// pickAttempt mostly selects the current attempt, sometimes an earlier or future one.
+// pickAttempt returns the attempt number for an event: mostly that of the current call, sometimes another.
 func (m *model) pickAttempt(r *trackedRequest) Attempt {
 	if rapid.IntRange(0, 3).Draw(m.t, "stray") == 0 {
 		return Attempt(rapid.IntRange(0, int(r.currentAttempt)+1).Draw(m.t, "attempt"))
@@ -235,7 +238,7 @@
 	m.step(Done{ID: r.req.ID, Attempt: r.currentAttempt})
 }
 
-// endMigration ends a migration with success, an abort or a failure.
+// endMigration ends a running migration with success, by an abort, or with a failure.
 func (m *model) endMigration() {
 	r := m.pick()
 	if r == nil || r.migrateAttempt == 0 {
@@ -257,7 +260,7 @@
 	m.step(Migrated{ID: r.req.ID, Attempt: a, Aborted: stayed})
 }
 
-// noRoom makes a decode engine refuse to reserve memory: nothing was sent.
+// noRoom lets a decode engine refuse to reserve memory, before anything was sent to an engine.
 func (m *model) noRoom() {
 	r := m.pick()
 	if r == nil {
@@ -284,7 +287,7 @@
 	m.step(Failed{ID: r.req.ID, Attempt: a, Reason: outcome.EndpointLost, Ran: ran, KVGone: rapid.Bool().Draw(m.t, "gone")})
 }
 
-// advance moves the clock, sometimes so far that calls stall: then they may have run.
+// advance moves the clock, sometimes so far that calls stall. Stalled calls may have run the request.
 func (m *model) advance() {
 	m.now = m.now.Add(time.Duration(rapid.SampledFrom([]int{1, 10, 100, 3000}).Draw(m.t, "ms")) * time.Millisecond)
 	before := map[ID]Attempt{}
@@ -296,7 +299,7 @@
 	}
 	out := append([]Action(nil), m.c.Step(m.now, Tick{})...)
 	for _, a := range out {
-		// All calls that a tick aborts had stalled, and so may have run.
+		// All calls that a tick aborts have stalled, so they may have run the request.
 		if ab, ok := a.(Abort); ok && before[ab.ID] == ab.Attempt {
 			m.reqs[ab.ID].ran, m.reqs[ab.ID].mayHaveRunFailed = true, true
 		}
@@ -321,7 +324,7 @@
 	m.checkRemoved(r)
 }
 
-// checkRemoved checks that no calls of a removed request are open.
+// checkRemoved checks that a canceled request has no open calls.
 func (m *model) checkRemoved(r *trackedRequest) {
 	r.ended = true
 	if len(r.openCalls) != 0 {
@@ -329,7 +332,7 @@
 	}
 }
 
-// finish cancels all requests and checks that the ledgers are back at zero.
+// finish cancels all requests that have not ended, and checks that nothing is reserved for them any more.
 func (m *model) finish() {
 	for id := ID(1); id <= m.next; id++ {
 		if r := m.reqs[id]; !r.ended {
@@ -351,7 +354,7 @@
 	}
 }
 
-// checkPromises is the property: no order of events violates a guarantee.
+// checkPromises feeds random sequences of events to a core. No sequence may violate a guarantee.
 func checkPromises(t *rapid.T) {
 	m := newModel(t)
 	t.Repeat(map[string]func(*rapid.T){
@@ -372,8 +375,8 @@
 	m.finish()
 }
 
-// TestMain runs more checks of the property than rapid does by default. With fewer, the tests
-// missed one of the guards that scripts/guards.sh removes.
+// TestMain runs the property check more often than rapid does by default. With fewer runs, the tests did not
+// fail for one of the checks that scripts/guards.sh removes from the code.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := map[string]bool{}
@@ -382,7 +385,7 @@
 		_ = flag.Set("rapid.checks", "2000")
 	}
 	if !set["rapid.seed"] {
-		_ = flag.Set("rapid.seed", "1") // The same result on every run; `make fuzz` searches further.
+		_ = flag.Set("rapid.seed", "1") // This gives the same result on every run; `make fuzz` searches further.
 	}
 	os.Exit(m.Run())
 }
--- a/internal/decide/queue.go
+++ b/internal/decide/queue.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// waitQueue holds the waiting requests, ordered by latest start. The latest start is a
-// fixed time for each request, so the order does not change as time passes and a sorted
-// slice is enough.
+// waitQueue holds the waiting requests, sorted by flight.order. The order of a request never changes while it
+// waits, so a sorted slice is enough.
 type waitQueue struct{ items []*flight }
 
 func byOrder(a, b *flight) int {
@@ -31,24 +30,24 @@
 	}
 }
 
-// throughput measures how many engine seconds of work per second this box starts in each
-// role while requests wait. With n engines and no other box that is about n; with other
-// boxes it is this box's share, and it falls when engines are removed.
+// throughput measures how much work this box starts while requests wait: engine seconds per second, by role.
+// With n engines and no other box this is about n. With other boxes it is this box's share of n, and it falls
+// when engines are removed.
 type throughput struct {
 	engines     [2]float64 // The number of engines, by role.
-	estimate    [2]float64 // The present estimate; 0 before the first window.
-	windowStart time.Time  // Start of the window; zero while nothing waits.
-	startedWork [2]float64 // Work started in the window, in engine seconds.
+	estimate    [2]float64 // The present estimate, in engine seconds per second; 0 before the first measurement.
+	windowStart time.Time  // Start of the measurement; zero while no request waits.
+	startedWork [2]float64 // Work started since windowStart, in engine seconds.
 }
 
 const (
-	// throughputWindow is how long requests must have been waiting for a measurement.
+	// throughputWindow is the shortest duration of a measurement.
 	throughputWindow = 400 * time.Millisecond
-	// throughputBlend is the weight of a new measurement. idleBlend is that of the number
-	// of engines on each update while nothing waits.
+	// throughputBlend is the weight of a new measurement in the estimate. While no request waits, the
+	// estimate approaches the number of engines instead, with the weight idleBlend on each update.
 	throughputBlend = 0.5
 	idleBlend       = 0.01
-	// minThroughput keeps an estimate usable after a time in which nothing started.
+	// minThroughput is the lowest estimate, so that it can recover after a time in which nothing started.
 	minThroughput = 0.05
 )
 
@@ -87,7 +86,7 @@
 	return max(minThroughput, min(p.engines[role], p.estimate[role]))
 }
 
-// timeAhead is how long the requests that start before f will take.
+// timeAhead is how long it will take to start the waiting requests that go before f.
 func (p *pool) timeAhead(f *flight) time.Duration {
 	work := 0.0
 	for _, other := range p.queue.items {
@@ -99,18 +98,18 @@
 	return seconds(work / p.throughput.rate(p.scarceRole))
 }
 
-// maxShed bounds the requests refused in one call of shedLate.
+// maxShed is the most requests that one call of shedLate refuses.
 const maxShed = 16
 
-// shedLate refuses waiting requests as soon as not all of them can be on time. It goes
-// through the queue in order, adding up the work on the scarce role, until a request
-// would start too late. Then it refuses the largest request up to there of the client with
-// the most work there: this keeps the most requests on time (Moore-Hodgson algorithm), and
-// the bulk load of one client cannot displace the few requests of another.
+// shedLate refuses waiting requests as soon as not all of them can be on time. It goes through the queue in
+// order and adds up the work for engines of the scarce role, until a request would start too late. From this
+// request and those before it, it selects the client with the most work, and refuses that client's largest
+// request. Refusing the largest keeps the most requests on time (Moore-Hodgson algorithm). Selecting by
+// client keeps the bulk load of one client from displacing the few requests of another.
 //
-// Example: one engine and three waiting requests of 400, 10 and 10 ms, of which the last
-// two would be late behind the first. Refusing the first serves two of three; refusing
-// each as it becomes late would serve one.
+// Example: there is one engine, and three requests of 400, 10 and 10 ms wait. Behind the first, the other two
+// would be late. If the first is refused, two of three are served in time. If each request were refused only
+// when it is late itself, one would be.
 func (c *Core) shedLate(p *pool) {
 	for range maxShed {
 		index := c.firstLateIndex(p)
@@ -141,7 +140,8 @@
 	return -1
 }
 
-// largestOfBusiestClient returns the largest request of the client with the most work.
+// largestOfBusiestClient selects the client whose requests take the most work of the given role, and returns
+// its largest request. Requests that may be late do not count.
 func largestOfBusiestClient(items []*flight, role EngineRole) *flight {
 	total := map[string]time.Duration{}
 	busiestClient := ""
@@ -163,27 +163,27 @@
 	return best
 }
 
-// A core without platform limits may retry a share of its requests plus some free retries
-// per window, so that a failing fleet is not loaded further by retries.
+// The limits of a core for which SetRetryLimits was not called: retries of a share of its requests plus some
+// free retries per window. They keep retries from adding much load to engines that fail.
 const (
 	retryShare  = 0.1
 	freeRetries = 10
 	retryWindow = 10 * time.Second
 )
 
-// remoteLoad is what other boxes publish about their requests.
+// remoteLoad is what this box knows of the waiting and starting requests of all boxes.
 type remoteLoad struct {
-	waiting int
-	// starts are the start times of requests, including this box's, none older than startsWindow.
+	waiting int // Requests that wait on the other boxes.
+	// starts are the times at which requests of all boxes were started, none older than startsWindow.
 	starts []time.Time
 }
 
 const (
 	startsWindow = time.Second
 	maxStarts    = 8192
-	// minStartChance is the chance of starting in time below which a waiting request is refused.
-	// At 0.5, 0.8 and 0.9, 30 days of three small sites serve 15,510, 15,339 and 15,080 of
-	// 18,971 streams in time; at 0.8 the refused ones are told in half the time.
+	// minStartChance is the chance of starting in time below which a waiting request with RefuseEarly is
+	// refused. In 30 days of three small sites with 18,971 streams, 15,510 were served in time with 0.5,
+	// 15,339 with 0.8 and 15,080 with 0.9. With 0.8, refused callers were told in half the time.
 	minStartChance = 0.5
 )
 
@@ -193,11 +193,12 @@
 	}
 }
 
-// startChance is the probability that a request starts within a time. All waiting requests
-// are equally likely to get free capacity. Without figures of the other boxes it is 1.
+// startChance is the probability that a waiting request of this box starts within the given time. All waiting
+// requests, of which local wait on this box, are equally likely to be the next to start. If no requests are
+// known to wait on other boxes, it is 1.
 //
-// Example: 20 requests wait on all boxes, and 30 started in the last second. One of them
-// starts within 0.5 s with a probability of 1 - exp(-30 * 0.5 / 20) = 0.53.
+// Example: 20 requests wait on all boxes, and 30 started in the last second. A waiting request then starts
+// within 0.5 s with a probability of 1 - exp(-30 * 0.5 / 20) = 0.53.
 func (o *remoteLoad) startChance(now time.Time, local int, within time.Duration) float64 {
 	if o.waiting == 0 {
 		return 1
--- a/internal/decide/resume_test.go
+++ b/internal/decide/resume_test.go
@@ -7,7 +7,7 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// beginStream starts a resumable stream and lets it run for the given time.
+// beginStream starts a stream that may be resumed on other engines, and lets it run for the given time.
 func beginStream(t *testing.T, duration time.Duration) *fixture {
 	t.Helper()
 	s := newFixture(t, 1, 2)
@@ -24,8 +24,8 @@
 	return s
 }
 
-// When a long stream lost its connection, the maximum wait since its arrival had passed, and the
-// stream was ended instead of resumed.
+// A stream that loses its connection is resumed on other engines, however long it has been running. It used to
+// be ended instead if more than the maximum wait had passed since its arrival.
 func TestLongStreamThatBreaksIsResumed(t *testing.T) {
 	for _, lasts := range []time.Duration{time.Second, 3 * time.Second, 10 * time.Second} {
 		s := beginStream(t, lasts)
@@ -38,7 +38,8 @@
 	}
 }
 
-// Callers give up a stream that pauses for some seconds, so it must not be resumed after that.
+// A stream that loses its connection waits for engines no longer than its maximum wait and is then ended, since
+// callers give up a stream that pauses for longer.
 func TestBrokenStreamWaitIsBounded(t *testing.T) {
 	s := beginStream(t, 3*time.Second)
 	for i := range s.c.pools["p"].prefill {
--- a/internal/decide/retries_test.go
+++ b/internal/decide/retries_test.go
@@ -9,23 +9,27 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// Engines got more calls beyond the first per request in ten seconds than the platform allows all
-// boxes together (a fifth of the requests and a few hundred), in this order of events: engines reject
-// most calls; meanwhile boxes are restarted, cut off or killed; each box spends its own allowance,
-// three at once and one more per ten seconds whether there are 8 boxes or 85, and again after a
-// restart; and all of them spend from a shared allowance before they learn that others have.
+// The tests of this file limit the calls of all boxes together. A platform allows some calls beyond the first
+// prefill and the first decode call of each request: in ten seconds, a fifth of the number of requests and a few
+// hundred more.
 //
-// Observed on 85 boxes that were allowed 319 to 323 such calls: 324 when all boxes were killed, 434
-// when half of them were cut off, 462 when all were restarted in turn, and no more than allowed
-// otherwise. A stream that starts over costs two such calls, since its prompt is prefilled again too,
-// and only one retry was taken for both.
+// Engines once got more calls than that while they rejected most calls, because boxes were restarted, cut off
+// from each other or killed at the same time. Each box had an allowance of its own (three calls at once and one
+// more per ten seconds, with 8 boxes as well as with 85), which started anew after a restart. And all boxes
+// spent from a shared allowance before they learned what the others had spent.
+//
+// Observed on 85 boxes that were allowed 319 to 323 such calls: 324 when all boxes were killed, 434 when half of
+// the boxes were cut off, 462 when all boxes were restarted one after another, and no more than allowed in the
+// other cases. A stream that starts over costs two such calls, since its prompt is prefilled again too, but only
+// one retry was taken for both.
 
-// retryPlatform holds the limits of a platform and its load.
+// retryPlatform describes a platform: its boxes, its request rate and its limit on repeated calls.
 type retryPlatform struct {
 	boxes int
 	// perSecond is the request rate of all boxes.
 	perSecond float64
-	// share and slack bound the calls beyond the first per request in window.
+	// share, as a fraction of the requests, and slack bound the number of calls beyond the first prefill and
+	// the first decode call per request in each window.
 	share, slack float64
 	window       time.Duration
 }
@@ -36,7 +40,7 @@
 	largePlatform = retryPlatform{boxes: 295, perSecond: 60, share: 0.2, slack: 630, window: 10 * time.Second}
 )
 
-// newBoxCore returns the core of a box that started at the given time and knows the number of boxes.
+// newBoxCore returns the core of a box of the platform that starts at the given time.
 func (p retryPlatform) newBoxCore(now time.Time) *Core {
 	c := newPoolCore(9, 27, 0)
 	c.now = now
@@ -44,7 +48,7 @@
 	return c
 }
 
-// failureMode is how engines fail the calls of a test.
+// failureMode is the way in which engines fail in a test.
 type failureMode int
 
 const (
@@ -52,25 +56,25 @@
 	losesKVHandles
 )
 
-// restartsPerSecond is how many boxes per second restart from second 8 to 18.
+// restartsPerSecond is how many boxes per second are restarted between the 8th and the 18th second.
 type restartsPerSecond int
 
-// expectRetriesWithin makes all engines fail all calls for half a minute, and expects no window
-// to have more calls beyond the first per request than the platform allows.
-func expectRetriesWithin(t *testing.T, p retryPlatform, how failureMode, again restartsPerSecond) {
+// expectRetriesWithin lets all engines fail all calls for half a minute. In no window may the number of
+// repeated calls exceed what the platform allows.
+func expectRetriesWithin(t *testing.T, p retryPlatform, mode failureMode, restarts restartsPerSecond) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(1, uint64(p.boxes)))
 	start := time.Unix(1_800_000_000, 0).Add(time.Minute)
 	boxes := make([]*failingBox, p.boxes)
 	for i := range boxes {
-		boxes[i] = &failingBox{c: p.newBoxCore(start), how: how}
+		boxes[i] = &failingBox{c: p.newBoxCore(start), mode: mode}
 	}
 	var arrivals, extra []time.Duration
 	next, id := 0, ID(0)
 	for at := time.Duration(0); at < 30*time.Second; at += tickInterval {
 		now := start.Add(at)
-		if at > 8*time.Second && at < 18*time.Second && rng.Float64() < float64(again)*tickInterval.Seconds() {
-			boxes[next%p.boxes] = &failingBox{c: p.newBoxCore(now), how: how}
+		if at > 8*time.Second && at < 18*time.Second && rng.Float64() < float64(restarts)*tickInterval.Seconds() {
+			boxes[next%p.boxes] = &failingBox{c: p.newBoxCore(now), mode: mode}
 			next++
 		}
 		if rng.Float64() < p.perSecond*tickInterval.Seconds() {
@@ -107,12 +111,12 @@
 	return n
 }
 
-// failingBox is a box whose engines fail all calls.
+// failingBox is a box whose engines fail all calls in the given way.
 type failingBox struct {
 	c                 *Core
-	how               failureMode
+	mode              failureMode
 	prefills, decodes map[ID]int
-	// extra counts the calls beyond the first per request since it was last reset.
+	// extra counts the calls beyond the first of their kind per request, since it was last reset.
 	extra int
 }
 
@@ -127,7 +131,7 @@
 			switch a := a.(type) {
 			case StartPrefill:
 				b.count(b.prefills, a.ID)
-				if b.how == rejectsPrefills {
+				if b.mode == rejectsPrefills {
 					pending = append(pending, Failed{ID: a.ID, Attempt: a.Attempt, Reason: outcome.EndpointRefused})
 					break
 				}
@@ -155,10 +159,10 @@
 	}
 }
 
-// A stream was answered with 504 and all retries spent: the engine that had taken its KV cache lost the
-// connection, and each further engine was told to fetch the cache from the prefill engine, which no longer
-// had it. An engine that refuses after that shows that the cache is gone, and the prompt is prefilled
-// again. Observed: six decode calls for one prompt, five of them refused.
+// An engine took the KV cache of a stream and then lost the connection. When the next engine refuses the request,
+// the core must conclude that the prefill engine no longer has the cache, and have the prompt prefilled again. It
+// used to call further engines, each of which tried to fetch the cache in vain. Observed: six decode calls for
+// one prompt, five of them refused; all retries were spent and the stream was answered with 504.
 func TestTakenKVCacheIsRecomputed(t *testing.T) {
 	s := newFixture(t, 1, 3)
 	s.arrive(1, "c", 1000)
@@ -174,7 +178,7 @@
 	if s.decodes[1].Attempt != second.Attempt || s.prefills[1].Attempt <= second.Attempt {
 		t.Errorf("expected the prompt to be prefilled again after the refusal, got prefill %d, decode %d", s.prefills[1].Attempt, s.decodes[1].Attempt)
 	}
-	// If no engine can have taken the KV cache, a refusal does not mean that it is gone.
+	// If no engine can have taken the KV cache, a refusal does not mean that the cache is gone.
 	s = newFixture(t, 1, 3)
 	s.arrive(1, "c", 1000)
 	s.step(PrefillDone{ID: 1, Attempt: s.prefills[1].Attempt, Expires: s.now.Add(5 * time.Second)})
--- a/internal/decide/snapshot.go
+++ b/internal/decide/snapshot.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// EngineState is the observed state of one engine, for operators.
+// EngineState is the observed state of one engine, as shown to operators.
 type EngineState struct {
 	Engine
-	State      string // ready, leaving, closed, set_aside or silent
+	State      string // One of ready, leaving, closed (evacuated), set_aside and silent.
 	Queue      time.Duration
 	FreeKV     int
 	ReservedKV int // Reserved for this box's own requests.
@@ -51,11 +51,11 @@
 // InFlight is the number of requests that have arrived and not ended.
 func (c *Core) InFlight() int { return len(c.flights) }
 
-// shortageShare is the share of a role's engines that must be full for the role to count as
-// short, and the share of its memory that a full decode engine uses.
+// shortageShare is used twice: a decode engine is full if more than this share of its memory is used, and a
+// role is short if at least this share of its engines is busy or full.
 const shortageShare = 0.8
 
-// Imbalance describes, for each pool that is limited by one or both roles, which role that is.
+// Imbalance returns a sentence for each pool in which a role is short of engines.
 func (c *Core) Imbalance(now time.Time) []string {
 	var out []string
 	for _, name := range c.poolNames {
--- a/internal/decide/speed.go
+++ b/internal/decide/speed.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// This file estimates the speed of a pool's engines from the timings of its requests. Nothing
-// else tells it, and engines of two deployments can differ by a factor of ten and more.
+// This file estimates the speed of a pool's engines from the timings of its requests. Engines do not
+// report their speed, and it can differ by a factor of ten and more between deployments.
 
-// Speed is the speed of the engines of a pool. Values that are not known yet are 0.
+// Speed holds the speed figures of a pool's engines. Figures that are not known yet are 0.
 type Speed struct {
-	PrefillRate float64 // Prompt tokens that an engine prefills per second.
-	// PrefillDelay is the part of a prefill's duration besides the prefill itself and queueing.
+	PrefillRate float64 // Prompt tokens that a prefill engine prefills per second.
+	// PrefillDelay is the fixed part of a prefill's duration, without queueing and without the time per token.
 	PrefillDelay time.Duration
-	// FirstEventDelay is the time from sending a KV cache to a decode engine until the first event
-	// arrives, without the transfer.
+	// FirstEventDelay is the time from sending a request to a decode engine until the first event of
+	// the answer arrives, without the transfer of the KV cache.
 	FirstEventDelay time.Duration
-	// Step is the time per token of a single stream, and StepPerStream what each stream adds.
+	// Step is the time per token without streams, and StepPerStream what each stream adds to it.
 	Step          time.Duration
 	StepPerStream time.Duration
 }
 
-// Timing is the time that one request took on engines. Values that were not observed are 0.
+// Timing holds how long engines took for one request. Values that were not observed are 0.
 type Timing struct {
-	// PrefillTokens were prefilled by a prefill engine in PrefillTime: those of the prompt, and those
-	// that were known to be queued ahead of it.
+	// PrefillTokens is the number of tokens that the prefill engine prefilled in PrefillTime: those of the
+	// prompt, and those known to be queued before it.
 	PrefillTokens   int
 	PrefillTime     time.Duration
 	FirstEventDelay time.Duration // As in Speed.
-	// Step is the mean time per token, with Streams running on the engine.
+	// Step is the stream's mean time per token, and Streams the number of streams on the engine then.
 	Step    time.Duration
 	Streams float64
 }
@@ -50,37 +50,39 @@
 func (RemoteTiming) event()   {}
 
 const (
-	// maxTimings is how many of the newest timings of each kind are used: about half a minute
-	// of those that boxes publish, so that one burst is not mistaken for slow engines.
+	// maxTimings is how many of the newest timings of each kind are used. At the rate at which boxes
+	// publish timings these are about half a minute, so one burst is not mistaken for slow engines.
 	maxTimings = 128
-	// minTimings is how many timings an estimate needs, and refitInterval after how many new
-	// ones the estimates are recomputed.
+	// minTimings is how many timings an estimate needs. refitInterval is the number of new timings
+	// after which the estimates are computed again.
 	minTimings    = 8
 	refitInterval = 4
-	// maxAheadShare bounds the tokens known to be queued ahead of a prompt, as a fraction of
-	// its own, for its timing to count. The number of tokens ahead is itself derived from the
-	// estimated rate.
+	// maxAheadShare bounds the tokens known to be queued before a prompt, as a fraction of the prompt's
+	// uncached tokens. With more tokens, the prompt's timing is not used: the number of tokens queued
+	// is itself computed from the estimated rate.
 	maxAheadShare = 0.25
-	// undelayedQuantile is the fraction of prefills that nothing unknown delayed. The others
-	// were queued behind unreported prompts of other boxes, or an engine was faulty.
+	// undelayedQuantile is the fraction of prefills that count as undelayed. The others may have been
+	// queued behind prompts of other boxes that this box does not know of, or an engine was faulty.
 	undelayedQuantile = 0.25
-	// fitRounds is how often delay and rate are corrected by each other. Each round reduces the
-	// error to the ratio of the sizes of short and long prompts, about a half.
+	// fitRounds is how often delay and time per token are each computed from the other. Each round
+	// multiplies the error by the size ratio of short to long prompts, which is about a half.
 	fitRounds = 8
-	// minStreamSpread is the least difference in streams between the emptier and the fuller half
-	// of the timings from which the step time per stream is estimated.
+	// minStreamSpread is how many more streams the fuller half of the timings must have than the emptier
+	// half, by their medians, for the step time per stream to be estimated.
 	minStreamSpread = 2
 )
 
 // speed estimates a pool's Speed.
 type speed struct {
 	Speed
-	// prefillTimings, beginTimings and stepTimings are the timings with each value, oldest first.
+	// prefillTimings, beginTimings and stepTimings are the newest timings that contain a prefill time, a
+	// first-event delay and a step time, oldest first.
 	prefillTimings, beginTimings, stepTimings []Timing
-	// prefillCount and stepCount count all timings ever received.
+	// prefillCount and stepCount count all timings so far with a prefill time and with a step time, and the
+	// requests behind the prior estimates.
 	prefillCount, stepCount int
 	sinceFit                int // Timings since the estimates were last computed.
-	// prior is the estimate at the start, stored by boxes that ran earlier.
+	// prior holds the estimates of boxes that ran earlier, which were loaded at the start.
 	prior Speed
 }
 
@@ -115,40 +117,41 @@
 	return append(list, t)
 }
 
-// setPrior sets the estimates from before this box observed any, based on n requests.
-func (s *speed) setPrior(before Speed, n int) {
-	s.prior = before
+// setPrior sets the estimates that other boxes made of n requests before this box started.
+func (s *speed) setPrior(prior Speed, n int) {
+	s.prior = prior
 	s.prefillCount, s.stepCount = s.prefillCount+n, s.stepCount+n
 	if len(s.prefillTimings) < minTimings {
-		s.PrefillRate, s.PrefillDelay = before.PrefillRate, before.PrefillDelay
+		s.PrefillRate, s.PrefillDelay = prior.PrefillRate, prior.PrefillDelay
 	}
 	if len(s.beginTimings) < minTimings {
-		s.FirstEventDelay = before.FirstEventDelay
+		s.FirstEventDelay = prior.FirstEventDelay
 	}
 	if len(s.stepTimings) < minTimings {
-		s.Step, s.StepPerStream = before.Step, before.StepPerStream
+		s.Step, s.StepPerStream = prior.Step, prior.StepPerStream
 	}
 }
 
-// blendPrior combines an estimate from n timings with the prior one, which counts as much as
-// minTimings of them. A prior of 0 is unknown.
-func blendPrior(n int, seen, before float64) float64 {
-	if before <= 0 {
-		return seen
+// blendPrior is the weighted mean of an estimate from n timings and the prior estimate, which counts as
+// much as minTimings timings. A prior of 0 means that there is none.
+func blendPrior(n int, estimate, prior float64) float64 {
+	if prior <= 0 {
+		return estimate
 	}
-	return (float64(n)*seen + minTimings*before) / float64(n+minTimings)
+	return (float64(n)*estimate + minTimings*prior) / float64(n+minTimings)
 }
 
-func blendPriorTime(n int, seen float64, before time.Duration) time.Duration {
-	return seconds(blendPrior(n, seen, before.Seconds()))
+// blendPriorTime is blendPrior for times, with the estimate in seconds.
+func blendPriorTime(n int, estimate float64, prior time.Duration) time.Duration {
+	return seconds(blendPrior(n, estimate, prior.Seconds()))
 }
 
-// fitPrefill fits the fixed delay and the time per token so that both match the fast quantile
-// of the short prefills and that of the long ones.
+// fitPrefill estimates the fixed delay and the time per token of undelayed prefills. Both are chosen so that
+// they explain the undelayed quantile of the prefill times of short prompts and that of long prompts.
 //
-// Example: of prompts of 2,000 tokens the fastest quarter took up to 110 ms, of those of
-// 6,000 up to 230 ms. 4,000 tokens take 120 ms, so the rate is 33,333 tokens per second and
-// the delay 50 ms.
+// Example: the fastest quarter of prompts of 2,000 tokens took up to 110 ms, and the fastest quarter of
+// prompts of 6,000 tokens up to 230 ms. So 4,000 tokens take 120 ms, the rate is 33,333 tokens per second
+// and the delay is 50 ms.
 func (s *speed) fitPrefill() {
 	n := len(s.prefillTimings)
 	if n < minTimings {
@@ -172,7 +175,8 @@
 	}
 }
 
-// fitSteps compares the medians of the emptier and the fuller half of the timings.
+// fitSteps estimates the step time per stream from the difference of the medians of two halves of the
+// timings, those with few streams and those with many.
 func (s *speed) fitSteps() {
 	n := len(s.stepTimings)
 	if n < minTimings {
@@ -183,15 +187,15 @@
 	list := sorted(s.stepTimings, streams)
 	emptier, fuller := list[:n/2], list[n/2:]
 	perStream := s.StepPerStream.Seconds()
-	if more := median(fuller, streams) - median(emptier, streams); more >= minStreamSpread {
-		perStream = max(0, (median(fuller, step)-median(emptier, step))/more)
+	if extraStreams := median(fuller, streams) - median(emptier, streams); extraStreams >= minStreamSpread {
+		perStream = max(0, (median(fuller, step)-median(emptier, step))/extraStreams)
 	}
-	all := median(list, step)
-	alone := all - perStream*median(list, streams)
-	if alone <= 0 { // Noise: the streams cannot take more than the whole step.
-		alone, perStream = all, 0
+	stepTime := median(list, step)
+	baseStep := stepTime - perStream*median(list, streams)
+	if baseStep <= 0 { // Due to noise, the streams seem to take longer than the whole step.
+		baseStep, perStream = stepTime, 0
 	}
-	s.Step, s.StepPerStream = blendPriorTime(n, alone, s.prior.Step), blendPriorTime(n, perStream, s.prior.StepPerStream)
+	s.Step, s.StepPerStream = blendPriorTime(n, baseStep, s.prior.Step), blendPriorTime(n, perStream, s.prior.StepPerStream)
 }
 
 func sorted(list []Timing, by func(Timing) float64) []Timing {
@@ -200,6 +204,7 @@
 	return out
 }
 
+// lowQuantile is the value up to which the undelayed fraction of the timings lies.
 func lowQuantile(list []Timing, of func(Timing) float64) float64 {
 	return quantileOf(list, of, undelayedQuantile)
 }
@@ -214,13 +219,13 @@
 	return quantile(values, q)
 }
 
-// quantile sorts the list, which must not be empty.
+// quantile sorts the list, which must not be empty, and returns the value at fraction q of it.
 func quantile(list []float64, q float64) float64 {
 	slices.Sort(list)
 	return list[int(q*float64(len(list)-1))]
 }
 
-// applySpeed sets the estimated speed on the engines of the pool.
+// applySpeed replaces the configured speed of the pool's engines by the estimated speed, if there is one.
 func (p *pool) applySpeed() {
 	if !p.EstimatesSpeed {
 		return
@@ -242,8 +247,8 @@
 	return !p.EstimatesSpeed || p.speed.PrefillRate > 0 && p.speed.Step > 0
 }
 
-// beginTime is the time from sending a KV cache to a decode engine until the first event,
-// without the transfer.
+// beginTime is the time from sending a request to a decode engine until the first event of the answer
+// arrives, without the transfer of the KV cache. While there is no estimate it is the given step time.
 func (p *pool) beginTime(step time.Duration) time.Duration {
 	if p.speed.FirstEventDelay > 0 {
 		return p.speed.FirstEventDelay
@@ -251,8 +256,8 @@
 	return step
 }
 
-// EstimateStreamTime predicts how long a pool's engines take to generate the given number of tokens,
-// with one more stream each than now; 0 for a pool without decode engines.
+// EstimateStreamTime predicts how long a pool's decode engines take to generate the given number of tokens,
+// if each gets one more stream than it has now. It is 0 for a pool without decode engines.
 func (c *Core) EstimateStreamTime(name string, tokens int) time.Duration {
 	p := c.pools[name]
 	if p == nil || len(p.decode) == 0 {
@@ -265,7 +270,7 @@
 	return time.Duration(tokens) * sum / time.Duration(len(p.decode))
 }
 
-// meanStep is a stream's mean time per token; 0 if unknown.
+// meanStep is the mean time per token of a stream that is done; 0 if it cannot be told.
 func (f *flight) meanStep(now time.Time, output int) time.Duration {
 	if f.firstTokens <= 0 || output <= 2*f.firstTokens || f.decode == nil || f.wasMigrated {
 		return 0
--- a/internal/decide/speed_test.go
+++ b/internal/decide/speed_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// timingsOf generates timings of an engine of the given speed. Every second prefill was queued
-// behind unreported prompts, and one stream in ten was preempted.
+// timingsOf generates n timings of engines of the given speed. Every second prefill is delayed, as if queued
+// behind prompts of other boxes, and every tenth stream is three times as slow, as if it was preempted.
 func timingsOf(s Speed, n int) []Timing {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var out []Timing
@@ -29,14 +29,16 @@
 	return out
 }
 
-func within(got, want, part float64) bool { return got >= want*(1-part) && got <= want*(1+part) }
+func within(got, want, tolerance float64) bool {
+	return got >= want*(1-tolerance) && got <= want*(1+tolerance)
+}
 
 func expectSpeed(t *testing.T, got, want Speed) {
 	t.Helper()
 	const full = 10 // Number of streams at which the step times are compared.
-	at := func(s Speed) float64 { return (s.Step + full*s.StepPerStream).Seconds() }
-	read := func(s Speed) float64 { return s.PrefillDelay.Seconds() + 3000/s.PrefillRate }
-	if !within(got.PrefillRate, want.PrefillRate, 0.15) || !within(read(got), read(want), 0.15) || !within(at(got), at(want), 0.1) || got.FirstEventDelay != want.FirstEventDelay {
+	stepAtFull := func(s Speed) float64 { return (s.Step + full*s.StepPerStream).Seconds() }
+	prefillTime := func(s Speed) float64 { return s.PrefillDelay.Seconds() + 3000/s.PrefillRate }
+	if !within(got.PrefillRate, want.PrefillRate, 0.15) || !within(prefillTime(got), prefillTime(want), 0.15) || !within(stepAtFull(got), stepAtFull(want), 0.1) || got.FirstEventDelay != want.FirstEventDelay {
 		t.Errorf("expected about %+v, got %+v", want, got)
 	}
 }
@@ -60,14 +62,15 @@
 	}
 }
 
-// When engines are replaced, the newest timings show it.
+// After engines were replaced by slower ones, the newest timings determine the estimates.
 func TestLearnsChange(t *testing.T) {
 	p := &pool{Pool: Pool{EstimatesSpeed: true}}
 	learnSpeed(p, timingsOf(fastEngine, 3*maxTimings))
 	expectSpeed(t, learnSpeed(p, timingsOf(slowEngine, maxTimings)), slowEngine)
 }
 
-// The estimates of earlier boxes apply until this box has enough timings, and do not outweigh them.
+// The estimates that other boxes made earlier apply until this box has enough timings. After that, the timings
+// have more weight.
 func TestPriorEstimates(t *testing.T) {
 	p := &pool{Pool: Pool{EstimatesSpeed: true}}
 	p.speed.setPrior(slowEngine, 100)
@@ -82,8 +85,8 @@
 		PrefillRate: 53_700, PrefillDelay: 14500 * time.Microsecond, FirstEventDelay: p.speed.FirstEventDelay, Step: 840 * time.Microsecond, StepPerStream: 20 * time.Microsecond})
 }
 
-// The predicted duration of an answer follows from the estimated speed: slow engines take eight
-// times as long as fast ones, so a stopping box must not accept the same streams on both.
+// The predicted duration of an answer follows from the estimated speed. Slow engines take eight times as long as
+// fast engines, and a box that is about to stop must not accept the same streams on both.
 func TestStreamTime(t *testing.T) {
 	for _, s := range []Speed{fastEngine, slowEngine} {
 		c := newPoolCore(1, 2, 0)
@@ -98,7 +101,7 @@
 	}
 }
 
-// The configured speed of engines is not changed by timings.
+// If the configured speed is to be used, timings do not change it.
 func TestConfiguredSpeedStands(t *testing.T) {
 	p := &pool{}
 	if got := learnSpeed(p, timingsOf(slowEngine, 100)); got != (Speed{}) {
--- a/internal/decide/urgency.go
+++ b/internal/decide/urgency.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// urgency tracks how the recent work is distributed over first-token targets. Engines
-// prefill the most urgent prompts first, so a request waits for the prompt in progress and
-// for work of at least the same urgency, not for all that is queued.
+// urgency tracks how the recent prefill work is distributed over requests with different first-token
+// targets. Engines prefill the most urgent prompts first. So a request waits for the prompt that is being
+// prefilled and for queued prompts that are at least as urgent, not for the whole queue.
 type urgency struct{ classes []urgencyClass }
 
-// urgencyClass is the recent work of requests with one first-token target.
+// urgencyClass is the recent prefill work of all requests with the same first-token target.
 type urgencyClass struct {
 	target      time.Duration
-	recentWork  float64       // Decaying sum of prefill seconds.
+	recentWork  float64       // Sum of prefill times in seconds, in which older requests count less.
 	meanPrefill time.Duration // Mean prefill time of one request.
-	lateness    time.Duration // Mean delay of recent prefills against their prediction.
+	lateness    time.Duration // Mean delay of recent prefills beyond their predicted end.
 }
 
 const (
-	// workDecay is applied to the sums with each arrival.
+	// workDecay is the factor by which each arriving request reduces the work of all classes.
 	workDecay = 0.995
-	// maxUrgencyClasses bounds the distinct targets; further ones count as the last.
+	// maxUrgencyClasses bounds the number of classes. Requests with further targets count in the last class.
 	maxUrgencyClasses = 16
 	meanPrefillBlend  = 0.05
-	// refusedLatenessFactor scales a lateness that caused a refusal.
+	// refusedLatenessFactor is the factor by which a lateness is reduced after it caused a refusal.
 	refusedLatenessFactor = 0.5
 )
 
-// urgencyTarget is the target that determines the urgency of a request. One that may be
-// late goes after all others, whatever its first-token target.
+// urgencyTarget is the target by which the urgency of a request is judged. Requests that go behind all that
+// can be on time have the longest, whatever their first-token target.
 func (f *flight) urgencyTarget() time.Duration {
 	if f.yieldsToOnTime {
 		return defaultMaxWait
@@ -34,6 +34,7 @@
 	return f.FirstToken
 }
 
+// addArrival adds the prefill work of an arriving request to its class.
 func (u *urgency) addArrival(f *flight) {
 	i := 0
 	for i < len(u.classes) && u.classes[i].target != f.urgencyTarget() {
@@ -50,9 +51,8 @@
 	c.meanPrefill += time.Duration(meanPrefillBlend * float64(f.work[Prefill]-c.meanPrefill))
 }
 
-// observeLateness records how much later than predicted a prompt was prefilled. Reports of
-// what other boxes send to the same engines arrive late, so a box estimates the effect from
-// its own requests.
+// observeLateness records how much later than predicted a prompt was prefilled. Such delays are due to
+// prompts of other boxes, news of which arrives late, so a box measures them on its own requests.
 func (u *urgency) observeLateness(f *flight, late time.Duration) {
 	for i := range u.classes {
 		if c := &u.classes[i]; c.target == f.urgencyTarget() {
@@ -61,8 +61,8 @@
 	}
 }
 
-// fadeLateness reduces the lateness of a class whose requests are refused only because of
-// it: otherwise no request would run any more that could correct it.
+// fadeLateness reduces the lateness of the request's class. It is called when a request is refused only
+// because of that lateness. Otherwise no request of the class might ever run again and correct it.
 func (u *urgency) fadeLateness(f *flight) {
 	for i := range u.classes {
 		if c := &u.classes[i]; c.target == f.urgencyTarget() {
@@ -71,6 +71,7 @@
 	}
 }
 
+// lateness is the mean delay of recent prefills of the request's class.
 func (u *urgency) lateness(f *flight) time.Duration {
 	for _, c := range u.classes {
 		if c.target == f.urgencyTarget() {
@@ -80,25 +81,26 @@
 	return 0
 }
 
-// wait predicts how long a request waits for an engine with the given queue: for the prompt
-// in progress, and for the queued work of at least the same urgency.
+// wait predicts how long a request waits for a prefill engine whose queue takes the given time. inProgress
+// is the wait for a less urgent prompt that is being prefilled, and urgentQueue the wait for queued
+// prompts that are at least as urgent.
 //
-// Example: 500 ms are queued, a tenth of all work is as urgent as the request, and the other
-// prompts take 170 ms each. It waits for the one in progress and for a tenth of the rest:
-// 170 and 33 ms.
+// Example: the queue takes 500 ms, a tenth of all recent work is at least as urgent as the request, and less
+// urgent prompts take 170 ms each. The request waits 170 ms for the prompt that is being prefilled, and
+// 33 ms for a tenth of the other 330 ms.
 func (u *urgency) wait(f *flight, queued time.Duration) (inProgress, urgentQueue time.Duration) {
-	all, urgent, longest := 0.0, 0.0, time.Duration(0)
+	allWork, urgentWork, longestOther := 0.0, 0.0, time.Duration(0)
 	for _, c := range u.classes {
-		all += c.recentWork
+		allWork += c.recentWork
 		if c.target <= f.urgencyTarget() {
-			urgent += c.recentWork
+			urgentWork += c.recentWork
 		} else {
-			longest = max(longest, c.meanPrefill)
+			longestOther = max(longestOther, c.meanPrefill)
 		}
 	}
-	if all == 0 || longest == 0 {
+	if allWork == 0 || longestOther == 0 {
 		return 0, queued
 	}
-	inProgress = min(queued, longest)
-	return inProgress, time.Duration(urgent / all * float64(queued-inProgress))
+	inProgress = min(queued, longestOther)
+	return inProgress, time.Duration(urgentWork / allWork * float64(queued-inProgress))
 }
