--- a/internal/decide/advise.go
+++ b/internal/decide/advise.go
@@ -38,8 +38,8 @@
 )
 
 // workRatio is the ratio of a mean request's work on a decode engine to its work on a prefill engine. It is a
-// weighted mean of the observed and the default ratio. The more requests were observed, the less weight has
-// the default.
+// weighted mean of the observed and the default ratio. The more requests were observed, the less the default
+// counts.
 //
 // Example: the first 100 requests took decode engines as long as prefill engines, so the observed ratio is 1.
 // The default is 3 and has the same weight. The result is the geometric mean of both, 1.7.
@@ -52,7 +52,8 @@
 	f := &flight{Request: Request{
 		Region: region, PromptTokens: int(p.meanPrompt), MaxTokens: int(p.meanOutput), BetweenTokens: p.tokenTarget,
 	}}
-	prefillTime := max(reg.decode[0].prefillTime(int(p.meanUncached)), p.minTransferTime(int(p.meanPrompt))) // All engines of a pool are alike.
+	// All engines of a pool are alike, so any of them gives the prefill time.
+	prefillTime := max(reg.decode[0].prefillTime(int(p.meanUncached)), p.minTransferTime(int(p.meanPrompt)))
 	weight := float64(n) / float64(n+defaultRatioWeight)
 	observedRatio := max(minRatio, p.decodeWork(f).Seconds()/max(minWork, prefillTime.Seconds()))
 	return math.Exp(weight*math.Log(observedRatio) + (1-weight)*math.Log(defaultWorkRatio))
@@ -79,11 +80,11 @@
 // many requests as its scarcer role. So the best split of the engines into roles is the one with the lowest
 // load on the role with the higher load.
 //
-// Example: a request takes 100 ms of a prefill engine and 500 ms of a decode engine, and there are 3 and 6 of
-// these. Per request, the prefill engines together are busy for 33 ms and the decode engines for 83 ms. With
-// 2 and 7 engines these are 50 and 71 ms, which raises the capacity by a factor of 1.17 (83/71). If a decode
-// engine took only 300 ms, the present split would give 33 and 50 ms, and 2 and 7 engines 50 and 43 ms. The
-// higher figure is the same, so nothing would change.
+// Example: a request takes 100 ms of a prefill engine and 500 ms of a decode engine, and there are 3 prefill
+// and 6 decode engines. Per request, the prefill engines together are busy for 33 ms and the decode engines for
+// 83 ms. With 2 and 7 engines these are 50 and 71 ms, which raises the capacity by a factor of 1.17 (83/71). If
+// a decode engine took only 300 ms, 3 and 6 engines would give 33 and 50 ms, and 2 and 7 engines 50 and 43 ms.
+// The higher figure is the same, so nothing would change.
 func (c *Core) RecommendRoleChange() (RoleChange, bool) {
 	for _, name := range c.poolNames {
 		p := c.pools[name]
--- a/internal/decide/advise_test.go
+++ b/internal/decide/advise_test.go
@@ -63,7 +63,7 @@
 	expectRoleChange(t, 1, 0, 4400, 0, 0, Decode)
 }
 
-// Changes of role that gain little are recommended for a pool without requests only, where they disturb none.
+// A change of role that gains little is recommended only while the pool has no requests to disturb.
 func TestAdviseSmallGain(t *testing.T) {
 	expectRoleChange(t, 4, 5, 4400, 0, 0, Decode)
 	expectRoleChange(t, 4, 5, 4400, idleAfter+time.Millisecond, 2, Decode)
@@ -232,7 +232,7 @@
 	}
 }
 
-// A box that starts with the estimates of other boxes recommends by these and not by the default ratio.
+// A box that starts with the estimates of other boxes uses the estimates at once, and not the default ratio.
 func TestAdviseWithPriorEstimates(t *testing.T) {
 	c := newPoolCore(2, 7, 0).observeOutputs(4400)
 	l := c.pools["p"].estimates()
--- a/internal/decide/arrive.go
+++ b/internal/decide/arrive.go
@@ -97,7 +97,7 @@
 }
 
 // retryAfter is the retry delay that a refused caller is told. It is the predicted time until the requests
-// before it have started, and at least a second, so that the caller returns when it has a chance.
+// before it have started, and at least a second. A caller that returns then has a chance of being served.
 func (c *Core) retryAfter(f *flight) time.Duration {
 	return max(time.Second, f.pool.timeAhead(f)+c.shortestQueue(f))
 }
@@ -150,7 +150,8 @@
 	c.emit(Waiting{f.ID, f.waitReason(), View{Waiting: len(p.queue.items)}})
 }
 
-// waitReason is the role of engine that the request waits for, as a reason.
+// waitReason is NoDecode if the last attempt to place the request found decode engines, but none with enough
+// free memory and speed. Otherwise it is NoPrefill.
 func (f *flight) waitReason() outcome.Reason {
 	if f.lastChoice != nil && f.lastChoice.Excluded.NoRoom+f.lastChoice.Excluded.TooSlow > 0 && f.lastChoice.Compared == 0 {
 		return outcome.NoDecode
@@ -233,7 +234,8 @@
 }
 
 // startDeadline is the time at which a waiting request is given up. A stream that lost its connection may wait
-// for maxWait from the loss, a request that may be late for maxWait from its arrival.
+// for maxWait from the loss, a request that may be late for maxWait from its arrival, and any other request
+// until its latest start.
 func (f *flight) startDeadline() time.Time {
 	switch {
 	case !f.connectionLostAt.IsZero():
--- a/internal/decide/attempt.go
+++ b/internal/decide/attempt.go
@@ -174,7 +174,7 @@
 	})
 }
 
-// improveDecode changes the decode engine if the answer would begin clearly sooner on another one. It is
+// improveDecode changes the decode engine if the answer would begin clearly sooner on another. It is
 // called after the prefill and before the transfer, because the load of links and engines has changed since
 // the decode engine was chosen. Memory is reserved on one of the two engines at all times.
 func (c *Core) improveDecode(f *flight) {
@@ -195,8 +195,8 @@
 	}
 }
 
-// reserveOtherDecode releases the memory on the present decode engine and reserves memory on another one. It
-// reports whether there is another one.
+// reserveOtherDecode releases the memory on the present decode engine and reserves memory on another decode
+// engine. It reports whether another engine could take the request.
 func (c *Core) reserveOtherDecode(f *flight) bool {
 	f.engineToAvoid = f.decode
 	c.releaseDecode(f)
--- a/internal/decide/core.go
+++ b/internal/decide/core.go
@@ -40,7 +40,7 @@
 	defaultMaxWait = 30 * time.Second
 	// lateOrderDelay is added to the deadline by which requests that may run late are ordered, so
 	// that all others go before them. Without it, such requests would become the most urgent as
-	// soon as they are late, and would make the others late too.
+	// soon as they are late, and would make the other requests late too.
 	lateOrderDelay = defaultMaxWait
 	// maxTries is how many times a request may be started, even if the retry budget allows more.
 	maxTries = 3
@@ -74,7 +74,8 @@
 	// engine it is the request's share of a full batch while its answer is generated.
 	work [2]time.Duration
 	// order is the deadline by which requests are ordered, earliest first, on the box and on the
-	// engines. It is latestStart plus the priority of the route.
+	// engines. It is latestStart plus Priority, and lateOrderDelay later if yieldsToOnTime is set. For
+	// a request with CallerRetry it is the time of arrival.
 	order time.Time
 	// mayBeLate means that the request may start after latestStart: it waits on past its target
 	// instead of being refused.
@@ -91,7 +92,7 @@
 	// of tries so far.
 	enginesRun []*engine
 	tries      int
-	// prefillSent and decodeSent report whether any prefill call and any decode call were sent yet.
+	// prefillSent and decodeSent report whether a prefill call and a decode call were sent in any try so far.
 	prefillSent, decodeSent bool
 	// engineToAvoid is the engine on which the last call failed, or the decode engine that had to be
 	// replaced. It is used again only if there is no other.
@@ -102,9 +103,9 @@
 	missesTarget bool
 
 	prefill             *engine
-	prefillAttempt      Attempt   // The prefill call whose KV cache is used or awaited; 0 if no prefill engine holds anything.
+	prefillAttempt      Attempt   // The prefill call whose KV cache is used; 0 if no engine holds a cache.
 	prefillReserved     bool      // Whether the ledger of the prefill engine contains the prompt.
-	selfPrefillReserved bool      // Whether the ledger of the decode engine contains the prompt, because that engine prefills it.
+	selfPrefillReserved bool      // Whether the decode engine's ledger contains the prompt to prefill.
 	uncachedTokens      int       // Prompt tokens that are not cached on the prefill engine.
 	expires             time.Time // When the prefill engine drops the KV cache.
 	kvMayBeTaken        bool      // Whether a decode engine may have taken the KV cache from the prefill engine.
--- a/internal/decide/failure.go
+++ b/internal/decide/failure.go
@@ -170,7 +170,7 @@
 }
 
 // engineToBlame is the engine responsible for a failure in the present stage. If the decode engine was
-// released and no other was found, it is the released one.
+// released and no other decode engine was found, it is the released engine.
 func (f *flight) engineToBlame() *engine {
 	if e := f.currentEngine(); e != nil {
 		return e
--- a/internal/decide/ledger.go
+++ b/internal/decide/ledger.go
@@ -20,8 +20,8 @@
 	// busyUntil is when a prefill engine is expected to finish all work that this box knows of.
 	busyUntil time.Time
 	link      link
-	// remoteWait is the part of an observed wait that this box's own work does not explain, and so is due
-	// to other boxes. It was observed at remoteWaitAt.
+	// remoteWait is how long a prompt has to wait for work of other boxes, as observed at remoteWaitAt: the part
+	// of a wait that this box's own work does not explain.
 	remoteWait   time.Duration
 	remoteWaitAt time.Time
 
@@ -212,7 +212,7 @@
 	e.reservedKV -= kv
 	e.streams = max(0, e.streams-weight)
 	if e.reservedKV == 0 {
-		e.streams = 0 // A sum of fractions may not return to exactly zero.
+		e.streams = 0 // Rounding errors of added fractions would leave a rest.
 	}
 	for i := range e.placements {
 		if e.placements[i].id == id && e.placements[i].kv > 0 {
@@ -402,9 +402,9 @@
 }
 
 // health tracks the failures of an engine. After several failures in a row, the engine is set aside: no
-// requests are sent to it for some time. After that time, one request is sent as a probe, and the time
-// starts again. Further requests follow only after the probe succeeds. If the probe is never answered,
-// another one is sent after the same time.
+// requests are sent to it for some time. After that time, a single request is sent as a probe, and the time
+// starts again. Other requests follow only after the probe succeeds. If the probe is never answered, another
+// probe is sent after the same time.
 type health struct {
 	failuresInRow int
 	setAsideUntil time.Time
@@ -424,7 +424,7 @@
 	// further refusal, up to maxAvoidPeriod.
 	minAvoidPeriod = 2 * time.Second
 	maxAvoidPeriod = 8 * time.Second
-	// refusedCost, in seconds, is added to the cost of such an engine. It is more than the cost of any
+	// refusedCost, in seconds, is added to the cost of an engine in that time. It is more than the cost of any
 	// queue behind which a prompt can still be on time.
 	refusedCost = 0.8
 )
--- a/internal/decide/link.go
+++ b/internal/decide/link.go
@@ -22,9 +22,9 @@
 	l.transfers = slices.DeleteFunc(l.transfers, func(t transfer) bool { return t.id == id })
 }
 
-// delay predicts how much longer a transfer takes because it shares the link. All transfers count that
-// still run at the time ready, when this one starts. Sharing with n others adds n times the transfer's
-// own duration, but never more than the total duration of the others.
+// delay predicts how much longer a transfer that starts at the time ready takes because it shares the link
+// with the transfers that still run at that time. Sharing with n other transfers adds n times the
+// transfer's own duration, but never more than the total duration of the other transfers.
 //
 // Example: two other transfers take 130 ms each. A transfer of 2 ms then takes 4 ms longer, and a
 // transfer of 500 ms takes 260 ms longer.
@@ -78,8 +78,8 @@
 }
 
 // predictionError tracks by how much recent predictions of cached tokens and transfer times were wrong.
-// They are wrong because of other boxes: news of the prompts that these send to the same engines arrives
-// late, and there is no news of their transfers. A box measures the effect on its own requests.
+// Other boxes are the cause: news of the prompts that they send to the same engines arrives late, and there
+// is no news of their transfers. A box therefore measures the effect on its own requests.
 type predictionError struct {
 	transferSlowdown float64 // Mean ratio of the real transfer time to the time without sharing.
 	cacheErrorRate   float64 // Share of prompts whose cached part differed from the prediction by a block or more.
--- a/internal/decide/memory.go
+++ b/internal/decide/memory.go
@@ -11,13 +11,14 @@
 
 // StreamLoad is one running stream in an engine's report.
 type StreamLoad struct {
-	Tokens int // Memory in use.
+	Tokens int // Memory in use, in tokens.
 	Output int // Tokens of the answer generated so far.
 }
 
 const (
 	// lengthSigma is the standard deviation of the natural logarithm of answer lengths.
-	// guessSigma is that of the logarithm of an answer's length divided by its expected length.
+	// guessSigma is the standard deviation of the natural logarithm of an answer's length divided by
+	// the length that the caller expects.
 	lengthSigma = 0.7
 	guessSigma  = 0.5
 	// overflowSigma is how many standard deviations above its expected use the memory of an engine
@@ -68,7 +69,7 @@
 	// forecastLifetime is how long a forecast is used before it is computed again.
 	forecastLifetime = 25 * time.Millisecond
 	// defaultStartTime stands for the time from the placement of a stream to its first token until
-	// that time can be estimated. Before its first token, a stream counts with its whole reservation.
+	// that time can be estimated. Until then, prompt and OutputReserve of the stream count as used.
 	defaultStartTime = 200 * time.Millisecond
 )
 
@@ -89,7 +90,8 @@
 	median := p.meanOutput * math.Exp(-lengthSigma*lengthSigma/2)
 	// Memory that the reported streams do not use is reserved for streams without a first token.
 	notBegun := float64(e.KVTokens - e.report.FreeKV)
-	// If this box receives the ends of streams, it has removed ended streams from the report.
+	// If this box receives the ends of streams, it has removed ended streams from the report, so all
+	// streams that are left still run.
 	alive := func(r StreamLoad) float64 {
 		if p.receivesStreamEnds {
 			return 1
@@ -155,7 +157,8 @@
 // Example: the engine has memory for 63,000 tokens, and answers have 4,400 tokens on average. A
 // request with a prompt of 4,000 tokens fits beside five streams of 9,000 tokens that have
 // generated 8,000 each, since most of these will have ended before the new one has grown. It does
-// not fit beside ten new streams of 5,000 tokens, although nearly as much memory is free now.
+// not fit beside ten new streams of 5,000 tokens: 13,000 tokens are free now, but all of the
+// streams will grow.
 func (e *engine) hasRoom(p *pool, f *flight, now time.Time) bool {
 	if e.KVTokens-e.reservedKV < f.kvNeed() {
 		return false
--- a/internal/decide/memory_test.go
+++ b/internal/decide/memory_test.go
@@ -7,8 +7,9 @@
 )
 
 // expectOverflow checks the prediction for a request with a prompt of 4,000 tokens and an answer of
-// 4,400 on an engine with memory for 63,000 tokens: want says whether it is predicted not to fit. The
-// engine's report lists runs streams, each of which uses tokens and has generated made tokens.
+// 4,400 on an engine with memory for 63,000 tokens: want says whether the memory is predicted not to
+// suffice. By a report of the given age, the engine has as many streams as runs says. Each stream uses as
+// much memory as tokens says, and has generated as many tokens of its answer as made says.
 func expectOverflow(t *testing.T, runs, tokens, made int, age time.Duration, want bool) {
 	t.Helper()
 	now := time.Now()
@@ -116,7 +117,7 @@
 
 // The forecast never exceeds the memory that an engine's streams use if none of them ends. Long
 // prompts with short answers can therefore fill an engine nearly completely. Without this limit, the
-// uncertainty about when six streams end counted as 2,000 tokens that they could never use.
+// uncertainty about when six streams end counted as 2,000 tokens that the streams could never use.
 func TestOverflowUpperBound(t *testing.T) {
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 28400, Step: 5 * time.Millisecond}, hasReport: true}
--- a/internal/decide/migrate.go
+++ b/internal/decide/migrate.go
@@ -47,7 +47,7 @@
 	// memory. Its memory must suffice for migrateSigma standard deviations more than the expected use then.
 	migrateHorizonIndex = 1
 	migrateSigma        = 0.5
-	// migrationCooldown is how long a stream is not migrated again after a migration or a failure of one.
+	// migrationCooldown is how long a stream is not migrated again after a migration ended or failed.
 	migrationCooldown = 1500 * time.Millisecond
 	// minRemainingShare is how many tokens a stream must still be expected to generate to be migrated, as a
 	// fraction of a mean answer.
@@ -94,7 +94,7 @@
 	return f.decode.Leaving || f.decode.willOverflow(p, c.now) && f.decode.isNewest(f)
 }
 
-// willOverflow reports whether the engine is expected to run out of memory up to the horizon of migrations.
+// willOverflow reports whether the engine is expected to be out of memory at the horizon migrateHorizonIndex.
 func (e *engine) willOverflow(p *pool, now time.Time) bool {
 	if e.lacksForecast(now) || len(e.report.Runs) < 2 || p.meanOutput <= 0 {
 		return false
--- a/internal/decide/migrate_test.go
+++ b/internal/decide/migrate_test.go
@@ -103,7 +103,7 @@
 	s.expectMigrations("while it is being migrated", 1)
 	s.step(Migrated{ID: 1, Attempt: 3})
 	s.expectReservedOn("c")
-	s.step(Failed{ID: 1, Attempt: 2, Reason: outcome.EndpointLost, Ran: true}) // A late event of the old call has no effect.
+	s.step(Failed{ID: 1, Attempt: 2, Reason: outcome.EndpointLost, Ran: true}) // A late event of the old call.
 	if f := s.c.flights[1]; f == nil || f.decode.Name != "c" || f.attempt != 3 {
 		t.Errorf("expected the stream to continue on c, got %+v", f)
 	}
--- a/internal/decide/place.go
+++ b/internal/decide/place.go
@@ -10,11 +10,11 @@
 
 const (
 	// sampleThreshold is the number of engines of one role up to which a decision compares
-	// all of them. With more engines, a decision compares a random sample, and for prefill also
+	// all engines of the role. With more engines, a decision compares a random sample, and for prefill also
 	// the engines that the hash of the prompt's first block maps to. Random samples also keep
 	// boxes with the same old reports from all choosing the same engine.
 	sampleThreshold = 12
-	// sampleSize is the size of that random sample.
+	// sampleSize is the number of random draws for a sample. An engine that is drawn twice counts once.
 	sampleSize = 8
 	// affineCount is the number of prefill engines that the hash of a prompt's first block maps to.
 	affineCount = 2
@@ -38,10 +38,10 @@
 	// request's between-tokens target. The cost grows with the square of step time over target.
 	stepLoadWeight = 0.030
 	// prefillWorkWeight is the factor by which the prefill time is added to the cost a second
-	// time. The first time it delays this request, the second time the requests behind it. So an
-	// engine with the prefix in its cache may be chosen in spite of a longer queue.
+	// time: a prefill delays not only its own request but also the requests that come after it. So
+	// an engine with the prefix in its cache may be chosen in spite of a longer queue.
 	prefillWorkWeight = 2.0
-	// All boxes prefer the same prefill engine for a prefix (see preferredPrefill). Its cost is
+	// All boxes prefer the same prefill engine for a prefix (see preferredPrefill). That engine's cost is
 	// reduced by the prefill time of the part of the prefix that it has not cached, times a factor.
 	// The factor is maxAffinityFactor * affinityGain * the share of wrong cache predictions, and
 	// at most maxAffinityFactor. It rises with wrong predictions, because a box that cannot tell
@@ -217,7 +217,7 @@
 
 // preferredPrefill is the prefill engine that the hash of the prompt's first block maps to. All
 // boxes compute the same engine, since it depends on the configuration only and not on what a
-// box has observed. The result is nil if the prompt has no full block.
+// box has observed. It is nil if the prompt has no full block or the pool has no prefill engine.
 func (p *pool) preferredPrefill(f *flight) *engine {
 	if len(f.Blocks) == 0 || len(p.ring) == 0 {
 		return nil
@@ -288,8 +288,8 @@
 // decodeOption is a decode engine with its figures for one request.
 type decodeOption struct {
 	e    *engine
-	step time.Duration
-	cost float64
+	step time.Duration // Predicted time between tokens with this request's stream.
+	cost float64       // The part of the cost that does not depend on the prefill engine.
 }
 
 // pair is a prefill engine and a decode engine that could serve a request, as indexes into
@@ -309,7 +309,8 @@
 const selfPrefill = -1
 
 // chosenPair is the pair of engines that a request is placed on. prefill is nil if the decode engine
-// prefills the prompt itself. urgentQueue is as in prefillOption.
+// prefills the prompt itself. urgentQueue is the predicted wait for queued prompts that are at least as
+// urgent.
 type chosenPair struct {
 	Candidate
 	prefill, decode *engine
@@ -445,7 +446,7 @@
 			dec.cost += noForecastCost
 		}
 		// A step longer than the target excludes an engine, with two exceptions: the request may be
-		// late, or no stream runs on the engine, which then is as fast as it can be.
+		// late, or no stream runs on the engine, which is then as fast as it can be.
 		if !f.mayBeLate && dec.step > f.BetweenTokens && e.running() >= 1 {
 			excluded.TooSlow++
 			continue
--- a/internal/decide/promise_test.go
+++ b/internal/decide/promise_test.go
@@ -13,8 +13,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// model feeds generated events to a core and checks after each event that no guarantee is violated. It knows the
-// events and the core's actions, but does not look at the core's state.
+// model feeds generated events to a core and checks after each event that no guarantee is violated. It judges by
+// the events and the core's actions. Only finish looks at the core's state.
 type model struct {
 	t       *rapid.T
 	c       *Core
--- a/internal/decide/queue.go
+++ b/internal/decide/queue.go
@@ -107,9 +107,9 @@
 // request. Refusing the largest keeps the most requests on time (Moore-Hodgson algorithm). Selecting by
 // client keeps the bulk load of one client from displacing the few requests of another.
 //
-// Example: there is one engine, and three requests of 400, 10 and 10 ms wait. Behind the first, the other two
-// would be late. If the first is refused, two of three are served in time. If each request were refused only
-// when it is late itself, one would be.
+// Example: there is one engine, and three requests of 400, 10 and 10 ms wait. The last two
+// would be late behind the first. If the first is refused, two of three are served in time. If requests were
+// refused only when they are late themselves, only one would be served in time.
 func (c *Core) shedLate(p *pool) {
 	for range maxShed {
 		index := c.firstLateIndex(p)
@@ -199,11 +199,11 @@
 //
 // Example: 20 requests wait on all boxes, and 30 started in the last second. A waiting request then starts
 // within 0.5 s with a probability of 1 - exp(-30 * 0.5 / 20) = 0.53.
-func (o *remoteLoad) startChance(now time.Time, local int, within time.Duration) float64 {
+func (o *remoteLoad) startChance(now time.Time, localWaiting int, within time.Duration) float64 {
 	if o.waiting == 0 {
 		return 1
 	}
 	o.starts = slices.DeleteFunc(o.starts, func(at time.Time) bool { return now.Sub(at) > startsWindow })
 	rate := float64(max(1, len(o.starts))) / startsWindow.Seconds()
-	return 1 - math.Exp(-rate*within.Seconds()/float64(o.waiting+local))
+	return 1 - math.Exp(-rate*within.Seconds()/float64(o.waiting+localWaiting))
 }
--- a/internal/decide/speed.go
+++ b/internal/decide/speed.go
@@ -17,7 +17,8 @@
 	// FirstEventDelay is the time from sending a request to a decode engine until the first event of
 	// the answer arrives, without the transfer of the KV cache.
 	FirstEventDelay time.Duration
-	// Step is the time per token without streams, and StepPerStream what each stream adds to it.
+	// Step is the part of the time per token that does not depend on the number of streams. StepPerStream
+	// is what each stream adds to the time per token.
 	Step          time.Duration
 	StepPerStream time.Duration
 }
@@ -26,9 +27,11 @@
 type Timing struct {
 	// PrefillTokens is the number of tokens that the prefill engine prefilled in PrefillTime: those of the
 	// prompt, and those known to be queued before it.
-	PrefillTokens   int
-	PrefillTime     time.Duration
-	FirstEventDelay time.Duration // As in Speed.
+	PrefillTokens int
+	PrefillTime   time.Duration
+	// FirstEventDelay is the time from sending the request to a decode engine until the first event of
+	// the answer arrives, without the transfer of the KV cache.
+	FirstEventDelay time.Duration
 	// Step is the stream's mean time per token, and Streams the number of streams on the engine then.
 	Step    time.Duration
 	Streams float64
--- a/internal/decide/types.go
+++ b/internal/decide/types.go
@@ -68,10 +68,10 @@
 	// have run a part of it.
 	Repeatable bool
 	// Resumable reports whether a stream that loses its decode engine may continue on another
-	// one after the last token that the caller received. Such a request is Repeatable too.
+	// decode engine after the last token that the caller received. A Resumable request is Repeatable too.
 	Resumable bool
 	// MaxEngines bounds the number of decode engines that may run any part of the request; 0 means
-	// no bound, except the one that Repeatable sets.
+	// that only Repeatable limits it.
 	MaxEngines int
 	// PrefillNotRun reports that a prefill alone does not count as running the request. Only
 	// generated tokens then do.
@@ -79,7 +79,7 @@
 	// ServeLate reports that the request is to be run even if the FirstToken target cannot be met.
 	ServeLate bool
 	// CallerRetry reports that the caller was refused before and retries at the time it was given.
-	// Such a request goes before others, since another refusal would waste that wait.
+	// The request then goes before others, since after another refusal the caller would have waited in vain.
 	CallerRetry bool
 	// RefuseEarly reports that a waiting request is refused as soon as it is not expected to start in
 	// time. Otherwise it waits until the latest time at which it could start.
@@ -113,7 +113,7 @@
 	Waiting       int
 	PrefillQueue  time.Duration // Shortest time until a prefill engine is free.
 	DecodeFreeKV  int           // Largest free memory of a decode engine, in tokens.
-	PredictedTime time.Duration // Predicted time to the first token on the best pair of engines; 0 if no pair can take the request.
+	PredictedTime time.Duration // Predicted time to the first token on the best pair; 0 if there is none.
 }
 
 // Verdict is a policy's answer for one arrival.
@@ -297,7 +297,7 @@
 type Evicted struct {
 	Engine string
 	Blocks []uint64
-	// All reports that an unknown number of such events was lost, so all knowledge of the cache is void.
+	// All reports that messages about dropped blocks were lost, so that any block may have been dropped.
 	All bool
 }
 
@@ -446,6 +446,10 @@
 
 // Exclusions counts sampled engines that could not take the request, by cause.
 type Exclusions struct {
+	// Leaving counts engines that get no new work because they will stop, are evacuated or change their role,
+	// SetAside engines with several failed calls in a row, NoRoom decode engines without enough free memory,
+	// TooSlow decode engines whose time between tokens would exceed the target, Busy pairs with too long a queue,
+	// and Cold engines that are warming up after their start.
 	Leaving  int `json:"leaving"`
 	SetAside int `json:"set_aside"`
 	NoRoom   int `json:"no_room"`
@@ -465,7 +469,7 @@
 	Cached      int           `json:"cached"`            // Prompt tokens expected to be cached.
 	Queue       time.Duration `json:"queue_ns"`          // Wait until the prefill engine is free.
 	PrefillTime time.Duration `json:"read_ns"`           // Prefilling the uncached part of the prompt.
-	Transfer    time.Duration `json:"transfer_ns"`       // Transferring the KV cache, including the wait for other transfers on the links.
+	Transfer    time.Duration `json:"transfer_ns"`       // Transfer of the KV cache, with the wait for others.
 	FirstToken  time.Duration `json:"first_token_ns"`    // Predicted time to the first token, from now.
 	Step        time.Duration `json:"between_tokens_ns"` // Predicted time between tokens.
 	FreeKV      int           `json:"free_kv_tokens"`    // Free decode memory before this request, in tokens.
--- a/internal/decide/urgency.go
+++ b/internal/decide/urgency.go
@@ -25,8 +25,8 @@
 	refusedLatenessFactor = 0.5
 )
 
-// urgencyTarget is the target by which the urgency of a request is judged. Requests that go behind all that
-// can be on time have the longest, whatever their first-token target.
+// urgencyTarget is the target by which the urgency of a request is judged: the first-token target, or
+// defaultMaxWait for a request that goes behind all requests that can still be on time.
 func (f *flight) urgencyTarget() time.Duration {
 	if f.yieldsToOnTime {
 		return defaultMaxWait
