--- a/internal/decide/core.go
+++ b/internal/decide/core.go
@@ -97,8 +97,8 @@
 	// engineToAvoid is the engine on which the last call failed, or the decode engine that had to be
 	// replaced. It is used again only if there is no other.
 	engineToAvoid *engine
-	// lastChoice is the result of the last attempt to place the request. missesTarget reports that the
-	// best pair of engines was predicted to miss the first-token target then.
+	// lastChoice is the result of the last attempt to place the request. missesTarget reports that in
+	// that attempt the best pair of engines was predicted to miss the first-token target.
 	lastChoice   *Choice
 	missesTarget bool
 
--- a/internal/decide/grant_test.go
+++ b/internal/decide/grant_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// After an engine has refused to reserve memory, requests that need as much are not granted for a while.
+// After an engine has refused to reserve memory, requests that need as much or more are not granted for a while.
 func TestNoGrantAfterRefusal(t *testing.T) {
 	now := time.Now()
 	c := newGrantCore(now)
--- a/internal/decide/learned.go
+++ b/internal/decide/learned.go
@@ -26,8 +26,8 @@
 
 func (EstimatesChanged) action() {}
 
-// minPublishedChange is the relative difference to the last published estimates from which the estimates
-// are published again.
+// minPublishedChange is the fraction by which an estimate must differ from the last published value for the
+// estimates to be published again.
 const minPublishedChange = 0.2
 
 // learn improves a pool's estimates by the timing of one request.
--- a/internal/decide/ledger.go
+++ b/internal/decide/ledger.go
@@ -90,7 +90,8 @@
 	return now.Sub(e.report.At)
 }
 
-// leaving reports that the engine may get no new work.
+// leaving reports that the engine may get no new work: it is configured as leaving or evacuated, or its last
+// report says that it is leaving.
 func (e *engine) leaving() bool { return e.Leaving || e.Evacuated || e.hasReport && e.report.Leaving }
 
 // cold reports that the engine was started recently and is still warming up, so that this box has to
--- a/internal/decide/migrate.go
+++ b/internal/decide/migrate.go
@@ -57,8 +57,8 @@
 	crossHallReserve = 0.1
 	// maxTargetReportAge is how old the last report of an engine may be that a stream is migrated to.
 	maxTargetReportAge = 2 * time.Second
-	// sameStartTolerance is the largest difference between the observed starts of two streams that may be the
-	// same stream.
+	// sameStartTolerance is the largest difference between two observed start times that may belong to the same
+	// stream.
 	sameStartTolerance = 120 * time.Millisecond
 )
 
--- a/internal/decide/notices_test.go
+++ b/internal/decide/notices_test.go
@@ -85,7 +85,7 @@
 	s.expectStarted(1)
 }
 
-// The chosen decode engine asks for a pause during the prefill. The answer is decoded by the other engine.
+// The chosen decode engine asks for a pause during the prefill. The other decode engine is then used.
 func TestDecodeAvoidsPausedEngine(t *testing.T) {
 	s, a := newNoticeFixture(t, map[string]time.Time{})
 	s.arrive(1, "x", 100)
--- a/internal/decide/pause_test.go
+++ b/internal/decide/pause_test.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// A call that returns nothing during the pause and for 4 s after it is given up, as on a box without a pause.
+// A call that returns nothing during the pause, and nothing for 4 s after the pause, is given up like any other
+// stalled call.
 func TestStallAfterPause(t *testing.T) {
 	expectRetriedElsewhere(t, true, true)
 	s := expectRetriedElsewhere(t, false, false)
--- a/internal/decide/place.go
+++ b/internal/decide/place.go
@@ -73,7 +73,8 @@
 	createdAt, changedAt time.Time
 	// requestLengths are the mean lengths of recent prompts and answers.
 	requestLengths
-	// scarceRole is the role of engine that most of the waiting requests wait for.
+	// scarceRole is the engine role (prefill or decode) that most requests at the front of the queue
+	// wait for.
 	scarceRole EngineRole
 	// stepPerStreamAtMinStep is how much one more stream lengthens a step of the engine that has
 	// the shortest step with one stream.
--- a/internal/decide/queue.go
+++ b/internal/decide/queue.go
@@ -41,7 +41,7 @@
 }
 
 const (
-	// throughputWindow is the shortest duration of a measurement.
+	// throughputWindow is the shortest time over which the throughput is measured.
 	throughputWindow = 400 * time.Millisecond
 	// throughputBlend is the weight of a new measurement in the estimate. While no request waits, the
 	// estimate approaches the number of engines instead, with the weight idleBlend on each update.
--- a/internal/decide/resume_test.go
+++ b/internal/decide/resume_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// A stream that loses its connection waits for engines no longer than its maximum wait and is then ended, since
+// A stream that loses its connection waits for engines no longer than its maximum wait. It is then ended, since
 // callers give up a stream that pauses for longer.
 func TestBrokenStreamWaitIsBounded(t *testing.T) {
 	s := beginStream(t, 3*time.Second)
--- a/internal/decide/retries_test.go
+++ b/internal/decide/retries_test.go
@@ -9,14 +9,14 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// The tests of this file limit the calls of all boxes together. A platform allows some calls beyond the first
-// prefill and the first decode call of each request: in ten seconds, a fifth of the number of requests and a few
-// hundred more.
+// The tests of this file check a limit on the calls of all boxes together. A platform allows some calls beyond
+// the first prefill and the first decode call of each request: in ten seconds, a fifth of the number of requests
+// and a few hundred more.
 //
-// Engines once got more calls than that while they rejected most calls, because boxes were restarted, cut off
-// from each other or killed at the same time. Each box had an allowance of its own (three calls at once and one
-// more per ten seconds, with 8 boxes as well as with 85), which started anew after a restart. And all boxes
-// spent from a shared allowance before they learned what the others had spent.
+// Engines got more calls than that in this situation: they rejected most calls, and meanwhile boxes were
+// restarted, cut off or killed. Each box spent an allowance of its own, and spent it again after a restart. It
+// was three calls at once and one more per ten seconds, with 8 boxes as well as with 85. In addition, all boxes
+// spent from a shared allowance before they learned that other boxes had spent it.
 //
 // Observed on 85 boxes that were allowed 319 to 323 such calls: 324 when all boxes were killed, 434 when half of
 // the boxes were cut off, 462 when all boxes were restarted one after another, and no more than allowed in the
--- a/internal/decide/types.go
+++ b/internal/decide/types.go
@@ -15,8 +15,10 @@
 //
 // A pool is the set of engines that serve one model. Each engine has a role: prefill
 // engines compute the KV cache of a prompt, decode engines fetch the cache and generate the
-// answer as a stream of tokens. A pair is a prefill engine and a decode engine. The
-// ledger of an engine is the list of memory and work that this box has reserved there.
+// answer as a stream of tokens. Engines are in the data halls (halls) of a region. A pair is a
+// prefill engine and a decode engine. Pairs are compared by cost, in seconds: predicted waits
+// and work, plus penalties for what should be avoided. The ledger of an engine is the list of
+// memory and work that this box has reserved there.
 package decide
 
 import (
@@ -446,16 +448,12 @@
 
 // Exclusions counts sampled engines that could not take the request, by cause.
 type Exclusions struct {
-	// Leaving counts engines that get no new work because they will stop, are evacuated or change their role,
-	// SetAside engines with several failed calls in a row, NoRoom decode engines without enough free memory,
-	// TooSlow decode engines whose time between tokens would exceed the target, Busy pairs with too long a queue,
-	// and Cold engines that are warming up after their start.
-	Leaving  int `json:"leaving"`
-	SetAside int `json:"set_aside"`
-	NoRoom   int `json:"no_room"`
-	TooSlow  int `json:"too_slow"`
-	Busy     int `json:"busy"`
-	Cold     int `json:"cold"`
+	Leaving  int `json:"leaving"`   // Engines that will stop, are evacuated or change their role.
+	SetAside int `json:"set_aside"` // Engines with several failed calls in a row.
+	NoRoom   int `json:"no_room"`   // Decode engines without enough free memory.
+	TooSlow  int `json:"too_slow"`  // Decode engines whose time between tokens would exceed the target.
+	Busy     int `json:"busy"`      // The best pair of engines, if too much was queued for it.
+	Cold     int `json:"cold"`      // Engines that are warming up after their start.
 	// Throttled counts engines that reached a limit that they announced, or that asked for a pause.
 	Throttled int `json:"throttled"`
 }
