--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -24,7 +24,7 @@
 	case f.events <- ev:
 		return true
 	case <-f.ctx.Done():
-		f.discard(ev)
+		f.freeEvent(ev)
 		return false
 	}
 }
@@ -45,7 +45,7 @@
 		f.send(flightEvent{attempt: a.Attempt, err: &callError{reason: reasonOf(err), connLoss: connLossFrom(err, sent), detail: err.Error()}})
 		return
 	}
-	body, err := h1.ReadLimited(resp, maxSideAnswer)
+	body, err := h1.ReadLimited(resp, maxControlAnswer)
 	switch {
 	case err != nil:
 		f.send(flightEvent{attempt: a.Attempt, err: &callError{reason: outcome.Truncated, connLoss: connLoss{sent: sent}, detail: err.Error()}})
@@ -57,7 +57,7 @@
 			f.send(flightEvent{attempt: a.Attempt, err: &callError{reason: outcome.WrongAnswer}})
 			return
 		}
-		f.send(flightEvent{attempt: a.Attempt, prefilled: &Source{Engine: a.Prefill, Address: address, Handle: handle}})
+		f.send(flightEvent{attempt: a.Attempt, prefillResult: &Source{Engine: a.Prefill, Address: address, Handle: handle}})
 	}
 }
 
@@ -102,7 +102,7 @@
 		f.send(flightEvent{attempt: a, noRoom: &noRoom{owner}})
 		return res, false
 	}
-	timeout := time.AfterFunc(sideCallTimeout, func() {
+	timeout := time.AfterFunc(controlCallTimeout, func() {
 		if ctx.Err() == nil {
 			f.send(flightEvent{attempt: a, noRoom: &noRoom{}})
 		}
@@ -126,7 +126,7 @@
 func (r *Relay) requestReservation(ctx context.Context, engine string, x *exchange) string {
 	ttl := min(x.service.Engines.ReservationTTL, reservationTTL)
 	c := r.protocol.Reserve(x.meta.PromptTokens+min(x.outputReserve(), x.reservedOutput()), ttl)
-	resp, body, err := r.sidePool.DoShort(context.WithoutCancel(ctx), sideCallTimeout+ttl, sideRequest(engine, r.disp.Address(engine), c), maxSideAnswer)
+	resp, body, err := r.controlPool.DoShort(context.WithoutCancel(ctx), controlCallTimeout+ttl, controlRequest(engine, r.disp.Address(engine), c), maxControlAnswer)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return ""
 	}
@@ -137,7 +137,7 @@
 	return id
 }
 
-func sideRequest(endpoint, address string, c Call) *h1.Request {
+func controlRequest(endpoint, address string, c Call) *h1.Request {
 	h := http.Header{}
 	if c.Body != nil {
 		h.Set("Content-Type", "application/json")
@@ -231,7 +231,7 @@
 	case resp.StatusCode != http.StatusOK:
 		f.reportFailure(a.Attempt, resp, sent)
 	default:
-		f.pump(a.Attempt, resp, sent, run.LastEvent != "" || x.meta.LastEvent != "")
+		f.reportStream(a.Attempt, resp, sent, run.LastEvent != "" || x.meta.LastEvent != "")
 	}
 }
 
@@ -246,13 +246,13 @@
 		f.send(flightEvent{attempt: a, err: &callError{reason: outcome.EndpointLost, ran: true, detail: "the engine answered " + resp.Status}})
 		return
 	}
-	f.send(flightEvent{attempt: a, final: &finalPart{resp: resp, body: body}})
+	f.send(flightEvent{attempt: a, errorAnswer: &errorAnswer{resp: resp, body: body}})
 }
 
 // pump reads a stream to its end and reports whole events only: an engine may stop in the middle of an event, and
 // the stream is then resumed elsewhere after the last whole one. An empty answer is the end of a stream that is
 // resumed after an event, since the caller may have received the last event before.
-func (f *flight) pump(a decide.Attempt, resp *http.Response, sent time.Time, resumed bool) {
+func (f *flight) reportStream(a decide.Attempt, resp *http.Response, sent time.Time, resumed bool) {
 	var s splitter
 	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	buf := make([]byte, 4<<10)
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -159,7 +159,7 @@
 		}
 		return c.Close()
 	}
-	resp, body, err := r.sidePool.DoShort(context.Background(), loadTimeout, sideRequest(e.ID, e.Address, r.protocol.LoadCall()), maxSideAnswer)
+	resp, body, err := r.controlPool.DoShort(context.Background(), loadTimeout, controlRequest(e.ID, e.Address, r.protocol.LoadCall()), maxControlAnswer)
 	if err != nil {
 		return err
 	}
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -222,7 +222,7 @@
 		keep[e.Address] = true
 	}
 	r.callerPool.Prune(now, keep)
-	r.sidePool.Prune(now, keep)
+	r.controlPool.Prune(now, keep)
 }
 
 // subscribeEngines asks the other boxes for messages about the engines in this box's subset, or about all engines
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -138,7 +138,7 @@
 		return // It asked for fewer requests, and a poll is one.
 	}
 	r.notices.Sent(e.ID, now)
-	resp, body, err := r.sidePool.DoShort(ctx, loadTimeout, sideRequest(e.ID, e.Address, r.protocol.LoadCall()), maxSideAnswer)
+	resp, body, err := r.controlPool.DoShort(ctx, loadTimeout, controlRequest(e.ID, e.Address, r.protocol.LoadCall()), maxControlAnswer)
 	if ctx.Err() != nil {
 		return
 	}
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -105,7 +105,7 @@
 	call := f.x.r.protocol.Migrate(f.x.meta.ID, f.x.r.disp.Address(a.To))
 	out := &migrationResult{unanswered: true}
 	for lost := 0; lost < migrateTries && ctx.Err() == nil; {
-		resp, body, err := f.x.r.sidePool.DoShort(ctx, limit, sideRequest(a.From, address, call), maxSideAnswer)
+		resp, body, err := f.x.r.controlPool.DoShort(ctx, limit, controlRequest(a.From, address, call), maxControlAnswer)
 		var answer Migration
 		if err == nil {
 			answer, err = f.x.r.protocol.ParseMigration(resp.StatusCode, body)
@@ -299,7 +299,7 @@
 	}
 	f.x.r.m.AbortedMigrations.Inc()
 	f.x.r.disp.Step(decide.Migrated{ID: f.id, Attempt: m.attempt, Aborted: m.atSource})
-	f.dropMigration()
+	f.freeMigration()
 	f.migration = nil
 	f.handleFailure(f.decodeAttempt, e)
 }
@@ -337,8 +337,8 @@
 	f.x.trace.Step(record.Step{Kind: record.StepMigrated, Decode: f.decodeEngine})
 }
 
-// dropMigration frees the memory that engines store for an unfinished migration.
-func (f *flight) dropMigration() {
+// freeMigration frees the memory that engines store for an unfinished migration.
+func (f *flight) freeMigration() {
 	if f.migration != nil {
 		(&migrationResult{source: f.migration.source}).drop(f.x.r)
 		f.migration.source = Source{}
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -24,8 +24,8 @@
 	r.observe(q, resp, notice.Answer{Sent: sent, Completed: ran, Notice: reply.Notice})
 }
 
-// observeSide handles the header of the answer to one of this box's own calls.
-func (r *Relay) observeSide(q *h1.Request, resp *http.Response, sent time.Time) {
+// observeControl handles the header of the answer to one of this box's own calls.
+func (r *Relay) observeControl(q *h1.Request, resp *http.Response, sent time.Time) {
 	r.observe(q, resp, notice.Answer{Sent: sent, Notice: r.protocol.ParseReply(resp).Notice})
 }
 
--- a/internal/relay/orders.go
+++ b/internal/relay/orders.go
@@ -17,7 +17,7 @@
 var (
 	errBusy         = errors.New("the engine is carrying out another order")
 	errRestarted    = errors.New("the engine has restarted")
-	errResting      = errors.New("the engine asked for a pause in requests")
+	errPaused       = errors.New("the engine asked for a pause in requests")
 	errLeaseExpired = errors.New("the lease expired before the order was sent")
 )
 
@@ -29,10 +29,10 @@
 		return errRestarted
 	}
 	if r.notices.IsPaused(engine, clock.Now()) {
-		return errResting
+		return errPaused
 	}
 	address := e.Address
-	resp, body, err := r.sidePool.DoShort(ctx, loadTimeout, sideRequest(engine, address, r.protocol.LoadCall()), maxSideAnswer)
+	resp, body, err := r.controlPool.DoShort(ctx, loadTimeout, controlRequest(engine, address, r.protocol.LoadCall()), maxControlAnswer)
 	if err != nil {
 		return fmt.Errorf("query engine load: %w", err)
 	}
@@ -46,14 +46,14 @@
 		return errBusy
 	}
 	c, h := r.protocol.SetRole(engine, role, r.o.Box, l.Fence, load.Orders)
-	q := sideRequest(engine, address, c)
+	q := controlRequest(engine, address, c)
 	for k, v := range h {
 		q.Header[k] = v
 	}
 	if !l.Valid(clock.Now()) {
 		return errLeaseExpired
 	}
-	resp, _, err = r.sidePool.DoShort(ctx, loadTimeout, q, maxSideAnswer)
+	resp, _, err = r.controlPool.DoShort(ctx, loadTimeout, q, maxControlAnswer)
 	if err != nil {
 		return fmt.Errorf("send order: %w", err)
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -78,11 +78,11 @@
 	o        Options
 	protocol Protocol
 	disp     *dispatch.Dispatcher
-	// callerPool carries callers' requests and sidePool the relay's own calls, so that a late answer on a connection
+	// callerPool carries callers' requests and controlPool the relay's own calls, so that a late answer on a connection
 	// of the first can never be taken for an answer to one of the second.
-	callerPool *h1.Pool
-	sidePool   *h1.Pool
-	plain      *plainTable
+	callerPool  *h1.Pool
+	controlPool *h1.Pool
+	plain       *plainTable
 	// notices has the limits, pauses and departures that endpoints announce in their answers.
 	notices *notice.Table
 	m       *telemetry.Metrics
@@ -119,13 +119,13 @@
 		o.Crashes = quarantine.NewList()
 	}
 	r := &Relay{
-		o:          o,
-		protocol:   o.Protocol,
-		disp:       dispatch.New(o.Core, nil, o.Recorder.Metrics),
-		callerPool: h1.NewPool(),
-		sidePool:   h1.NewPool(),
-		plain:      newPlainTable(o.Hall),
-		m:          o.Recorder.Metrics,
+		o:           o,
+		protocol:    o.Protocol,
+		disp:        dispatch.New(o.Core, nil, o.Recorder.Metrics),
+		callerPool:  h1.NewPool(),
+		controlPool: h1.NewPool(),
+		plain:       newPlainTable(o.Hall),
+		m:           o.Recorder.Metrics,
 	}
 	r.notices = notice.NewTable(o.Box, r.boxes)
 	r.plain.notices = r.notices
@@ -135,7 +135,7 @@
 	r.memory.limit = o.Memory
 	r.revoked.Store(&revoked{})
 	r.callerPool.OnSurplus = r.m.ForeignChunks.Inc
-	r.callerPool.OnResponse, r.sidePool.OnResponse = r.observeRun, r.observeSide
+	r.callerPool.OnResponse, r.controlPool.OnResponse = r.observeRun, r.observeControl
 	r.disp.OnStateChange = r.logStateChange
 	r.disp.OnEstimatesChanged = r.logEstimates
 	r.plain.onStateChange = r.logStateChange
--- a/internal/relay/release_test.go
+++ b/internal/relay/release_test.go
@@ -44,8 +44,8 @@
 	r.disp.SetFleet(decide.Fleet{}, map[string]string{"w": address})
 	f := &flight{x: &exchange{r: r}, events: make(chan flightEvent, eventBuffer)}
 	f.events <- flightEvent{attempt: 1, reserved: &reservation{engine: "w", id: "h"}}
-	f.events <- flightEvent{attempt: 1, prefilled: &Source{Address: address, Handle: "k"}}
-	f.end(func() {})
+	f.events <- flightEvent{attempt: 1, prefillResult: &Source{Address: address, Handle: "k"}}
+	f.shutdown(func() {})
 	r.cleanups.Wait()
 	if n := freed.Load(); n != 2 {
 		t.Errorf("expected the reservation and the handle to be freed, got %d calls", n)
@@ -125,7 +125,7 @@
 	}()
 	f.calls.Go(func() { f.callPrefill(ctx, decide.StartPrefill{Attempt: 1, Prefill: "w", Decode: "w"}) })
 	f.calls.Wait()
-	f.end(leave)
+	f.shutdown(leave)
 	for range 2 {
 		select {
 		case <-dropped:
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -8,10 +8,12 @@
 	"github.com/stoatramp/stoatramp/internal/overlay"
 )
 
-// This file asks the owners of engines for room, and answers such requests from other boxes. Package overlay
-// defines owners.
+// This file asks the owners of engines for room, and answers such requests of other boxes. Room is free engine memory.
+// The owner of an engine is the one box that grants the engine's room to the streams of all boxes; package overlay
+// selects it.
 
-// askRoom asks the owner of a decode engine whether it has room for the request.
+// askRoom asks the owner of a decode engine whether the engine has room for the request. owner is the other box that
+// answered; it is empty if this box owns the engine or the owner did not answer.
 func (r *Relay) askRoom(ctx context.Context, engine string, x *exchange) (granted bool, owner string) {
 	if !r.connected() {
 		return true, ""
@@ -22,7 +24,7 @@
 	})
 }
 
-// HasRoom answers another box for an engine that this one owns.
+// HasRoom reports whether an engine that this box owns has room for a stream of another box, and reserves that room.
 func (r *Relay) HasRoom(room overlay.Room) bool {
 	r.adopt(clock.Now(), room.Engine)
 	r.pollIfStale(room.Engine)
--- a/internal/relay/room_test.go
+++ b/internal/relay/room_test.go
@@ -11,8 +11,9 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// expectRoom has the owner of an engine with 20,000 tokens grant room to a stream, receive the message that the
-// stream was placed, and answer for a second stream of the given size.
+// expectRoom has a box own an engine with memory for 20,000 tokens, and grant room there to a stream of 6,000 tokens. The
+// box then receives the message that placedBy granted the room of a stream of that size. expectRoom checks whether the
+// box still has room for a second stream with a prompt of 11,000 tokens.
 func expectRoom(t *testing.T, placedBy string, want bool) {
 	t.Helper()
 	r := New(Options{Box: "home", Region: "r", Protocol: fakeProtocol{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
@@ -34,8 +35,8 @@
 	}
 }
 
-// A stream that this box granted room to is counted once, whichever box publishes its placement; a stream that
-// another box placed by itself is counted when the message is received.
+// A stream that this box granted room to is counted once, whichever box publishes its placement. A stream that was
+// placed without this box is counted in addition when the message is received, so no room is left.
 func TestRoomBookedOnce(t *testing.T)  { expectRoom(t, "home", true) }
 func TestRoomOfAnother(t *testing.T)   { expectRoom(t, "elsewhere", false) }
 func TestRoomPlacedAlone(t *testing.T) { expectRoom(t, "", false) }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -18,40 +18,42 @@
 )
 
 const (
-	// eventBuffer is the number of events buffered for a slow caller.
+	// eventBuffer is the number of reported events that a flight buffers while its caller is slow.
 	eventBuffer = 32
-	// sideCallTimeout limits the wait for a call that reserves memory, and for a call that frees it.
-	sideCallTimeout = 700 * time.Millisecond
+	// controlCallTimeout limits the wait for the answer to a control call that reserves or frees engine memory.
+	controlCallTimeout = 700 * time.Millisecond
 	// releaseTries is the number of attempts to free memory if the engine does not answer, and releaseRetryDelay the
-	// pause between them.
+	// pause between two attempts.
 	releaseTries      = 3
 	releaseRetryDelay = 250 * time.Millisecond
-	// maxSideAnswer limits the answer to such a call, in bytes.
-	maxSideAnswer = 64 << 10
+	// maxControlAnswer limits the body of the answer to a control call, in bytes.
+	maxControlAnswer = 64 << 10
 )
 
-// flight is the state of a stream while engines process it.
+// flight is the state of a stream while engines process it. Only the goroutine that runs its loop changes the state; the
+// calls to engines run in goroutines of their own and report events to the loop.
 type flight struct {
 	x      *exchange
 	id     decide.ID
 	call   *dispatch.Call
-	ctx    context.Context // Ends with the caller's connection, the deadline or the request.
-	events chan flightEvent
-	calls  sync.WaitGroup // Calls to engines, which report to events.
-
-	prefillAttempt decide.Attempt // The current prefill.
-	prefillEngine  string         // The current prefill engine.
-	decodeAttempt  decide.Attempt // The current decode call.
-	decodeEngine   string         // The current decode engine.
-	// abandoned is the decode call that the decision core gave up as its answer began; 0 if there is none.
-	abandoned decide.Attempt
-	// plannedDecode is the decode engine that is asked for a reservation.
+	ctx    context.Context  // Ends with the caller's connection, at the deadline, or when runStream returns.
+	events chan flightEvent // What the calls to engines report.
+	calls  sync.WaitGroup   // The running calls to engines.
+
+	prefillAttempt decide.Attempt // The attempt number of the current prefill call.
+	prefillEngine  string         // The engine of the current prefill call.
+	decodeAttempt  decide.Attempt // The attempt number of the current decode call.
+	decodeEngine   string         // The engine of the current decode call.
+	// abandonedAttempt is a decode call that began to answer after the decision core had given it up; 0 if there is
+	// none. Nothing of its answer is passed on.
+	abandonedAttempt decide.Attempt
+	// plannedDecode is the decode engine that the flight asks for a reservation.
 	plannedDecode string
-	// reservation and source are what engines store for the flight: reserved memory, and the result of the last
-	// prefill. Both are freed with the flight, unless an engine that has begun the answer has used them.
+	// reservation is the memory that an engine has reserved for the flight, and source the result of the last prefill.
+	// free frees both. They are empty once an engine that uses them has begun the answer.
 	reservation reservation
 	source      Source
-	// prefillCalls and decodeCalls count the calls sent to engines.
+	// prefillCalls and decodeCalls are the numbers of prefill and decode calls sent to engines.
 	prefillCalls, decodeCalls int
 	// migration is the migration in progress; nil if there is none.
 	migration *migration
@@ -59,40 +61,42 @@
 	stopDecode context.CancelFunc
 
 	firstEventAt time.Time // When the first event was sent to the caller; zero before.
-	lastEventAt  time.Time // When the last event was sent; zero before.
+	lastEventAt  time.Time // When the last event was sent to the caller; zero before the first.
 	lastID       string    // The id of the last event sent to the caller.
 	eventsSent   int       // The number of events sent to the caller.
 }
 
-// reservation is memory reserved for the flight; the ID is empty if there is none.
+// reservation is memory that an engine has reserved for a flight; id is empty if there is none.
 type reservation struct {
 	engine string
 	id     string
-	// owner is the box that granted the room; empty if none did.
+	// owner is the other box that granted the memory as the engine's owner. It is empty if this box owns the engine or
+	// the owner did not answer.
 	owner string
 }
 
-// flightEvent is an event reported by a call to an engine. Exactly one of the fields after attempt is set, except
-// that unframed may be set together with ended.
+// flightEvent is what a call to an engine reports to the loop of its flight. Exactly one of the fields after attempt is
+// set, except that unframed may be set together with ended.
 type flightEvent struct {
-	attempt   decide.Attempt
-	reserved  *reservation // Memory was reserved.
-	noRoom    *noRoom      // The reservation was refused.
-	prefilled *Source      // The prefill is done.
-	head      *headPart    // The answer began.
-	part      *part        // More of the answer.
-	ended     bool         // The answer is complete.
-	// unframed is set if only the close of the connection marked the end of the answer.
-	unframed bool
-	final    *finalPart
-	err      *callError
-	migrated *migrationResult // An engine answered a migration request.
-	overdue  bool             // A call stopped for a migration has not ended in time.
-	// unanswered is set if a migration was not answered in time after its run has ended.
+	attempt       decide.Attempt
+	reserved      *reservation // An engine has reserved memory.
+	noRoom        *noRoom      // No memory was reserved.
+	prefillResult *Source      // The prefill is done; its result is stored there.
+	head          *headPart    // The answer has begun.
+	part          *part        // More of the answer was received.
+	ended         bool         // The answer is complete.
+	// unframed is set if the answer had no length or end marker, so that only the close of the connection ended it.
+	unframed    bool
+	errorAnswer *errorAnswer     // The engine ran the request and answered with an error.
+	err         *callError       // The call failed.
+	migrated    *migrationResult // An engine has answered a migration request.
+	overdue     bool             // The call of a run that was stopped for a migration has not ended in time.
+	// unanswered is set if the stream's run has ended and its migration request was not answered in time.
 	unanswered bool
 }
 
-// noRoom names the box that denied the reservation as the engine's owner; empty if the engine itself refused.
+// noRoom reports that no memory was reserved. owner is the other box that denied the memory as the engine's owner; it is
+// empty if the engine itself did not reserve any.
 type noRoom struct{ owner string }
 
 // headPart is the header of an answer with the first part of its body.
@@ -104,26 +108,27 @@
 // part is a sequence of whole events of a stream.
 type part struct {
 	bytes []byte
-	// lastID is the id of the last event with one, empty if there is none, and events the number of events with one.
+	// lastID is the id of the last event that has an id, and events the number of events that have an id. lastID is
+	// empty if no event has an id.
 	lastID string
 	events int
-	// reservedBytes is the memory reserved for it until it is written, in bytes.
+	// reservedBytes is the memory of this box, in bytes, that is reserved for the part until it is written.
 	reservedBytes int64
 }
 
-// finalPart is an engine's own error answer, which is passed to the caller unchanged.
-type finalPart struct {
+// errorAnswer is an engine's own error answer, which is passed to the caller unchanged.
+type errorAnswer struct {
 	resp *http.Response
 	body []byte
 }
 
-// callError is a failed call to an engine.
+// callError describes a failed call to an engine.
 type callError struct {
 	reason outcome.Reason
-	ran    bool
+	ran    bool // The engine may have run the request.
 	// connLoss is set if the engine closed the connection.
 	connLoss connLoss
-	// detail is the connection's error, for the record; empty if there is none.
+	// detail is the text of the connection's error, for the request's record; empty if there is none.
 	detail string
 }
 
@@ -143,9 +148,9 @@
 		x.trace.Close(o)
 	case x.begun || o.Kind == outcome.Cancelled:
 		if o.Kind != outcome.Cancelled {
-			o.Kind = outcome.CutOff // The decision core does not know how much of the answer the caller has.
+			o.Kind = outcome.CutOff // An answer that began is cut off, whatever kind the decision core gave its end.
 		}
-		x.cutOff(o) // A plain return would end the stream as if it were complete.
+		x.cutOff(o) // A plain return would make the incomplete answer look complete.
 	default:
 		if o.RetryAfter > 0 {
 			o.RetryAfter = max(o.RetryAfter, jitter(streamRetryAfter))
@@ -154,9 +159,9 @@
 	}
 }
 
-// streamRetryAfter is the retry delay of a refused stream. An overload of the engines lasts some seconds, and a
-// caller that returns during it and is refused again loses more than one that returns later. Between 1 and 4 s the
-// score differs by no more than the noise; 3 s leads to a tenth fewer refusals than 1 s.
+// streamRetryAfter is the retry delay of a refused stream. An overload of the engines lasts some seconds. A caller that
+// returns during the overload and is refused again loses more time than a caller that returns after it. Delays of 1 to
+// 4 s make no difference to the goodput beyond the noise; 3 s leads to a tenth fewer refusals than 1 s.
 const streamRetryAfter = 3 * time.Second
 
 // jitter varies a delay by up to 20%, so that callers refused at the same time do not return at the same time.
@@ -164,7 +169,8 @@
 	return time.Duration(float64(d) * (0.8 + 0.4*rand.Float64()))
 }
 
-// runStream returns when the request has ended, and has then started to free everything stored for it.
+// runStream has engines process the stream, and returns its outcome. Before it returns, it starts to free all memory
+// that engines and this box store for the stream; the calls that free it may still run afterwards.
 func (x *exchange) runStream(ctx context.Context) outcome.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	f := &flight{x: x, ctx: ctx, events: make(chan flightEvent, eventBuffer)}
@@ -174,20 +180,20 @@
 		f.publishStreamEnded(f.decodeEngine)
 		x.r.disp.Remove(f.id)
 		f.drainSteps()
-		f.end(cancel)
+		f.shutdown(cancel)
 	}()
 	return f.loop()
 }
 
-// end cancels the flight's calls and frees its reservations. A call may have reported memory that the loop no longer
-// receives: that is freed once all calls have returned.
-func (f *flight) end(cancel context.CancelFunc) {
+// shutdown cancels the flight's calls and frees what engines store for it. Events that the loop has not received may name
+// more engine memory: that memory is freed once all calls have returned.
+func (f *flight) shutdown(cancel context.CancelFunc) {
 	cancel()
 	f.free()
 	f.x.r.cleanups.Go(func() {
 		f.calls.Wait()
 		for len(f.events) > 0 {
-			f.discard(<-f.events)
+			f.freeEvent(<-f.events)
 		}
 	})
 }
@@ -232,7 +238,7 @@
 			}
 		case ev := <-f.events:
 			if f.ctx.Err() != nil {
-				return f.finishExpired(ev) // The calls of a request are canceled with it.
+				return f.finishExpired(ev) // The end of the request cancels its calls, so their errors are no failures of engines.
 			}
 			if o, end := f.handleEvent(ev); end {
 				return o
@@ -241,13 +247,14 @@
 	}
 }
 
-// finishExpired delivers an answer whose end was already received when the request's context ended: a box that was not
-// scheduled for a while finds both at once. An answer that is incomplete and has not begun is not begun.
-func (f *flight) finishExpired(taken ...flightEvent) outcome.Outcome {
-	list, whole := f.collectUntilEnd(taken)
+// finishExpired ends a request whose context has ended. If the whole answer was received before, it is still delivered:
+// a box that was not scheduled for a while finds the answer's end and the passed deadline at once. Nothing more of an
+// incomplete answer is sent to the caller. received has the event that the loop has already taken from f.events.
+func (f *flight) finishExpired(received ...flightEvent) outcome.Outcome {
+	list, whole := f.collectUntilEnd(received)
 	for _, ev := range list {
 		if !whole || f.x.req.Context().Err() != nil {
-			f.discard(ev)
+			f.freeEvent(ev)
 			continue
 		}
 		if o, end := f.handleEvent(ev); end {
@@ -257,8 +264,8 @@
 	return f.expiredOutcome()
 }
 
-// collectUntilEnd appends the events reported by calls up to the end of an answer or an error, and reports whether
-// it found the end of an answer.
+// collectUntilEnd appends the events that calls have reported to list, up to the end of an answer or a failed call.
+// whole is set if it found the end of an answer.
 func (f *flight) collectUntilEnd(list []flightEvent) (_ []flightEvent, whole bool) {
 	for n := 0; ; n++ {
 		if n == len(list) {
@@ -269,13 +276,13 @@
 				return list, false
 			}
 		}
-		if ev := &list[n]; ev.ended || ev.final != nil || ev.err != nil {
+		if ev := &list[n]; ev.ended || ev.errorAnswer != nil || ev.err != nil {
 			return list, ev.err == nil
 		}
 	}
 }
 
-// expiredOutcome returns the outcome of a request whose context has ended.
+// expiredOutcome returns the outcome of a request whose context has ended before its answer was complete.
 func (f *flight) expiredOutcome() outcome.Outcome {
 	if f.x.req.Context().Err() != nil {
 		return callerGoneOutcome()
@@ -290,7 +297,8 @@
 	return o
 }
 
-// drainSteps records the actions that the decision core emitted with the end of the request.
+// drainSteps records the last actions of the decision core, which it emitted when the request ended, and publishes the
+// stream's timing.
 func (f *flight) drainSteps() {
 	for _, a := range f.call.TakeActions() {
 		f.recordStep(a)
@@ -301,12 +309,13 @@
 }
 
 func (f *flight) recordStep(a decide.Action) {
+	// recordStep adds an action of the decision core to the request's trace.
 	if s, ok := record.NewStep(a); ok {
 		f.x.trace.Step(s)
 	}
 }
 
-// apply carries out an action of the decision core.
+// apply carries out an action of the decision core. If the action ends the request, apply returns its outcome and true.
 func (f *flight) apply(a decide.Action) (outcome.Outcome, bool) {
 	f.recordStep(a)
 	switch a.(type) {
@@ -317,27 +326,27 @@
 	}
 	switch a := a.(type) {
 	case decide.Retry:
-		// A call given up without an answer may have run, so quarantined must not report it as "not run".
+		// The engine of a stalled transfer may have run the request, so it must not be reported as "not run" later.
 		f.x.ran = f.x.ran || a.Reason == outcome.TransferStalled
 	case decide.Migrate:
 		f.migrate(a)
 	case decide.StartPrefill:
-		f.free() // Reservations of an earlier attempt.
+		f.free() // What engines store for an earlier attempt is not needed any more.
 		f.prefillAttempt, f.prefillEngine, f.plannedDecode = a.Attempt, a.Prefill, a.Decode
 		ctx := f.call.AttemptContext(f.ctx, a.Attempt)
 		f.calls.Go(func() { f.callPrefill(ctx, a) })
 	case decide.StartDecode:
-		if a.Moved != outcome.OK {
+		if a.Moved != outcome.OK { // The decode engine is not the one that was chosen first.
 			f.x.r.m.Moves.Inc()
 		}
 		f.decodeAttempt, f.decodeEngine, f.plannedDecode = a.Attempt, a.Decode, a.Decode
 		if a.Prefill == "" {
-			f.free() // Reservations of an earlier attempt.
+			f.free() // What engines store for an earlier attempt is not needed any more.
 			ctx, last := f.bindDecode(a.Attempt), f.lastID
 			f.calls.Go(func() { f.callCombined(ctx, a, last) })
 			break
 		}
-		f.dropReservationElsewhere(a.Decode)
+		f.freeReservationElsewhere(a.Decode)
 		f.countCall(a.Attempt)
 		run := Run{Instance: a.Decode, Source: f.source, Reservation: f.reservation.id, LastEvent: f.lastID}
 		ctx := f.bindDecode(a.Attempt)
@@ -348,7 +357,7 @@
 	return outcome.Outcome{}, false
 }
 
-// countCall counts a call sent to an engine. Resuming a migrated stream continues the same run and is not counted.
+// countCall counts a call sent to an engine. Resuming a migrated stream continues the same run, and is not counted.
 func (f *flight) countCall(a decide.Attempt) {
 	n := &f.decodeCalls
 	if a == f.prefillAttempt {
@@ -359,35 +368,36 @@
 	}
 }
 
-// bindDecode returns the context of a decode call, and sets stopDecode.
+// bindDecode returns the context of a decode attempt, which ends when the decision core gives the attempt up, and sets
+// stopDecode to cancel it.
 func (f *flight) bindDecode(a decide.Attempt) context.Context {
 	ctx, cancel := context.WithCancel(f.call.AttemptContext(f.ctx, a))
 	f.stopDecode = cancel
 	return ctx
 }
 
-// dropReservation frees the reservation. Once the answer has begun the engine counts the memory of the run itself,
-// and would count the rest of the reservation beside it until it expires.
-func (f *flight) dropReservation() {
+// freeReservation frees the memory that an engine has reserved for the flight, if any. It is called when the answer
+// begins, at the latest: the engine would count the reservation beside the memory of the run until it expires.
+func (f *flight) freeReservation() {
 	if f.reservation.id != "" {
 		f.x.r.drop(f.reservation.engine, f.x.r.disp.Address(f.reservation.engine), f.x.r.protocol.ReleaseReservation(f.reservation.id))
 		f.reservation = reservation{}
 	}
 }
 
-// dropReservationElsewhere frees a reservation at any engine but the one that will generate the answer.
-func (f *flight) dropReservationElsewhere(engine string) {
+// freeReservationElsewhere frees the reservation unless it is at the engine that will generate the answer.
+func (f *flight) freeReservationElsewhere(engine string) {
 	if f.reservation.engine != engine {
-		f.dropReservation()
+		f.freeReservation()
 	}
 }
 
-// handleEvent handles an event of a call. An event that does not belong to the current attempt is discarded, and the
-// memory that it names is freed.
+// handleEvent handles an event that a call has reported. If the event ends the request, handleEvent returns the outcome
+// and true. An event that does not belong to a current call is ignored, and the memory that it names is freed.
 func (f *flight) handleEvent(ev flightEvent) (outcome.Outcome, bool) {
 	current := ev.attempt == f.prefillAttempt || ev.attempt == f.decodeAttempt || f.migration.is(ev.attempt)
-	if !current || ev.attempt == f.abandoned {
-		f.discard(ev)
+	if !current || ev.attempt == f.abandonedAttempt {
+		f.freeEvent(ev)
 		return outcome.Outcome{}, false
 	}
 	if f.migration != nil && f.handleMigrationEvent(ev) {
@@ -399,12 +409,12 @@
 	case ev.reserved != nil:
 		f.reservation = *ev.reserved
 		f.publishPlaced(ev.attempt)
-		f.countCall(ev.attempt) // Until now the request was in no engine's queue.
+		f.countCall(ev.attempt) // Calls are counted from the reservation on: before it the request is in no engine's queue.
 	case ev.noRoom != nil:
 		f.x.trace.Step(record.Step{Kind: record.StepNoRoom, Attempt: int(ev.attempt), Decode: f.plannedDecode, Text: ev.noRoom.owner})
 		f.x.r.disp.Step(decide.ReservationRefused{ID: f.id, Attempt: ev.attempt})
-	case ev.prefilled != nil:
-		f.source = *ev.prefilled
+	case ev.prefillResult != nil:
+		f.source = *ev.prefillResult
 		f.x.r.m.PrefillTokens.Add(f.x.meta.PromptTokens)
 		f.x.r.disp.Step(decide.PrefillDone{
 			ID: f.id, Attempt: ev.attempt, Expires: clock.Now().Add(f.x.service.Engines.HandleTTL),
@@ -413,8 +423,8 @@
 		return f.beginAnswer(ev)
 	case ev.part != nil:
 		return f.passEvents(ev.part)
-	case ev.final != nil:
-		return f.passFailure(ev.final), true
+	case ev.errorAnswer != nil:
+		return f.passErrorAnswer(ev.errorAnswer), true
 	case ev.ended:
 		f.x.recordServed()
 		f.x.r.disp.Step(decide.Done{ID: f.id, Attempt: ev.attempt, Output: f.eventsSent * f.x.service.Engines.TokensPerEvent})
@@ -423,8 +433,8 @@
 	return outcome.Outcome{}, false
 }
 
-// discard frees the memory that an event of an earlier attempt names.
-func (f *flight) discard(ev flightEvent) {
+// freeEvent frees what an event names that the loop does not handle: bytes reserved on this box, and memory at engines.
+func (f *flight) freeEvent(ev flightEvent) {
 	switch {
 	case ev.head != nil:
 		f.x.r.memory.release(ev.head.part.reservedBytes)
@@ -434,14 +444,16 @@
 	if ev.reserved != nil {
 		f.x.r.drop(ev.reserved.engine, f.x.r.disp.Address(ev.reserved.engine), f.x.r.protocol.ReleaseReservation(ev.reserved.id))
 	}
-	if ev.prefilled != nil {
-		f.x.r.drop(ev.prefilled.Engine, ev.prefilled.Address, f.x.r.protocol.ReleaseHandle(ev.prefilled.Handle))
+	if ev.prefillResult != nil {
+		f.x.r.drop(ev.prefillResult.Engine, ev.prefillResult.Address, f.x.r.protocol.ReleaseHandle(ev.prefillResult.Handle))
 	}
 	if ev.migrated != nil {
 		ev.migrated.drop(f.x.r)
 	}
 }
 
+// handleFailure records that a call to an engine failed, and reports the failure to the decision core and, if an engine
+// refused a prefill, to the other boxes.
 func (f *flight) handleFailure(a decide.Attempt, e callError) {
 	engine := f.decodeEngine
 	if a == f.prefillAttempt {
@@ -458,20 +470,21 @@
 	f.x.r.disp.Step(decide.Failed{ID: f.id, Attempt: a, Reason: e.reason, Ran: e.ran})
 }
 
-// recordFailure records the failure of a call to an engine.
+// recordFailure adds the failure of a call to an engine to the request's trace, and records a lost connection.
 func (f *flight) recordFailure(a decide.Attempt, engine string, e *callError) {
 	f.x.trace.Step(record.Step{Kind: record.StepFailed, Attempt: int(a), Decode: engine, Reason: e.reason, Text: e.detail})
 	f.x.recordConnLoss(engine, e.connLoss)
 }
 
-// beginAnswer passes the header of the answer on, unless that of an earlier engine was: a stream resumed at another
-// engine keeps the first header. Nothing is passed on of a call that the decision core has given up.
+// beginAnswer handles the beginning of a call's answer. The header is passed to the caller only from the first call that
+// answers: a stream that is resumed at another engine keeps it. If the decision core has given the call up, nothing of
+// its answer is passed on.
 func (f *flight) beginAnswer(ev flightEvent) (outcome.Outcome, bool) {
 	if !f.migration.is(ev.attempt) && !f.x.r.disp.AcceptFirstToken(decide.FirstToken{
 		ID: f.id, Attempt: ev.attempt, Tokens: ev.head.part.events * f.x.service.Engines.TokensPerEvent,
 	}) {
-		f.abandoned = ev.attempt
-		f.discard(ev)
+		f.abandonedAttempt = ev.attempt
+		f.freeEvent(ev)
 		return outcome.Outcome{}, false
 	}
 	if f.firstEventAt.IsZero() {
@@ -479,8 +492,8 @@
 		f.x.rec.FirstToken = f.firstEventAt.Sub(f.x.arrived)
 		f.x.r.m.FirstToken.Update(f.x.rec.FirstToken.Seconds())
 	}
-	f.source = Source{} // The engine has used it.
-	f.dropReservation()
+	f.source = Source{} // The engine that answers has used the result of the prefill.
+	f.freeReservation()
 	if f.migration.is(ev.attempt) {
 		f.finishMigration()
 		return f.passEvents(&ev.head.part)
@@ -493,7 +506,7 @@
 	return f.passEvents(&ev.head.part)
 }
 
-// passEvents sends events to the caller.
+// passEvents sends events to the caller. If that fails it returns the outcome of the request and true.
 func (f *flight) passEvents(p *part) (outcome.Outcome, bool) {
 	if len(p.bytes) == 0 {
 		return outcome.Outcome{}, false
@@ -521,8 +534,8 @@
 	return outcome.Outcome{}, false
 }
 
-// passFailure sends an engine's own error answer to the caller.
-func (f *flight) passFailure(p *finalPart) outcome.Outcome {
+// passErrorAnswer sends an engine's own error answer to the caller, unless an answer has begun.
+func (f *flight) passErrorAnswer(p *errorAnswer) outcome.Outcome {
 	if f.x.begun {
 		return outcome.Outcome{Kind: outcome.CutOff, Reason: outcome.EndpointLost, Detail: "the engine answered " + p.resp.Status}
 	}
@@ -532,24 +545,26 @@
 	return outcome.Outcome{Kind: outcome.Answered}
 }
 
-// free frees what engines store for the flight. The calls for that may outlive the request; a drain waits for them.
-// If they fail, the memory is freed when it expires at the engine.
+// free frees all that engines store for the flight: its reservation, the result of its last prefill, and the memory of
+// an unfinished migration. The calls that free the memory may outlast the request, and Relay.Drain waits for them. If
+// they fail, the engine frees the memory when its time to live ends.
 func (f *flight) free() {
-	f.dropReservation()
-	f.dropMigration()
+	f.freeReservation()
+	f.freeMigration()
 	if f.source.Handle != "" {
 		f.x.r.drop(f.source.Engine, f.source.Address, f.x.r.protocol.ReleaseHandle(f.source.Handle))
 		f.source = Source{}
 	}
 }
 
-// drop makes a call that frees memory, without waiting for it. If there is no answer the memory may not have been
-// freed, and the call is repeated; an engine whose port refuses connections has crashed and stores nothing.
+// drop sends a control call that frees memory at an engine, and does not wait for its end. The call is repeated if it is
+// not answered, because the memory may not have been freed. An engine whose port refuses connections has crashed and
+// stores nothing, so the call is not repeated.
 func (r *Relay) drop(engine, address string, c Call) {
 	r.m.Aborts.Inc()
 	r.cleanups.Go(func() {
 		for range releaseTries {
-			_, _, err := r.sidePool.DoShort(context.Background(), sideCallTimeout, sideRequest(engine, address, c), maxSideAnswer)
+			_, _, err := r.controlPool.DoShort(context.Background(), controlCallTimeout, controlRequest(engine, address, c), maxControlAnswer)
 			if err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 				return
 			}
