--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -242,8 +242,8 @@
 	}
 }
 
-// UpdatePeers tells the decision core whether other boxes are connected, and sets this box's part of the retry limits, given
-// the number of boxes and the time at which this one started.
+// UpdatePeers tells the decision core whether other boxes are connected, and sets this box's part of the retry limits,
+// given the number of boxes and the time at which this one started.
 func (r *Relay) UpdatePeers(l retry.Limits, boxes int, started time.Time) {
 	r.disp.SetGossipConnected(r.connected())
 	r.disp.SetRetryLimits(l, boxes, started)
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -13,44 +13,49 @@
 )
 
 const (
-	// A box without connection to others polls each engine for its load every standalonePollPeriod. Two polls are at
-	// least minPollInterval apart, so that their cost does not grow with the fleet; in exchange, some engines are
-	// polled when a stream is placed (sampleLoads), and an engine that refuses a reservation corrects a stale load.
-	// loadTimeout bounds one poll.
+	// A box that is not connected to other boxes polls each engine for its load every standalonePollPeriod. Two polls
+	// are at least minPollInterval apart, so that their cost does not grow with the fleet. In a large fleet loads are
+	// therefore old. In exchange, some engines are polled when a stream is placed (sampleLoads), and an engine that
+	// refuses a reservation shows that its load is stale. loadTimeout bounds one poll.
 	standalonePollPeriod = 3 * time.Second
 	minPollInterval      = 400 * time.Millisecond
 	loadTimeout          = 700 * time.Millisecond
 )
 
-// Where boxes exchange engine loads, one box polls an engine for all of them. Each box would poll an engine that
-// it has received no load of for pollInterval plus a jitter. The jitter is fixed for each box and engine, and its
-// range grows with the number of boxes: the first box polls, and the others receive its result before their own
-// time comes. If that box is down, the next one polls.
+// Where boxes exchange engine loads, one box polls an engine for all of them. Each box polls an engine itself once it
+// has received no load of the engine for pollIntervalDecode or pollIntervalPrefill, by the engine's role, plus a
+// jitter. The jitter is fixed for each box and engine, and its range grows with the number of boxes. So the box with
+// the shortest jitter polls, and the others receive its result before they would poll. If that box is down, the box
+// with the next jitter polls.
 //
-// Example: with 85 boxes the jitter is up to 12.75 s, so that a box is due about every 150 ms, and the same box
-// polls an engine about every 550 ms.
+// Example: with 85 boxes the jitter is up to 12.75 s. About every 150 ms the poll of another box would be due, and the
+// box with the shortest jitter polls a decode engine about every 550 ms.
 const (
+	// pollIntervalDecode and pollIntervalPrefill are the ages, without jitter, at which the load of an engine is polled
+	// again.
 	pollIntervalDecode  = 400 * time.Millisecond
 	pollIntervalPrefill = 1200 * time.Millisecond
 	// gossipDelay is the time a message takes to reach the other boxes.
 	gossipDelay = 150 * time.Millisecond
-	// pollTick and maxPollPause bound the pause between two checks for due polls. The pause lasts until the next
-	// poll is due, but no longer than maxPollPause: more streams, which raise the allowed rate, may have come meanwhile.
+	// pollTick and maxPollPause bound the pause between two checks for due polls. The pause lasts until the next poll
+	// is due, but no longer than maxPollPause: more streams, which raise the allowed rate, may have come meanwhile.
 	pollTick     = 100 * time.Millisecond
 	maxPollPause = 500 * time.Millisecond
 	// maxPollRate bounds the polls a second of all boxes together, whatever the number of engines, because every
 	// result goes to every box. Without the bound, at one poll every 0.55 s for each of 2,250 engines, 301 boxes
 	// spent 16% of a core each, and two ran out of memory.
 	maxPollRate = 300
-	// pollsPerStream bounds the polls of all boxes by their streams, and minPollRate is the polls a second that are
-	// always allowed. At 10 to 40 streams a second and 9 to 45 engines the intervals above lead to 1.6 to 2.6 polls a
-	// stream, below the bound; at 35 streams a second and 8,650 engines they would lead to 8, of which most serve no
-	// stream. With no polls between streams, role changes happen during traffic and not before it: at 7 boxes the
-	// score is 0.484 or 0.483 in place of 0.503, and 0.513 with these values (mean of five days, processor time not
-	// included).
+	// pollsPerStream bounds the polls of all boxes by their streams. minPollRate is the number of polls a second that
+	// are always allowed. At 10 to 40 streams a second and 9 to 45 engines, pollIntervalDecode and pollIntervalPrefill
+	// lead to 1.6 to 2.6 polls a stream, which is below the bound. At 35 streams a second and 8,650 engines the two
+	// intervals would lead to 8 polls a stream, most of which serve no stream.
+	//
+	// minPollRate is above 0 because without any polls between streams, role changes happen during traffic and not
+	// before it. At 7 boxes the goodput score (more is better; mean of five days, processor time not included) is 0.484
+	// or 0.483 without polls between streams and 0.503 with them; it is 0.513 with the two values given here.
 	pollsPerStream = 4
 	minPollRate    = 20
-	// ownerLoadMaxAge is how old an engine's load may be when its owner is asked for room.
+	// ownerLoadMaxAge is how old an engine's load may be when another box asks this one, the engine's owner, for room.
 	ownerLoadMaxAge = 3 * time.Second
 )
 
@@ -70,7 +75,7 @@
 	}
 }
 
-// pollNext polls the engines in turn, and returns the time until the next poll.
+// pollNext polls engine number n, counted round the list of engines, and returns the time until the next poll.
 func (r *Relay) pollNext(ctx context.Context, n int) time.Duration {
 	list := r.fleet.allEngines()
 	if len(list) == 0 {
@@ -80,8 +85,8 @@
 	return max(minPollInterval, standalonePollPeriod/time.Duration(len(list)))
 }
 
-// pollDue polls the engines whose load no box has published for too long, and returns the time until the next
-// poll is due.
+// pollDue polls the engines that are due, because no box has published their load for too long. It returns the time
+// until the next check.
 func (r *Relay) pollDue(ctx context.Context) time.Duration {
 	list, next := r.duePolls(clock.Now())
 	for _, e := range list {
@@ -116,7 +121,7 @@
 	return out, next
 }
 
-// pollIfStale polls an engine owned by this box if its load is not recent.
+// pollIfStale polls an engine that this box owns if the engine's load is not recent.
 func (r *Relay) pollIfStale(id string) {
 	e, listed := r.fleet.endpoint(id)
 	if listed && r.fleet.claimStalePoll(id, clock.Now(), ownerLoadMaxAge) {
@@ -135,7 +140,7 @@
 func (r *Relay) pollLoad(ctx context.Context, e Endpoint) {
 	now := clock.Now()
 	if r.notices.ThrottledFor(e.ID, now) > 0 {
-		return // It asked for fewer requests, and a poll is one.
+		return // The engine asked for fewer requests, and a poll is a request.
 	}
 	r.notices.Sent(e.ID, now)
 	resp, body, err := r.controlPool.DoShort(ctx, loadTimeout, controlRequest(e.ID, e.Address, r.protocol.LoadCall()), maxControlAnswer)
@@ -153,20 +158,20 @@
 		return
 	}
 	if !l.matchesStart(&e) {
-		return // The list will show the other start.
+		return // The list of endpoints will show the other start of the engine.
 	}
 	at := now.Add(-l.Age)
 	r.applyLoad(e.ID, at, &l)
 	r.publishLoad(e.ID, at, &l)
 }
 
-// matchesStart reports whether the load belongs to this start of the endpoint. The load of an earlier or later
-// process at the same address has other memory, role and orders. A load without a start time is accepted: on a
-// platform whose list has start times and whose loads have none, no load would ever be accepted, and each box
-// would poll all engines by itself (112,422 polls in a simulated day).
+// matchesStart reports whether the load belongs to this start of the endpoint. An earlier or later process at the same
+// address has other memory, another role and other orders. A load without a start time is accepted: some platforms have
+// start times in the list and none in the loads. Otherwise no load would ever be accepted there, and each box would
+// poll all engines by itself (112,422 polls in a simulated day).
 func (l *Load) matchesStart(e *Endpoint) bool { return l.Started == 0 || l.Started == e.Started }
 
-// applySilence records that an engine did not answer.
+// applySilence records that an engine did not answer a poll, of this box or of another.
 func (r *Relay) applySilence(engine string) {
 	r.fleet.mu.Lock()
 	r.fleet.recordReport(engine, clock.Now())
@@ -174,7 +179,7 @@
 	r.disp.Step(decide.ProbeFailed{Engine: engine})
 }
 
-// applyLoad applies an engine's load as of a time.
+// applyLoad applies the load that an engine had at a time.
 func (r *Relay) applyLoad(engine string, at time.Time, l *Load) {
 	tokensPerEvent, known := r.fleet.recordLoad(engine)
 	if !known {
@@ -190,8 +195,8 @@
 	})
 }
 
-// recordLoad records that an engine's load was received, and returns the tokens per event of its service; known
-// is false for an engine that is not on the list.
+// recordLoad records that an engine's load was received, and returns the tokens per event of the engine's service.
+// known is false for an engine that is not on the list.
 func (f *fleet) recordLoad(id string) (tokensPerEvent int, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -203,8 +208,8 @@
 	return f.tokensPerEvent(f.endpoints[i].Service), true
 }
 
-// pollAfterRefusal polls an engine that has just refused a request: it may have another role by now, be carrying
-// out an order or be leaving.
+// pollAfterRefusal polls an engine that has just refused a request: the engine may have another role by now, be
+// carrying out an order or be leaving.
 func (r *Relay) pollAfterRefusal(id string) {
 	r.fleet.mu.Lock()
 	i, listed := r.fleet.index[id]
@@ -221,8 +226,8 @@
 	go r.pollLoad(context.Background(), e)
 }
 
-// refusalPollInterval is the minimum time between two such polls of one engine, whose load is some hundred ms
-// old anyway.
+// refusalPollInterval is the minimum time between two polls of an engine that refuses requests. The result of a poll is
+// some hundred ms old anyway.
 const refusalPollInterval = time.Second
 
 // runs converts the engine's streams from events to tokens.
@@ -243,15 +248,15 @@
 }
 
 const (
-	// One in sampleDivisor decode engines, and at least minSampleSize, are polled before a stream is placed;
-	// sampleTimeout bounds the wait for them.
+	// Before a stream is placed on a box without connection to others, one in sampleDivisor decode engines is polled,
+	// and at least minSampleSize. sampleTimeout bounds the wait for their loads.
 	sampleDivisor = 6
 	minSampleSize = 2
 	sampleTimeout = 40 * time.Millisecond
 )
 
-// sampleLoads polls a random sample of the decode engines of a service in a region, one in sampleDivisor and at
-// least minSampleSize.
+// sampleLoads polls a random sample of the decode engines of a service in a region (sampleDivisor, minSampleSize), and
+// waits up to sampleTimeout for the loads.
 func (r *Relay) sampleLoads(ctx context.Context, service, region string) {
 	var list []Endpoint
 	for _, e := range r.fleet.allEngines() {
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -67,7 +67,8 @@
 	}{{0, 20. * 96 / 300}, {2, 20. * 96 / 300}, {20, 80. * 96 / 300}, {200, 300. * 96 / 300}} {
 		r := subsetRelay("a", "h-0", fleetOf(300, 0))
 		start, polls, due := time.Now(), 0, 0.0
-		// 45 s are whole periods of the lowest rate, at which each engine is polled every 15 s, so the phase has no effect.
+		// 45 s are whole periods of the lowest rate, at which each engine is polled every 15 s, so the phase has no
+		// effect.
 		const from, until = 15 * time.Second, 60 * time.Second
 		for at := time.Duration(0); at < until; at += pollTick {
 			for due += c.streams * pollTick.Seconds(); due >= 1; due-- {
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -33,7 +33,8 @@
 	// sourceEnd is how the first engine's call ended; nil while it runs. A complete answer has no reason: only the
 	// answer to the migration request tells whether that was the end of the stream.
 	sourceEnd *callError
-	// unframed is set if the close of the connection ended the first engine's answer, which also happens to a stopped run.
+	// unframed is set if the close of the connection ended the first engine's answer, which also happens to a stopped
+	// run.
 	unframed bool
 	// keptUntil is the earliest time at which the engines may free the memory; zero before the run is stopped.
 	keptUntil time.Time
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -7,7 +7,8 @@
 	"github.com/stoatramp/stoatramp/internal/quarantine"
 )
 
-// This file quarantines requests: one whose fingerprint equals that of requests that crashed endpoints is not sent to any.
+// This file quarantines requests: one whose fingerprint equals that of requests that crashed endpoints is not sent to
+// any.
 
 // quarantined reports whether the request must not be sent to an endpoint, because equal requests crashed
 // endpoints. It must be called before each call to an endpoint.
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -30,8 +30,8 @@
 	maxControlAnswer = 64 << 10
 )
 
-// flight is the state of a stream while engines process it. Only the goroutine that runs its loop changes the state; the
-// calls to engines run in goroutines of their own and report events to the loop.
+// flight is the state of a stream while engines process it. Only the goroutine that runs its loop changes the state;
+// the calls to engines run in goroutines of their own and report events to the loop.
 type flight struct {
 	x      *exchange
 	id     decide.ID
@@ -95,8 +95,8 @@
 	unanswered bool
 }
 
-// noRoom reports that no memory was reserved. owner is the other box that denied the memory as the engine's owner; it is
-// empty if the engine itself did not reserve any.
+// noRoom reports that no memory was reserved. owner is the other box that denied the memory as the engine's owner; it
+// is empty if the engine itself did not reserve any.
 type noRoom struct{ owner string }
 
 // headPart is the header of an answer with the first part of its body.
@@ -185,8 +185,8 @@
 	return f.loop()
 }
 
-// shutdown cancels the flight's calls and frees what engines store for it. Events that the loop has not received may name
-// more engine memory: that memory is freed once all calls have returned.
+// shutdown cancels the flight's calls and frees what engines store for it. Events that the loop has not received may
+// name more engine memory: that memory is freed once all calls have returned.
 func (f *flight) shutdown(cancel context.CancelFunc) {
 	cancel()
 	f.free()
@@ -476,9 +476,9 @@
 	f.x.recordConnLoss(engine, e.connLoss)
 }
 
-// beginAnswer handles the beginning of a call's answer. The header is passed to the caller only from the first call that
-// answers: a stream that is resumed at another engine keeps it. If the decision core has given the call up, nothing of
-// its answer is passed on.
+// beginAnswer handles the beginning of a call's answer. The header is passed to the caller only from the first call
+// that answers: a stream that is resumed at another engine keeps it. If the decision core has given the call up,
+// nothing of its answer is passed on.
 func (f *flight) beginAnswer(ev flightEvent) (outcome.Outcome, bool) {
 	if !f.migration.is(ev.attempt) && !f.x.r.disp.AcceptFirstToken(decide.FirstToken{
 		ID: f.id, Attempt: ev.attempt, Tokens: ev.head.part.events * f.x.service.Engines.TokensPerEvent,
@@ -557,8 +557,8 @@
 	}
 }
 
-// drop sends a control call that frees memory at an engine, and does not wait for its end. The call is repeated if it is
-// not answered, because the memory may not have been freed. An engine whose port refuses connections has crashed and
+// drop sends a control call that frees memory at an engine, and does not wait for its end. The call is repeated if it
+// is not answered, because the memory may not have been freed. An engine whose port refuses connections has crashed and
 // stores nothing, so the call is not repeated.
 func (r *Relay) drop(engine, address string, c Call) {
 	r.m.Aborts.Inc()
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -1,9 +1,19 @@
-// Package relay forwards requests and answers without changing their bodies. Routes are selected by host and path,
-// and the decision core gets what it needs to know of a prompt from headers. The stages of a request are plain
-// function calls with typed results:
+// Package relay forwards requests and answers without changing their bodies. Routes are selected by host and path, and
+// the headers tell the decision core (package decide) what it needs to know of a prompt. The stages of a request are
+// plain function calls with typed results:
 //
 //	route ► buffer the body ► check limits ► place/wait ► reserve memory ► prefill ► decode ► answer
 //
+// Some terms of the package:
+//
+//   - An exchange is a request of a caller with its answer. A flight is the state of a stream's exchange while engines
+//     process it.
+//   - A control call is a call of the box to an endpoint that is not a caller's request, for example for a load.
+//   - An attempt is one try of the decision core to have a stream prefilled or decoded.
+//   - Room is free engine memory. The owner of an engine is the one box that grants the engine's room to the streams of
+//     all boxes (package overlay).
+//   - The subset of a box are the endpoints that it uses, if there are too many to use all.
+//
 // The interface Protocol hides the platform's encoding of headers, calls and answers.
 package relay
 
@@ -33,25 +43,25 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Config is an accepted configuration.
+// Config is a configuration of the platform that the box has accepted.
 type Config struct {
 	Version int64
-	// Digest distinguishes different texts of one version.
+	// Digest distinguishes different texts of configurations with the same version.
 	Digest   Digest
 	Routes   []*Route
 	Services map[string]*Service
 	Limits   Limits
-	// Accounts maps the hash of a key to its client account. It is nil if the platform has no accounts; requests need
-	// no key then.
+	// Accounts maps the hash of a caller's key to its client account. It is nil if the platform has no accounts;
+	// requests need no key then.
 	Accounts map[KeyHash]*Account
 }
 
-// Digest is the SHA-256 of a text.
+// Digest is the SHA-256 hash of a configuration's text.
 type Digest [32]byte
 
 // Limits limit callers' requests.
 type Limits struct {
-	MaxBody int64 // Bytes; at least 1.
+	MaxBody int64 // The longest body of a request, in bytes; at least 1.
 }
 
 // Route selects the services for the requests of a host and path prefix.
@@ -60,32 +70,34 @@
 	Host   string
 	Prefix string // Begins and ends with a slash.
 	Kind   Kind
-	// Regions are the regions that may serve its requests; empty for the region of the box that receives them.
+	// Regions are the regions that may serve the route's requests. If there are none, the region of the box that
+	// receives the request serves it.
 	Regions []string
-	// Public routes need no key.
+	// Public is set if requests of the route need no key of a client account.
 	Public bool
 	// Priority is the priority of the route's requests, 0 the highest.
 	Priority int
-	// Resumable streams may be resumed at another endpoint. Such a stream may also run again.
+	// Resumable is set if the route's streams may be resumed at another endpoint. A resumable stream may also run
+	// again.
 	Resumable bool
-	// Targets are the services that share the route; weights are positive.
+	// Targets are the services among which the route's requests are divided.
 	Targets []Target
-	// Timeout limits the whole request. LatencyTarget is the latency target for an answer, or for the first event of a
-	// stream, and EventGapTarget the target for the pause between two events.
+	// Timeout limits the whole request. LatencyTarget is the target for the time until an answer, or until the first
+	// event of a stream. EventGapTarget is the target for the pause between two events of a stream.
 	Timeout        time.Duration
 	LatencyTarget  time.Duration
 	EventGapTarget time.Duration
-	// MaxEndpoints limits the endpoints that one request may run on; at least 1.
+	// MaxEndpoints limits the endpoints that may run one request, one after the other; at least 1.
 	MaxEndpoints int
-	// callerTimeout is the longest time, in nanoseconds, that a caller of the route was willing to wait. A caller with
-	// clearly less has been refused before (isReturning).
+	// callerTimeout is the longest timeout, in nanoseconds, that a caller of the route has sent. A caller with a
+	// clearly shorter timeout is taken for a caller that was refused before (isReturning).
 	callerTimeout atomic.Int64
 }
 
-// Target is a service of a route, with its share of the requests.
+// Target is a service of a route, with its share of the route's requests.
 type Target struct {
 	Service string
-	Weight  float64
+	Weight  float64 // The share, relative to the weights of the route's other targets; positive.
 }
 
 // Service is a group of endpoints that do the same work.
@@ -93,8 +105,8 @@
 	Name string
 	// Engines is nil for a plain service.
 	Engines *EngineConfig
-	// ColdDuration is how long an endpoint is cold after its start, and ColdRate the requests a second that it can handle
-	// meanwhile; 0 if the service has no such period.
+	// ColdDuration is how long an endpoint is cold after its start. ColdRate is the number of requests a second that a
+	// cold endpoint can handle. Both are 0 if endpoints of the service are never cold.
 	ColdDuration time.Duration
 	ColdRate     float64
 }
@@ -103,14 +115,14 @@
 type EngineConfig struct {
 	// Slots is the number of streams that an engine runs at once; 0 if not known.
 	Slots           int
-	KVTokens        int
+	KVTokens        int // The size of an engine's KV cache, in tokens.
 	KVBytesPerToken int
-	LinkRate        float64 // Bytes a second.
-	// HandleTTL is how long the result of a prefill is kept, and ReservationTTL the longest duration of a memory
-	// reservation.
+	LinkRate        float64 // The transfer rate of KV caches between engines, in bytes a second.
+	// HandleTTL is how long an engine keeps the result of a prefill, or the memory of a run that was stopped for a
+	// migration. ReservationTTL is the longest time for which an engine reserves memory.
 	HandleTTL      time.Duration
 	ReservationTTL time.Duration
-	// Migratable is set if a running stream can be migrated to another engine.
+	// Migratable is set if a running stream can be migrated from one engine of the service to another.
 	Migratable bool
 	// TokensPerEvent is the maximum number of tokens in one event.
 	TokensPerEvent int
@@ -118,66 +130,70 @@
 
 // Endpoint is an entry of the platform's list of endpoints.
 type Endpoint struct {
-	// ID identifies one start of the endpoint. All state of an endpoint is stored under its ID and discarded with it.
+	// ID identifies one start of the endpoint. All that the box knows of an endpoint is stored under its ID, and is
+	// discarded when the ID is removed from the list.
 	ID string
-	// Started is the time of its start, in Unix milliseconds by its own clock. It is 0 if the platform does not
-	// publish it; each start then has an ID of its own anyway.
+	// Started is the time of the endpoint's start, in Unix milliseconds by its own clock. It is 0 if the platform does
+	// not publish the time; each start has an ID of its own anyway.
 	Started int64
 	Service string
 	Address string
 	Hall    string
 	Role    decide.EngineRole // Engines only.
-	Leaving bool
-	// ColdLeft is the rest of its cold period when the entry was written; 0 if it was not cold.
+	Leaving bool              // The endpoint is about to stop, and accepts no new requests.
+	// ColdLeft is how much longer the endpoint was cold when the platform wrote this entry; 0 if it was not cold.
 	ColdLeft time.Duration
 }
 
-// RequestMeta has what the headers of a caller's request say.
+// RequestMeta is what the headers of a caller's request say.
 type RequestMeta struct {
 	ID string
-	// Timeout is how long the caller will wait, from the start of the request; 0 if it does not say.
+	// Timeout is how long the caller will wait, from the start of the request; 0 if the headers do not say.
 	Timeout      time.Duration
 	Model        string
 	PromptTokens int
-	MaxOutput    int // Maximum number of tokens of the answer.
-	// ExpectedOutput is the caller's estimate of the answer's tokens; 0 if it has none.
+	MaxOutput    int // The maximum number of tokens of the answer.
+	// ExpectedOutput is the caller's estimate of the answer's length, in tokens; 0 if there is no estimate.
 	ExpectedOutput int
-	// PrefixHashes are chained hashes of the prompt's blocks that other prompts have in common.
+	// PrefixHashes are the hashes of the prompt's blocks; each hash also covers all blocks before its own. Prompts that
+	// begin with the same blocks have the same first hashes.
 	PrefixHashes []uint64
-	// LastEvent is the event after which a stream is to be resumed; empty to start one.
+	// LastEvent is the id of the event after which the stream is to be resumed; empty for a new stream.
 	LastEvent string
-	// Key is the hash of the request's key, if KeyState is OneKey.
+	// Key is the hash of the caller's key, and valid only if KeyState is OneKey.
 	Key      KeyHash
 	KeyState KeyState
 }
 
-// Run has the headers that the relay adds to a request for one endpoint.
+// Run has the values of the headers that the relay adds when it sends a caller's request to an endpoint.
 type Run struct {
-	// Account is the client account of the request; nil if it has none.
+	// Account is the client account of the request; nil if the request has none.
 	Account *Account
-	// Instance is the only endpoint that may run the request.
+	// Instance is the ID of the only endpoint that may run the request.
 	Instance string
 	// TimeLeft is how long the caller will still wait.
 	TimeLeft time.Duration
-	// PrefillOnly requests a prefill only, whose result is kept.
+	// PrefillOnly has the engine prefill the prompt and keep the result, without generating an answer.
 	PrefillOnly bool
-	// Source is where the KV cache of the prompt is; empty if the endpoint does the prefill.
+	// Source is where the KV cache of the prompt is stored; empty if the endpoint is to do the prefill.
 	Source Source
-	// Reservation is the name of the memory reservation; empty if there is none.
+	// Reservation is the name of the memory reservation at the endpoint; empty if there is none.
 	Reservation string
-	LastEvent   string
+	// LastEvent is the id of the event after which the stream is to be resumed; empty for a new stream.
+	LastEvent string
 }
 
-// Source identifies the result of a prefill.
+// Source identifies a KV cache that an engine stores: the result of a prefill, or the memory of a run that was stopped
+// for a migration.
 type Source struct {
-	Engine  string // The ID of the engine that stores it.
+	Engine  string // The ID of the engine that stores the KV cache.
 	Address string
-	Handle  string
+	Handle  string // The engine's name for the KV cache.
 }
 
 // Reply has what the relay reads from the header of an answer.
 type Reply struct {
-	// Signed is set if the answer has the endpoint's signature.
+	// Signed is set if the answer has the signature of the endpoint that the request was sent to.
 	Signed bool
 	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
@@ -185,7 +201,7 @@
 	Notice notice.Notice
 }
 
-// Call is a call to an endpoint that is not a caller's request.
+// Call is a control call: a call of the box to an endpoint that is not a caller's request.
 type Call struct {
 	Method string
 	Target string
@@ -194,7 +210,7 @@
 
 // Load is the load reported by an engine.
 type Load struct {
-	// Started is the start of the reporting engine, as in Endpoint.
+	// Started is when the reporting engine started, as in Endpoint; 0 if the engine does not say.
 	Started int64
 	Role    decide.EngineRole
 	Queued  int
@@ -202,29 +218,29 @@
 	KVUsed  int
 	KVTotal int
 	Leaving bool
-	// ExecutingOrder is set while the engine carries out an order.
+	// ExecutingOrder is set while the engine carries out an order, for example to change its role.
 	ExecutingOrder bool
 	// Orders is the number of orders that the engine has accepted since its start.
 	Orders int64
-	// Runs are its streams, measured in events rather than tokens.
+	// Runs are the streams that run at the engine.
 	Runs []StreamLoad
-	// Age is the maximum age of the figures.
+	// Age is the longest time since the engine took the figures.
 	Age time.Duration
 }
 
 // StreamLoad is a stream that runs at an engine.
 type StreamLoad struct {
-	Tokens int // In memory.
-	Events int // Generated so far.
+	Tokens int // The tokens in the engine's memory.
+	Events int // The events generated so far.
 }
 
 // Migration is an engine's answer to a migration request.
 type Migration struct {
-	// Handle names the memory of the run, which was stopped and can be resumed with it: at the other engine if
-	// Copied, and otherwise at the first one. It is empty if the run was not stopped.
+	// Handle names the memory of the run. The run was stopped, and can be resumed with the handle: at the other engine
+	// if Copied is set, and otherwise at the first one. Handle is empty if the run was not stopped.
 	Handle string
 	Copied bool
-	// InProgress is set if an earlier request for the same migration has not been answered yet.
+	// InProgress is set if the engine is still working on an earlier request for the same migration.
 	InProgress bool
 }
 
@@ -232,30 +248,32 @@
 type Protocol interface {
 	// ParseRequest reads the headers of a caller's request.
 	ParseRequest(r *http.Request) RequestMeta
-	// SetHeaders sets a run's headers, replacing any that the caller sent under the same names.
+	// SetHeaders sets the headers of a run, and replaces any that the caller sent under the same names.
 	SetHeaders(h http.Header, run Run)
-	// IsAnswerTo reports whether an answer belongs to the request of that id.
+	// IsAnswerTo reports whether an answer, by its header, belongs to the request with an id.
 	IsAnswerTo(h http.Header, id string) bool
 	// ParseReply reads the header of an answer.
 	ParseReply(resp *http.Response) Reply
 	// RemoveSignature removes the endpoint's signature from the header of an answer that the relay has changed.
 	RemoveSignature(h http.Header)
-	// ParsePrefill reads the answer to a PrefillOnly run.
+	// ParsePrefill reads the answer to a PrefillOnly run, and returns the handle of the prefill's result.
 	ParsePrefill(body []byte) (handle string, err error)
 
-	// Reserve reserves memory at an engine; ParseReservation reads the answer.
+	// Reserve reserves memory for a number of tokens at an engine. ParseReservation reads the answer, and returns the
+	// name of the reservation.
 	Reserve(tokens int, ttl time.Duration) Call
 	ParseReservation(body []byte) (hold string, err error)
-	// ReleaseReservation and ReleaseHandle free memory that is not needed any more.
+	// ReleaseReservation frees reserved memory that is not needed any more, and ReleaseHandle a KV cache.
 	ReleaseReservation(hold string) Call
 	ReleaseHandle(handle string) Call
-	// Migrate asks an engine to stop the run of a request and to copy its memory to another engine; ParseMigration reads
-	// the answer.
+	// Migrate asks an engine to stop the run of a request, and to copy its memory to the engine at an address.
+	// ParseMigration reads the answer.
 	Migrate(request, address string) Call
 	ParseMigration(status int, body []byte) (Migration, error)
 	// LoadCall requests an engine's load; ParseLoad reads the answer.
 	LoadCall() Call
 	ParseLoad(body []byte) (Load, error)
-	// SetRole orders an engine to change its role, provided that it has accepted exactly that number of orders.
+	// SetRole orders an engine to change its role. The engine obeys only if it has accepted exactly the given number of
+	// orders since its start. holder is the box that sends the order, and fence the number of its lease.
 	SetRole(instance string, role decide.EngineRole, holder string, fence, orders int64) (Call, http.Header)
 }
