--- a/internal/relay/accounts.go
+++ b/internal/relay/accounts.go
@@ -13,19 +13,19 @@
 	"github.com/stoatramp/stoatramp/internal/quota"
 )
 
-// KeyHash is the SHA-256 of a client's key. The key itself is not stored.
+// KeyHash is the SHA-256 hash of a caller's key, which identifies a client account. The key itself is not stored.
 type KeyHash [sha256.Size]byte
 
 // HashKey hashes a key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// short returns a prefix that identifies the key in logs and answers.
+// short returns the first digits of the hash, which identify the key in logs and answers.
 func (h KeyHash) short() string { return hex.EncodeToString(h[:4]) }
 
-// KeyState describes the key of a request.
+// KeyState says whether a request has a key.
 type KeyState uint8
 
-// The states. A BadKey cannot be valid: it is empty, too long, or one of several.
+// The states. BadKey means that what the request has cannot be a key: it is empty, too long, or more than one.
 const (
 	NoKey KeyState = iota
 	OneKey
@@ -35,20 +35,20 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority overrides that of a request's route, if HasPriority.
+	// Priority is used in place of the priority of a request's route, if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Regions are the regions that may serve its requests, combined with those of the route; empty if the account
-	// does not restrict them.
+	// Regions are the regions that may serve the account's requests; empty if the account does not restrict them. If
+	// the route names regions too, only regions that both name may serve a request.
 	Regions []string
-	// Limit is the limit over all boxes. If ByTokens is set it counts tokens, and DefaultTokens for a request that does
-	// not say how many it takes; otherwise it counts requests.
+	// Limit is the rate limit of the account over all boxes. It counts tokens if ByTokens is set, and requests
+	// otherwise. DefaultTokens is the count for a request whose headers do not give its tokens.
 	Limit         quota.Limit
 	ByTokens      bool
 	DefaultTokens int
 }
 
-// AccountLimits returns the limits of the accounts that have one, by name.
+// AccountLimits returns the limits of the accounts that have a limit, by the name of the account.
 func (c *Config) AccountLimits() map[string]quota.Limit {
 	out := map[string]quota.Limit{}
 	for _, a := range c.Accounts {
@@ -59,10 +59,10 @@
 	return out
 }
 
-// maxCountedTokens limits the tokens that are counted for a request's prompt and for its output.
+// maxCountedTokens limits the tokens that a request is charged for its prompt, and those for its output.
 const maxCountedTokens = 1 << 30
 
-// units returns what a request takes of its account's limit.
+// units returns what a request is charged on its account's limit: tokens or, without ByTokens, one request.
 func (a *Account) units(meta *RequestMeta) float64 {
 	if !a.ByTokens {
 		return 1
@@ -73,31 +73,32 @@
 	return float64(a.DefaultTokens)
 }
 
-// Quota enforces accounts' limits over all boxes.
+// Quota enforces the limits of client accounts over all boxes. Take charges units, and Refund gives them back.
 type Quota interface {
 	Take(ctx context.Context, account string, units float64) quota.Verdict
 	Refund(account string, units float64)
 }
 
-// KeyPolicy says how keys are checked while the box cannot receive configurations.
+// KeyPolicy says how keys are checked while the box receives no configurations.
 type KeyPolicy struct {
-	// Strict refuses requests that need a key once the configuration is older than Within, the time within which a
-	// revoked key must be refused. Otherwise the last configuration received is used.
+	// Within is the time within which a revoked key must be refused. If Strict is set, requests that need a key are
+	// refused once the configuration is older than Within. Otherwise keys are checked by the last configuration
+	// received.
 	Strict bool
 	Within time.Duration
 	// Age returns the time since the configuration was last confirmed.
 	Age func() time.Duration
 }
 
-// maxRevokedKeys limits the revoked keys that are remembered.
+// maxRevokedKeys limits the number of revoked keys that are remembered.
 const maxRevokedKeys = 4096
 
-// revoked are keys of earlier configurations that the one in force does not have. They are refused like any
-// unknown key, but with a reason of their own. The map is immutable once stored.
+// revoked are the keys of earlier configurations that the present one does not have. They are refused like any unknown
+// key, but with the reason RevokedKey. The map is immutable once stored.
 type revoked map[KeyHash]struct{}
 
-// after returns the revoked keys after a new configuration.
-func (r revoked) after(old, next *Config) revoked {
+// updated returns the revoked keys when the configuration next replaces old.
+func (r revoked) updated(old, next *Config) revoked {
 	out := make(revoked, len(r))
 	for k := range r {
 		if _, back := next.Accounts[k]; !back {
@@ -115,8 +116,9 @@
 	return out
 }
 
-// authenticate finds the account of the request. There is none if the configuration has no accounts. A public
-// route needs no key, and ignores an unknown one, because it would have served the request without a key.
+// authenticate finds the client account of the request by its key. There is no account if the configuration has none. A
+// public route needs no key, and ignores an unknown one, because it would serve the request without a key too. The
+// result is false if the request must be refused with the returned outcome.
 func (x *exchange) authenticate() (outcome.Outcome, bool) {
 	if x.cfg.Accounts == nil {
 		return outcome.Outcome{}, true
@@ -150,13 +152,15 @@
 }
 
 const (
-	// limitJitter keeps callers that exceed a limit from retrying at the same time.
+	// limitJitter is the largest share that is added to a retry delay, so that callers which exceed a limit do not
+	// retry at the same time.
 	limitJitter = 0.25
-	// minLimitRetryAfter is the shortest retry delay that they are given.
+	// minLimitRetryAfter is the shortest retry delay of a request that exceeds a limit.
 	minLimitRetryAfter = 50 * time.Millisecond
 )
 
-// chargeLimit takes the request's units from its account's limit, or refuses the request at once.
+// chargeLimit charges the request on its account's limit. If the limit is exceeded or cannot be checked, the result is
+// false, and the request must be refused at once with the returned outcome.
 func (x *exchange) chargeLimit(ctx context.Context) (outcome.Outcome, bool) {
 	a := x.account
 	if a == nil || a.Limit.Rate <= 0 || x.r.o.Limits == nil {
@@ -185,7 +189,8 @@
 	return o, false
 }
 
-// decidedBy says which box decided, and the share of the boxes that had lent it their parts.
+// decidedBy says which box decided on a charge. Each box has an equal part of a limit and lends it to that box; the
+// text includes the share of the boxes that had done so.
 func decidedBy(v quota.Verdict) string {
 	by := "this box"
 	if v.Owner != "" {
@@ -194,15 +199,15 @@
 	return fmt.Sprintf("decided by %s with the parts of %.0f%% of the boxes", by, 100*v.LentShare)
 }
 
-// refundLimit gives the request's units back if no request was built for an endpoint.
+// refundLimit gives the request's units back to the limit if no request was built for an endpoint.
 func (x *exchange) refundLimit() {
 	if x.units > 0 && !x.dispatched {
 		x.r.o.Limits.Refund(x.account.Name, x.units)
 	}
 }
 
-// rank returns the request's priority, 0 the highest.
-func (x *exchange) rank() int {
+// priority returns the request's priority, 0 the highest: that of its client account, or else that of its route.
+func (x *exchange) priority() int {
 	if x.account != nil && x.account.HasPriority {
 		return x.account.Priority
 	}
--- a/internal/relay/callerconn.go
+++ b/internal/relay/callerconn.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// stalledWriteTimeout is the deadline of a write that is continued after its deadline has passed, and starts anew
-// whenever the caller takes data. It is enough to send data that is ready, and short compared to callerWriteTimeout.
+// stalledWriteTimeout is the time that a caller has to take data after the deadline of a write has passed. The time
+// starts anew whenever the caller takes data. It is enough to send data that is ready, and short compared to
+// callerWriteTimeout.
 const stalledWriteTimeout = 250 * time.Millisecond
 
-// maxStallRetries limits the retries of one write whose deadline had passed before it was tried.
+// maxStallRetries limits how often one write is retried because its deadline had passed before it was tried.
 const maxStallRetries = 8
 
-// callerListener accepts callers' connections.
+// callerListener accepts callers' connections and makes them callerConns.
 type callerListener struct{ *net.TCPListener }
 
-// ListenCallers is net.Listen for callers on a TCP network. Writes to its connections succeed as long as the caller
-// reads, even if the process was not scheduled until after the deadline.
+// ListenCallers is net.Listen for the connections of callers. A write to such a connection succeeds as long as the
+// caller reads, even if the process was not scheduled until after the write's deadline.
 func ListenCallers(network, address string) (net.Listener, error) {
 	l, err := net.Listen(network, address)
 	if err != nil {
@@ -38,16 +39,17 @@
 	return &callerConn{TCPConn: c}, nil
 }
 
-// callerConn is a caller's connection.
+// callerConn is a caller's connection, whose writes survive a time in which the process was not scheduled.
 type callerConn struct {
 	*net.TCPConn
-	// undelivered is called when a write fails after the request's handler has returned: the server writes the end
-	// of an answer at that point, and does not report an error. It is nil while a handler runs.
+	// undelivered is called when a write fails after the request's handler has returned. The server writes the end of
+	// an answer only then, and reports no error. undelivered is nil while a handler runs.
 	undelivered atomic.Pointer[func(error)]
 }
 
-// Write fails only if the caller takes no data. Deadlines are set before a write, and the process may not have been
-// scheduled until after the deadline: the write then fails at once, although the caller reads.
+// Write fails only if the caller takes no data or closes the connection. The deadline of a write is set before the
+// write, and the process may not be scheduled between the two. If the deadline has passed meanwhile, the operating
+// system's write fails at once, although the caller reads; Write then retries it.
 func (c *callerConn) Write(b []byte) (int, error) {
 	n, err := writeRetryingStalls(c.TCPConn, b)
 	if err != nil {
@@ -64,6 +66,8 @@
 	SetWriteDeadline(t time.Time) error
 }
 
+// writeRetryingStalls writes b. It retries a write whose deadline has passed, as long as the caller takes data or the
+// deadline had passed before the write was tried.
 func writeRetryingStalls(c deadlineWriter, b []byte) (int, error) {
 	n, err := c.Write(b)
 	for stalls := 0; errors.Is(err, os.ErrDeadlineExceeded); {
@@ -87,7 +91,7 @@
 
 type callerConnKey struct{}
 
-// WithCaller is the ConnContext of a callers' server, which lets requests find their connection.
+// WithCaller is the ConnContext function of the HTTP server for callers. With it a request can find its connection.
 func WithCaller(ctx context.Context, c net.Conn) context.Context {
 	if c, ok := c.(*callerConn); ok {
 		return context.WithValue(ctx, callerConnKey{}, c)
@@ -95,19 +99,20 @@
 	return ctx
 }
 
-// watchUndelivered reports a failure to write the end of the answer. It is called as the handler returns.
+// watchUndelivered has a failure to write the end of the answer reported. It is called as the request's handler
+// returns.
 func (x *exchange) watchUndelivered() {
 	c, ok := x.req.Context().Value(callerConnKey{}).(*callerConn)
 	if !ok {
 		return
 	}
-	// The connection may stay idle for long, and must not keep the whole request in memory.
+	// The callback does not refer to x: the connection may stay idle for long, and must not keep the request in memory.
 	recorder, id, began := x.r.o.Recorder, x.meta.ID, time.Now()
 	report := func(err error) { recorder.Undelivered(id, time.Since(began), err) }
 	c.undelivered.Store(&report)
 }
 
-// unwatchUndelivered removes the callback of the previous request on the same connection.
+// unwatchUndelivered removes the callback that the previous request on the same connection has set.
 func (x *exchange) unwatchUndelivered() {
 	if c, ok := x.req.Context().Value(callerConnKey{}).(*callerConn); ok {
 		c.undelivered.Store(nil)
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -15,10 +15,10 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file has a flight's calls to engines. Each runs in a goroutine of its own, changes no state of the flight, and
-// reports events to its loop.
+// This file has a flight's calls to engines. Each call runs in a goroutine of its own, changes no state of the flight,
+// and reports events to the flight's loop.
 
-// send reports an event to the loop. If the request has ended, it frees the memory that the event names.
+// send reports an event to the loop. If the request has ended, send frees what the event names and returns false.
 func (f *flight) send(ev flightEvent) bool {
 	select {
 	case f.events <- ev:
@@ -29,7 +29,7 @@
 	}
 }
 
-// callPrefill reserves memory at the decode engine and then has the prompt prefilled.
+// callPrefill reserves memory at the decode engine, and then has the prefill engine prefill the prompt.
 func (f *flight) callPrefill(ctx context.Context, a decide.StartPrefill) {
 	x := f.x
 	reserved, ok := f.reserveKV(ctx, a.Attempt, a.Decode)
@@ -61,12 +61,12 @@
 	}
 }
 
-// prefillGracePeriod is how long the answer to a prefill that is no longer needed is still waited for: an engine that
-// has just finished it stores the result under a name that only its answer contains. A prefill that takes longer is
-// stopped by the close of its connection.
+// prefillGracePeriod is how much longer a prefill may take that is no longer needed. An engine that has just finished
+// the prefill has stored its result, and only the engine's answer has the name with which the result can be freed. A
+// prefill that takes longer is stopped by closing its connection.
 const prefillGracePeriod = 50 * time.Millisecond
 
-// withGracePeriod returns a context that ends a grace period after ctx.
+// withGracePeriod returns a context that ends d after ctx.
 func withGracePeriod(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	out, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
@@ -84,7 +84,8 @@
 	}
 }
 
-// callCombined reserves memory at a decode engine, and then has it prefill the prompt and generate the answer.
+// callCombined reserves memory at a decode engine, and then has that engine both prefill the prompt and generate the
+// answer.
 func (f *flight) callCombined(ctx context.Context, a decide.StartDecode, lastEvent string) {
 	reserved, ok := f.reserveKV(ctx, a.Attempt, a.Decode)
 	if !ok || !f.send(flightEvent{attempt: a.Attempt, reserved: &reserved}) {
@@ -93,8 +94,8 @@
 	f.callDecode(ctx, a, Run{Instance: a.Decode, Reservation: reserved.id, LastEvent: lastEvent})
 }
 
-// reserveKV reserves memory at a decode engine, so that no prompt is prefilled without memory for its result. If
-// there is none it reports that to the loop, and ok is false.
+// reserveKV reserves memory at a decode engine, so that no prompt is prefilled without memory for its result. If the
+// engine or its owner refuses, reserveKV reports that to the loop, and ok is false.
 func (f *flight) reserveKV(ctx context.Context, a decide.Attempt, engine string) (res reservation, ok bool) {
 	x := f.x
 	granted, owner := x.r.askRoom(ctx, engine, x)
@@ -120,9 +121,9 @@
 	return res, false
 }
 
-// requestReservation has an engine reserve memory for the request, and returns the reservation's name; empty if there
-// is none. Only the answer contains the name, so the call continues if the caller leaves, for as long as the
-// reservation may last.
+// requestReservation has an engine reserve memory for the request, and returns the name of the reservation; the name is
+// empty if there is none. Only the engine's answer contains the name. If the caller leaves, the call therefore
+// continues for as long as the reservation may last.
 func (r *Relay) requestReservation(ctx context.Context, engine string, x *exchange) string {
 	ttl := min(x.service.Engines.ReservationTTL, reservationTTL)
 	c := r.protocol.Reserve(x.meta.PromptTokens+min(x.outputReserve(), x.reservedOutput()), ttl)
@@ -138,6 +139,7 @@
 }
 
 func controlRequest(endpoint, address string, c Call) *h1.Request {
+	// controlRequest builds the HTTP request of a control call to an endpoint.
 	h := http.Header{}
 	if c.Body != nil {
 		h.Set("Content-Type", "application/json")
@@ -145,7 +147,7 @@
 	return &h1.Request{Address: address, Endpoint: endpoint, Method: c.Method, Target: c.Target, Host: address, Header: h, Body: c.Body}
 }
 
-// reasonOf classifies the error of a call that got no answer.
+// reasonOf returns why a call got no answer.
 func reasonOf(err error) outcome.Reason {
 	var e *h1.Error
 	switch {
@@ -157,31 +159,32 @@
 	return outcome.EndpointLost
 }
 
-// maxStreamWait limits the wait of a stream that may be late, because callers abandon a stream that does not begin.
+// maxStreamWait limits how long a stream may wait on the box if it would begin late, because callers abandon a stream
+// that does not begin.
 const maxStreamWait = 2500 * time.Millisecond
 
-// reservedOutputShare is the share of an answer's expected tokens for which memory is reserved. At any time the
-// streams of an engine are at all points of their answers, so an engine whose memory is reserved for whole answers
-// would be half empty.
+// reservedOutputShare is the share of an answer's expected tokens for which memory is reserved. At any time the streams
+// of an engine are at all points of their answers. An engine whose memory is reserved for complete answers would
+// therefore be half empty.
 //
 // docs/design/relay.md has the figures for this value together with reservationTTL.
 const reservedOutputShare = 0.9
 
-// headroomTokens are reserved in addition, because running streams grow while the new one is prefilled. A share of
-// the estimate instead would exclude the longest answers.
+// headroomTokens are reserved in addition to reservedOutputShare, because running streams grow while the new one is
+// prefilled. A larger share in place of the fixed number would exclude the longest answers.
 const headroomTokens = 1500
 
-// reservationTTL is how long memory is reserved. An engine counts a reservation beside the memory in use until it
-// expires, so it must last from before the prefill to the first event and not much longer: with 2 s, 40 of 90
-// thousand tokens of each engine were reserved for streams that had long begun.
+// reservationTTL is how long memory is reserved. An engine counts a reservation beside the memory in use until the
+// reservation expires. So it must last from before the prefill to the first event, and not much longer: with 2 s, 40 of
+// the 90 thousand tokens of each engine were reserved for streams that had long begun.
 const reservationTTL = time.Second
 
-// connectedReserveTokens are reserved beside the prompt if boxes know of each other's streams. All of them then predict
-// the growth of streams, and a larger reservation would withhold memory from others until it expires, however
-// early it is released.
+// connectedReserveTokens are the tokens reserved beside the prompt if the boxes know of each other's streams. All boxes
+// then predict the growth of streams, so a small reservation is enough. A larger one would withhold memory from other
+// streams until it expires, however early it is released.
 const connectedReserveTokens = 512
 
-// outputReserve returns the tokens to reserve beside the prompt.
+// outputReserve returns the number of tokens that an engine must have free beside the prompt.
 func (x *exchange) outputReserve() int {
 	if x.r.connected() {
 		return connectedReserveTokens
@@ -197,8 +200,8 @@
 	return x.meta.MaxOutput
 }
 
-// reservedOutput returns the tokens to reserve for the answer, but no more than fit into an empty engine beside the
-// prompt.
+// reservedOutput returns the number of tokens to reserve for the answer, and at most what an empty engine has beside
+// the prompt.
 func (x *exchange) reservedOutput() int {
 	n := x.meta.MaxOutput
 	if x.meta.ExpectedOutput > 0 {
@@ -207,7 +210,7 @@
 	return max(0, min(n, x.service.Engines.KVTokens-x.meta.PromptTokens))
 }
 
-// callDecode has the answer generated and reports its parts.
+// callDecode has a decode engine generate the answer, and reports the parts of the answer.
 func (f *flight) callDecode(ctx context.Context, a decide.StartDecode, run Run) {
 	x := f.x
 	sent := clock.Now()
@@ -235,7 +238,8 @@
 	}
 }
 
-// reportFailure reports an engine's own error answer to a request that was sent at a time.
+// reportFailure reports an engine's own error answer to a request that was sent at a time. The loop passes the answer
+// to the caller, unless the stream can be resumed at another engine.
 func (f *flight) reportFailure(a decide.Attempt, resp *http.Response, sent time.Time) {
 	body, err := h1.ReadLimited(resp, bufferedAnswerBytes)
 	switch {
@@ -249,9 +253,9 @@
 	f.send(flightEvent{attempt: a, errorAnswer: &errorAnswer{resp: resp, body: body}})
 }
 
-// pump reads a stream to its end and reports whole events only: an engine may stop in the middle of an event, and
-// the stream is then resumed elsewhere after the last whole one. An empty answer is the end of a stream that is
-// resumed after an event, since the caller may have received the last event before.
+// reportStream reads a stream to its end, and reports only complete events: an engine may stop in the middle of an
+// event, and the stream is then resumed elsewhere after the last complete event. If the stream was resumed after an
+// event, an empty answer is a complete one, since the caller may have received the last event before.
 func (f *flight) reportStream(a decide.Attempt, resp *http.Response, sent time.Time, resumed bool) {
 	var s splitter
 	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
@@ -278,7 +282,7 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF) && begun:
-			_ = resp.Body.Close() // The connection may be reused.
+			_ = resp.Body.Close() // So that the connection can be used for other requests.
 			f.send(flightEvent{attempt: a, ended: true, unframed: unframed})
 			return
 		case err != nil:
--- a/internal/relay/changelog.go
+++ b/internal/relay/changelog.go
@@ -11,10 +11,10 @@
 
 // This file logs changes in the box's view of the endpoints.
 
-// maxChangeLines limits the log lines for one change of the list; further changes are only counted.
+// maxChangeLines limits the log lines for one change of the list of endpoints; further changes are only counted.
 const maxChangeLines = 24
 
-// logStateChange logs that an endpoint is set aside, unresponsive, or usable again.
+// logStateChange logs that an endpoint gets no requests for a while, does not answer, or is usable again.
 func (r *Relay) logStateChange(b decide.StateChange) {
 	fields := []zap.Field{zap.String("endpoint", b.Engine)}
 	if b.State == decide.SetAside {
@@ -23,7 +23,7 @@
 	r.o.Recorder.Log.StateChange("endpoint "+b.State.String(), fields...)
 }
 
-// logEstimates logs the learned rates of a pool's engines and requests.
+// logEstimates logs the learned speed of a pool's engines, and the learned lengths of its prompts and answers.
 func (r *Relay) logEstimates(l decide.Estimates) {
 	r.o.Recorder.Log.StateChange("learned engine rates", zap.String("service", l.Pool),
 		zap.Float64("read_tokens_per_s", l.PrefillRate), zap.Duration("read_delay", l.PrefillDelay), zap.Duration("begin", l.FirstEventDelay),
@@ -31,7 +31,8 @@
 		zap.Float64("prompt_tokens", l.Prompt), zap.Float64("answer_tokens", l.Output))
 }
 
-// logList logs the differences between two lists of endpoints. The indexes map IDs to positions in them.
+// logList logs the differences between two lists of endpoints. The indexes map the IDs of endpoints to their positions
+// in the lists. old is nil for the first list.
 func (r *Relay) logList(old []Endpoint, oldIndex map[string]int, list []Endpoint, index map[string]int) {
 	lines := 0
 	logLine := func(what string, e Endpoint) {
--- a/internal/relay/cold.go
+++ b/internal/relay/cold.go
@@ -10,32 +10,33 @@
 	"github.com/stoatramp/stoatramp/internal/pacing"
 )
 
-// This file tracks cold endpoints: those that have just started and can handle only a few requests a second yet.
-// An endpoint's entry says how much longer it is cold. An endpoint whose hall was evacuated is treated as cold
-// when the evacuation ends, for as long as after a start.
+// This file keeps track of cold endpoints. An endpoint is cold when it has just started and can handle only a few
+// requests a second yet. Its entry in the list of endpoints says how much longer it is cold. When the evacuation of a
+// hall ends, its endpoints are treated as cold for as long as after a start.
 
 // coldEndpoint is an endpoint that is or was cold.
 type coldEndpoint struct {
-	until time.Time
-	// pace is this box's request interval, computed from the list of boxes of that version.
+	endsAt time.Time // When the cold period ends.
+	// pace is the shortest interval between requests of this box to the endpoint. It was computed from version of the
+	// list of boxes, once paced is set.
 	pace    pacing.ColdPace
 	version int64
 	paced   bool
-	logged  bool
+	logged  bool // The log has a line about the endpoint.
 }
 
-// updateCold applies the cold endpoints of a new list. The lock is held.
+// updateCold applies the cold periods of a new list of endpoints, and forgets those that have ended. The lock is held.
 func (f *fleet) updateCold(now time.Time) {
 	for _, e := range f.endpoints {
 		f.markCold(e.ID, now, e.ColdLeft)
 	}
 	maps.DeleteFunc(f.cold, func(id string, c *coldEndpoint) bool {
 		_, listed := f.index[id]
-		return !listed || now.After(c.until)
+		return !listed || now.After(c.endsAt)
 	})
 }
 
-// endEvacuation records that a hall is no longer evacuated: its endpoints may be cold. The lock is held.
+// endEvacuation records that a hall is no longer evacuated: its endpoints may be cold from now on. The lock is held.
 func (f *fleet) endEvacuation(now time.Time, hall string) {
 	for _, e := range f.endpoints {
 		if e.Hall == hall {
@@ -44,7 +45,7 @@
 	}
 }
 
-// markCold records that an endpoint may be cold for a duration. The lock is held.
+// markCold records that an endpoint may be cold for a duration from now. The lock is held.
 func (f *fleet) markCold(id string, now time.Time, d time.Duration) {
 	if d <= 0 {
 		return
@@ -55,12 +56,12 @@
 	if f.cold[id] == nil {
 		f.cold[id] = &coldEndpoint{}
 	}
-	if until := now.Add(d); until.After(f.cold[id].until) {
-		f.cold[id].until = until
+	if until := now.Add(d); until.After(f.cold[id].endsAt) {
+		f.cold[id].endsAt = until
 	}
 }
 
-// service returns a service of the configuration, or an empty one if there is none. The lock is held.
+// service returns a service of the configuration, or an empty one if the service is not configured. The lock is held.
 func (f *fleet) service(name string) *Service {
 	if f.cfg != nil && f.cfg.Services[name] != nil {
 		return f.cfg.Services[name]
@@ -68,31 +69,32 @@
 	return &Service{}
 }
 
-// setCold sets the end of the cold period and this box's pace for each cold endpoint. The lock is held.
+// setCold sets, for each cold endpoint, when it stops being cold and how often this box may send to it until then. The
+// lock is held.
 func (r *Relay) setCold(now time.Time, known []knownEndpoint) {
 	lines := 0
 	for i := range known {
 		e := &known[i]
 		c := r.fleet.cold[e.ID]
 		rate := r.fleet.service(e.Service).ColdRate
-		if c == nil || rate <= 0 || !now.Before(c.until) {
+		if c == nil || rate <= 0 || !now.Before(c.endsAt) {
 			continue
 		}
 		boxes, version := r.boxes(e.Region)
 		if !c.paced || c.version != version {
 			c.pace, c.version, c.paced = pacing.NewColdPace(r.o.Box, boxes, e.ID, rate, r.o.ColdLimits), version, true
 		}
-		e.Cold = pacing.Cold{Until: c.until, Pace: c.pace}
+		e.Cold = pacing.Cold{Until: c.endsAt, Pace: c.pace}
 		if !c.logged && lines < maxChangeLines {
 			lines++
-			r.o.Recorder.Log.StateChange("endpoint is cold", zap.String("endpoint", e.ID), zap.Duration("for", c.until.Sub(now)), zap.Duration("pace", time.Duration(c.pace)))
+			r.o.Recorder.Log.StateChange("endpoint is cold", zap.String("endpoint", e.ID), zap.Duration("for", c.endsAt.Sub(now)), zap.Duration("pace", time.Duration(c.pace)))
 		}
 		c.logged = true
 	}
 }
 
-// boxes lists the boxes that may send requests to endpoints of a region. Without connection to others, that is
-// this box alone.
+// boxes lists the boxes that may send requests to endpoints of a region, with a version that changes with the list. A
+// box without peers lists itself alone.
 func (r *Relay) boxes(region string) (names []string, version int64) {
 	if r.o.Peers == nil {
 		return []string{r.o.Box}, 0
@@ -100,13 +102,13 @@
 	return r.o.Peers.Boxes(region)
 }
 
-// refreshColdPaces recomputes the paces if any endpoint is cold: the list of boxes may have changed.
+// refreshColdPaces recomputes the paces of cold endpoints, if there are any: the list of boxes may have changed.
 func (r *Relay) refreshColdPaces() {
 	now := clock.Now()
 	r.fleet.mu.Lock()
 	anyCold := false
 	for _, c := range r.fleet.cold {
-		anyCold = anyCold || now.Before(c.until)
+		anyCold = anyCold || now.Before(c.endsAt)
 	}
 	r.fleet.mu.Unlock()
 	if anyCold {
@@ -114,7 +116,7 @@
 	}
 }
 
-// cold reports whether the endpoint is cold and may get no more requests from this box at the moment.
+// cold reports whether the endpoint is cold and must not get another request from this box now.
 func (e *plainEndpoint) cold(now time.Time) bool {
 	return e.Cold.Blocks(now, e.lastChosen)
 }
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -16,18 +16,19 @@
 	"github.com/stoatramp/stoatramp/internal/quarantine"
 )
 
-// This file finds out whether an endpoint crashed while it ran requests. A lost connection alone is no proof: a
-// healthy endpoint may drop one. So the endpoint is probed a few times until a probe decides: its port refuses
-// connections, another start of it has taken its place, or it still answers.
+// This file finds out whether an endpoint crashed while it ran requests. A lost connection alone is no proof, because a
+// healthy endpoint may close one. So the endpoint is probed a few times, until a probe shows a crash (its port refuses
+// connections, or another process has taken its place) or a sign of life (it answers).
 
-// connLoss describes a call whose connection the endpoint closed. The zero value means that it did not.
+// connLoss describes a call whose connection the endpoint closed. The zero value means that the endpoint did not close
+// the connection.
 type connLoss struct {
-	sent time.Time
+	sent time.Time // When the call was sent.
 	// unanswered is set if not even the header of an answer was received.
 	unanswered bool
 }
 
-// connLossFrom classifies the error of a call that was sent at a time and got no answer.
+// connLossFrom returns the connLoss of a call that got no answer, from the call's error and the time it was sent.
 func connLossFrom(err error, sent time.Time) connLoss {
 	if reasonOf(err) != outcome.EndpointLost {
 		return connLoss{}
@@ -35,25 +36,25 @@
 	return connLoss{sent, true}
 }
 
-// immediateLossLimit is the time within which a call fails whose endpoint had crashed before the call was sent: one
-// round trip on a connection whose close was not received yet, or through a proxy in front of the endpoint.
+// immediateLossLimit is the time within which a call fails if its endpoint had crashed before the call was sent. That
+// takes one round trip, on a connection whose close was not received yet or through a proxy in front of the endpoint.
 const immediateLossLimit = 10 * time.Millisecond
 
 // lostCall is a request whose call to an endpoint lost its connection.
 type lostCall struct {
-	request     string // Its id.
-	caller      string
+	request     string // The id of the request.
+	caller      string // The client account or host of the caller.
 	fingerprint quarantine.Fingerprint
-	runTime     time.Duration // From sending until the connection was lost.
-	sent        time.Time
-	doubtful    bool // The endpoint may have crashed before the call was sent.
+	runTime     time.Duration // From the sending of the call until the connection was lost.
+	sent        time.Time     // When the call was sent.
+	doubtful    bool          // The endpoint may have crashed before the call was sent.
 }
 
-// probeTimes are the times of the probes, counted from the first lost call. The first is late enough for other
-// calls to be lost by the same crash; the last is after the endpoint's entry has expired from the list.
+// probeTimes are the times of the probes after the first lost call. The first probe is late enough for other calls to
+// be lost by the same crash. The last probe is after the endpoint's entry has expired from the list of endpoints.
 var probeTimes = []time.Duration{30 * time.Millisecond, 300 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second}
 
-// maxLostCalls bounds the lost calls recorded for one endpoint; it is more than run there at once.
+// maxLostCalls bounds the lost calls recorded for one endpoint. It is more than the calls that run there at once.
 const maxLostCalls = 256
 
 // crashWatch records endpoints that are being probed after lost calls. The zero value is ready to use.
@@ -63,7 +64,7 @@
 	lostCalls map[string][]lostCall
 }
 
-// add records a lost call, and reports whether the caller must start probing the endpoint.
+// add records a lost call. first is set if the endpoint is not being probed yet; the caller of add must then probe it.
 func (w *crashWatch) add(endpoint string, c lostCall) (first bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,7 +78,7 @@
 	return !watched
 }
 
-// close stops watching an endpoint and returns its lost calls.
+// close ends the probing of an endpoint, and returns the calls that it lost.
 func (w *crashWatch) close(endpoint string) []lostCall {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,27 +87,28 @@
 	return calls
 }
 
-// recordConnLoss records the end of the request's call to an endpoint, if the endpoint closed the connection.
-func (x *exchange) recordConnLoss(endpoint string, b connLoss) {
+// recordConnLoss records that an endpoint closed the connection of the request's call, if it did, and starts to probe
+// the endpoint.
+func (x *exchange) recordConnLoss(endpoint string, loss connLoss) {
 	e, known := x.r.fleet.findCalled(endpoint)
-	if !known || e.Leaving || b.sent.IsZero() {
+	if !known || e.Leaving || loss.sent.IsZero() {
 		return // An endpoint that leaves stops as planned.
 	}
-	c := lostCall{request: x.meta.ID, caller: x.caller(), fingerprint: x.fingerprint(), runTime: clock.Since(b.sent), sent: b.sent}
-	c.doubtful = b.unanswered && c.runTime < immediateLossLimit
+	c := lostCall{request: x.meta.ID, caller: x.caller(), fingerprint: x.fingerprint(), runTime: clock.Since(loss.sent), sent: loss.sent}
+	c.doubtful = loss.unanswered && c.runTime < immediateLossLimit
 	if x.r.crashWatch.add(endpoint, c) {
 		go x.r.watchCrash(e)
 	}
 }
 
-// watchCrash probes an endpoint until it is known whether it crashed.
+// watchCrash probes an endpoint until it is known whether the endpoint crashed, or until the last probe.
 func (r *Relay) watchCrash(e Endpoint) {
 	began := clock.Now()
 	for n, at := range probeTimes {
 		time.Sleep(clock.Until(began.Add(at)))
-		switch found, by := r.probe(e, n == len(probeTimes)-1); found {
+		switch found, evidence := r.probe(e, n == len(probeTimes)-1); found {
 		case crashed:
-			r.reportCrash(e, by, r.crashWatch.close(e.ID))
+			r.reportCrash(e, evidence, r.crashWatch.close(e.ID))
 			return
 		case alive:
 			r.crashWatch.close(e.ID)
@@ -126,9 +128,9 @@
 	alive
 )
 
-// probe finds out whether an endpoint has crashed, and says how that is known. An endpoint that is no engine has no
-// load to report, so an open port counts as a sign of life at the last probe only.
-func (r *Relay) probe(e Endpoint, last bool) (f probeResult, by string) {
+// probe finds out whether an endpoint has crashed. evidence says how a crash is known. Plain endpoints cannot be asked
+// for a load, so only the last probe takes their open port for a sign of life.
+func (r *Relay) probe(e Endpoint, last bool) (f probeResult, evidence string) {
 	now, listed := r.fleet.endpoint(e.ID)
 	if listed && now.Leaving {
 		return alive, ""
@@ -150,7 +152,7 @@
 	return undecided, ""
 }
 
-// checkReachable polls an engine for its load, or opens a connection to any other endpoint.
+// checkReachable asks an engine for its load, or opens a connection to an endpoint of a plain service.
 func (r *Relay) checkReachable(e Endpoint) error {
 	if !r.isEngine(e.Service) {
 		c, err := net.DialTimeout("tcp", e.Address, loadTimeout)
@@ -181,19 +183,19 @@
 	return c != nil && c.Services[service] != nil && c.Services[service].Engines != nil
 }
 
-// reportCrash records that an endpoint crashed while it ran requests.
-func (r *Relay) reportCrash(e Endpoint, by string, calls []lostCall) {
+// reportCrash records and logs that an endpoint crashed while it ran the requests of calls.
+func (r *Relay) reportCrash(e Endpoint, evidence string, calls []lostCall) {
 	r.m.SuspectedCrashes.Add(len(calls))
 	for _, c := range calls {
 		r.o.Crashes.RecordCrash(quarantine.Crash{Request: c.fingerprint, Endpoint: e.ID, Caller: quarantine.Tag(c.caller), RunTime: c.runTime, SentAt: c.sent, Doubtful: c.doubtful, Try: quarantine.Tag(c.request)})
 		r.o.Recorder.Log.StateChange("endpoint crashed under a request", zap.String("endpoint", e.ID), zap.String("service", e.Service),
 			zap.String("id", c.request), zap.Stringer("fingerprint", c.fingerprint), zap.String("caller", quarantine.Tag(c.caller)),
-			zap.Duration("ran", c.runTime), zap.Bool("doubt", c.doubtful), zap.String("known_by", by))
+			zap.Duration("ran", c.runTime), zap.Bool("doubt", c.doubtful), zap.String("known_by", evidence))
 	}
 }
 
-// caller identifies the caller, to bound what is stored for each: the client account or, without one, the host of
-// the connection.
+// caller identifies the caller by its client account or, without an account, by the host of its connection. What the
+// box stores is bounded for each caller.
 func (x *exchange) caller() string {
 	if x.account != nil {
 		return x.account.Name
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -65,8 +65,8 @@
 // knownRole is an engine's role as listed and as reported by the engine.
 type knownRole struct {
 	// listed is the role that the list shows since a time.
-	listed decide.EngineRole
-	since  time.Time
+	listed   decide.EngineRole
+	listedAt time.Time
 	// reported is the role that the engine reported later; valid only with hasReport.
 	reported  decide.EngineRole
 	hasReport bool
@@ -162,7 +162,7 @@
 	}
 	for _, e := range f.endpoints {
 		if k, known := f.roles[e.ID]; !known || k.listed != e.Role {
-			f.roles[e.ID] = knownRole{listed: e.Role, since: now}
+			f.roles[e.ID] = knownRole{listed: e.Role, listedAt: now}
 		}
 	}
 	if len(f.roles) == len(f.endpoints) {
@@ -185,7 +185,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k, known := f.roles[id]
-	if !known || at.Before(k.since) {
+	if !known || at.Before(k.listedAt) {
 		return false
 	}
 	before := k.role()
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -23,9 +23,9 @@
 
 // migration is a migration in progress.
 type migration struct {
-	attempt decide.Attempt // Of the call that resumes the stream.
-	from    string
-	to      string
+	attempt      decide.Attempt // Of the call that resumes the stream.
+	sourceEngine string         // The engine that runs the stream.
+	targetEngine string         // The engine that is to resume the stream.
 	// source is where the run's memory is, once the engine has stopped it; empty before.
 	source Source
 	// copied is set if the other engine has the memory too.
@@ -90,7 +90,7 @@
 		f.abortMigration(a.Attempt, o.Reason.Sentence())
 		return
 	}
-	f.migration = &migration{attempt: a.Attempt, from: a.From, to: a.To}
+	f.migration = &migration{attempt: a.Attempt, sourceEngine: a.From, targetEngine: a.To}
 	f.calls.Go(func() { f.callMigrate(a) })
 }
 
@@ -256,16 +256,16 @@
 // mustResumeAtSource reports whether the target of the migration cannot resume the stream.
 func (f *flight) mustResumeAtSource() bool {
 	_, quarantined := f.x.quarantined()
-	return quarantined || !f.migration.copied || f.x.r.notices.IsPaused(f.migration.to, clock.Now())
+	return quarantined || !f.migration.copied || f.x.r.notices.IsPaused(f.migration.targetEngine, clock.Now())
 }
 
 // callResume calls the target or, if atSource, the first engine, which keeps the memory, after a delay.
 func (f *flight) callResume(atSource bool, delay time.Duration) {
 	m := f.migration
 	m.atSource = atSource
-	engine := m.to
+	engine := m.targetEngine
 	if atSource {
-		engine = m.from
+		engine = m.sourceEngine
 	}
 	f.decodeAttempt, f.decodeEngine = m.attempt, engine
 	var ctx context.Context
@@ -287,13 +287,13 @@
 func (f *flight) handleResumeFailure(e callError) {
 	m := f.migration
 	if !m.atSource && (!e.ran || e.connLoss.unanswered) {
-		f.recordFailure(m.attempt, m.to, &e)
+		f.recordFailure(m.attempt, m.targetEngine, &e)
 		f.stopDecode()
 		f.callResume(true, 0)
 		return
 	}
 	if m.atSource && e.reason == outcome.EndpointRefused && f.canReoffer() {
-		f.recordFailure(m.attempt, m.from, &e)
+		f.recordFailure(m.attempt, m.sourceEngine, &e)
 		f.stopDecode()
 		f.callResume(f.mustResumeAtSource(), reofferDelay)
 		return
@@ -315,7 +315,7 @@
 	if !f.mustResumeAtSource() {
 		return f.x.r.disp.TakeRetries(2) // One for the target, and one for the first engine after it.
 	}
-	if f.x.r.notices.IsPaused(m.from, now) {
+	if f.x.r.notices.IsPaused(m.sourceEngine, now) {
 		if m.pauseRetries++; m.pauseRetries > maxPauseRetries {
 			return false
 		}
@@ -330,11 +330,11 @@
 	f.x.r.disp.Step(decide.Migrated{ID: f.id, Attempt: m.attempt, Aborted: m.atSource})
 	if m.atSource {
 		f.x.r.m.AbortedMigrations.Inc()
-		f.x.trace.Step(record.Step{Kind: record.StepMigrationAborted, Text: m.to + " did not take it"})
+		f.x.trace.Step(record.Step{Kind: record.StepMigrationAborted, Text: m.targetEngine + " did not take it"})
 		return
 	}
 	f.x.r.m.CompletedMigrations.Inc()
-	f.publishStreamEnded(m.from)
+	f.publishStreamEnded(m.sourceEngine)
 	f.x.trace.Step(record.Step{Kind: record.StepMigrated, Decode: f.decodeEngine})
 }
 
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -100,7 +100,7 @@
 		return outcome.Outcome{}, true
 	}
 	v := x.r.disp.Admit(p, &decide.Request{
-		Pool: x.service.Name, Region: x.region, Route: x.route.Name, Kind: x.route.Kind.String(), Rank: x.rank(),
+		Pool: x.service.Name, Region: x.region, Route: x.route.Name, Kind: x.route.Kind.String(), Rank: x.priority(),
 		FirstToken: x.route.LatencyTarget, Repeatable: x.route.repeats(), CallerRetry: x.route.isReturning(x.meta.Timeout),
 	}, decide.View{Waiting: x.r.plain.running(x.service.Name)})
 	if s, ok := record.NewStep(decide.PolicyVerdict{Verdict: v}); ok && v != (decide.Verdict{}) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,72 +31,73 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Options configure a Relay.
+// Options configure a Relay. Box, Hall and Region are the name of this box, its data hall and its region.
 type Options struct {
 	Box    string
 	Hall   string
 	Region string
-	// Halls maps data halls to regions. A hall that is not listed is in the box's own region.
+	// Halls maps data halls to regions. A hall that is not listed is in this box's region.
 	Halls    map[string]string
 	Protocol Protocol
 	Core     *decide.Core
-	// Recorder records the traces of all requests.
+	// Recorder records what happens to each request.
 	Recorder *account.Recorder
-	// Peers publishes messages to the other boxes and receives theirs; nil if there are none.
+	// Peers exchanges messages with the other boxes; nil if there are no others.
 	Peers Peers
 	// ListFreshness has the age of the list of endpoints; nil if it is not known.
 	ListFreshness *follow.Freshness
-	// Limits enforces the rate limits of client accounts; nil if there are none.
+	// Limits enforces the rate limits of client accounts; nil if there are no limits.
 	Limits Quota
-	// Crashes has the requests during which endpoints crashed; nil for a list of this box alone.
+	// Crashes lists the requests during which endpoints crashed, as reported by all boxes. If it is nil, New makes a
+	// list for this box alone.
 	Crashes *quarantine.List
 	Keys    KeyPolicy
-	// Memory limits the bytes reserved for requests; 0 means no limit.
+	// Memory limits the bytes of this box's memory that are reserved for requests; 0 means no limit.
 	Memory int64
-	// ColdLimits limits the requests of all boxes to an endpoint that has just started.
+	// ColdLimits limits the requests of all boxes to a cold endpoint, which has just started.
 	ColdLimits pacing.ColdLimits
 }
 
 // Peers is the connection to the other boxes.
 type Peers interface {
 	Publish(msg overlay.Message)
-	// Connected reports whether messages from other boxes are received. RegionSize returns the number of boxes that
-	// exchange messages, including this one.
+	// Connected reports whether this box receives messages from other boxes.
 	Connected() bool
+	// RegionSize returns the number of boxes in the region that exchange messages, including this one.
 	RegionSize() int
 	// Boxes lists all boxes of a region, with a version that changes with the list.
 	Boxes(region string) (names []string, version int64)
-	// AskRoom asks the owner of an engine in a hall whether it has room for a stream. By is the box that granted or
-	// denied it, and empty if none was asked or none answered.
+	// AskRoom asks the owner of an engine in a hall whether the engine has room for a stream. by is the other box that
+	// granted or denied the room. If this box owns the engine or the owner did not answer, by is empty.
 	AskRoom(ctx context.Context, hall string, r overlay.Room) (granted bool, by string)
 	// SetInterest selects the engines that this box needs messages about; nil for all.
 	SetInterest(engines []string)
 }
 
-// Relay serves callers. Use New to create one.
+// Relay serves callers' requests. Use New to create one.
 type Relay struct {
 	o        Options
 	protocol Protocol
 	disp     *dispatch.Dispatcher
-	// callerPool carries callers' requests and controlPool the relay's own calls, so that a late answer on a connection
-	// of the first can never be taken for an answer to one of the second.
+	// callerPool has the connections for callers' requests, and controlPool those for control calls. On a shared
+	// connection, a late answer to a caller's request could be taken for the answer to a control call.
 	callerPool  *h1.Pool
 	controlPool *h1.Pool
 	plain       *plainTable
-	// notices has the limits, pauses and departures that endpoints announce in their answers.
+	// notices has the request rate limits, pauses and departures that endpoints announce in their answers.
 	notices *notice.Table
 	m       *telemetry.Metrics
 	cfg     atomic.Pointer[Config]
-	// cfgAppliedAt is when cfg was applied, and lastStall the last time during which the process was not scheduled;
-	// both nil before the first.
+	// cfgAppliedAt is the time at which cfg was applied; nil before. lastStall is the last time during which the
+	// process was not scheduled; nil if there was none.
 	cfgAppliedAt atomic.Pointer[time.Time]
 	lastStall    atomic.Pointer[stall]
-	// policies are the operators' programs; nil before any were loaded.
+	// policies are the operators' programs that decide on requests; nil before any were loaded.
 	policies atomic.Pointer[policies]
-	// revoked are the revoked keys; never nil.
+	// revoked are the keys that were removed from the configuration; never nil.
 	revoked atomic.Pointer[revoked]
 	fleet   fleet
-	// listed is set once a list of endpoints was applied.
+	// listed is set once the first list of endpoints was applied.
 	listed        atomic.Bool
 	remoteWaiting remoteWaiting
 	streams       streamRates
@@ -105,12 +106,13 @@
 	memory memory
 
 	gate gate.Gate
-	// stopDeadline is the end of a planned stop, in Unix nanoseconds; 0 before one begins. From then on answers ask
-	// callers to close their connections.
+	// stopDeadline is the time at which a planned stop ends, in Unix nanoseconds; 0 before one begins. Once it is set,
+	// answers ask callers to close their connections.
 	stopDeadline atomic.Int64
-	// lastTimingPublish is when a stream's timing was last published, in Unix nanoseconds.
+	// lastTimingPublish is when this box last published the timing of a stream, in Unix nanoseconds.
 	lastTimingPublish atomic.Int64
-	cleanups          sync.WaitGroup
+	// cleanups are the calls that free engine memory after their requests have ended.
+	cleanups sync.WaitGroup
 }
 
 // New returns a relay that refuses all requests until it has a configuration.
@@ -146,7 +148,7 @@
 func (r *Relay) SetConfig(c *Config) {
 	r.fleet.setConfig(c)
 	r.applyFleet()
-	next := r.revoked.Load().after(r.cfg.Load(), c)
+	next := r.revoked.Load().updated(r.cfg.Load(), c)
 	r.revoked.Store(&next)
 	r.cfg.Store(c)
 	now := clock.Now()
@@ -154,16 +156,17 @@
 	r.m.KeepRoutes(c.has)
 }
 
-// stall is a time during which the process was not scheduled.
+// stall is a period during which the process was not scheduled.
 type stall struct {
 	duration time.Duration
 	endedAt  time.Time
 }
 
-// RecordStall records that the process was not scheduled for a time that has just ended.
+// RecordStall records that the process was not scheduled for a period that has just ended.
 func (r *Relay) RecordStall(d time.Duration) { r.lastStall.Store(&stall{d, clock.Now()}) }
 
-// Conditions returns the present conditions of the box.
+// Conditions returns the conditions of the box that the records of requests contain: the age of its configuration, and
+// the last period during which the process was not scheduled.
 func (r *Relay) Conditions() account.Conditions {
 	var c account.Conditions
 	if since := r.cfgAppliedAt.Load(); since != nil {
@@ -175,13 +178,13 @@
 	return c
 }
 
-// Policies finds the policy for the requests of a route, and the name of the rule that selected it; nil if there
-// is none.
+// Policies finds the policy that applies to a request, by the kind of its route, its service and its priority. For also
+// returns the name of the rule that selected the policy. The policy is nil if none applies.
 type Policies interface {
 	For(kind, service string, priority int) (decide.Policy, string)
 }
 
-// policies are the policies of one version.
+// policies are the policies of the operators, with the version that was loaded.
 type policies struct {
 	Policies
 	version int64
@@ -204,7 +207,7 @@
 	if all == nil {
 		return nil
 	}
-	p, rule := all.For(x.route.Kind.String(), x.service.Name, x.rank())
+	p, rule := all.For(x.route.Kind.String(), x.service.Name, x.priority())
 	if p != nil {
 		x.rec.Rule, x.rec.PolicyVersion = rule, all.version
 	}
@@ -219,7 +222,7 @@
 	return 0
 }
 
-// NotifyBusy returns a channel that receives an entry when the first request starts while none runs.
+// NotifyBusy returns a channel that receives a value when a request starts while no other runs.
 func (r *Relay) NotifyBusy() <-chan struct{} { return r.gate.NotifyBusy() }
 
 // Tick lets the decision core's timeouts fire.
@@ -228,21 +231,22 @@
 // Running returns the number of requests in progress.
 func (r *Relay) Running() int64 { return r.gate.Running() }
 
-// RunningIDs lists the requests that run at engines.
+// RunningIDs lists the ids of the requests that run at engines.
 func (r *Relay) RunningIDs() []string { return r.disp.Running() }
 
-// Engines lists the engines as the decision core sees them.
+// Engines returns what the decision core knows of the engines.
 func (r *Relay) Engines() ([]decide.EngineState, int, []string) { return r.disp.Engines() }
 
-// Ready reports whether the box may be sent requests.
+// Ready reports whether the box may get requests: it has a configuration and a list of endpoints, and is not stopping.
 func (r *Relay) Ready() bool {
 	return r.stopDeadline.Load() == 0 && r.gate.Open() && r.cfg.Load() != nil && r.listed.Load()
 }
 
-// BeginStop begins a planned stop with a deadline: the box is no longer ready, but still serves what it can finish.
+// BeginStop begins a planned stop with a deadline. The box is not ready from then on, but still serves the requests
+// that it can finish by the deadline.
 func (r *Relay) BeginStop(deadline time.Time) { r.stopDeadline.Store(deadline.UnixNano()) }
 
-// outlastsStop reports whether a stream that starts now would be cut off by a planned stop.
+// outlastsStop reports whether a stream that starts now would probably still run at the deadline of a planned stop.
 func (r *Relay) outlastsStop(now time.Time, service string, tokens int) bool {
 	deadline := r.stopDeadline.Load()
 	if deadline == 0 {
@@ -252,10 +256,10 @@
 	return now.Add(time.Duration(estimate*float64(time.Second))).UnixNano() > deadline
 }
 
-// lengthGuessMargin is a safety factor for output length estimates that are too low.
+// lengthGuessMargin is a safety factor for estimates of a stream's time, since its estimated length may be too low.
 const lengthGuessMargin = 1.5
 
-// Drain refuses new requests and waits until the running ones are done.
+// Drain refuses new requests, and waits until the running ones and their cleanups are done.
 func (r *Relay) Drain(ctx context.Context) error { return r.gate.Drain(ctx, r.cleanups.Wait) }
 
 func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -274,8 +278,9 @@
 	x.watchUndelivered()
 }
 
-// recoverPanic closes the account of a request whose handler panicked for any reason but to close its connection. The
-// server alone would close the connection without logging the request's id.
+// recoverPanic completes the record of a request whose handler panicked, unless the panic is the customary one that
+// closes the connection (http.ErrAbortHandler). Without recoverPanic, the server would close the connection and log no
+// request id.
 func (x *exchange) recoverPanic() {
 	v := recover()
 	switch {
@@ -294,10 +299,11 @@
 	panic(http.ErrAbortHandler)
 }
 
-// drainRetryAfter is short, so that a caller refused by a stopping box soon tries another.
+// drainRetryAfter is the retry delay of a refusal by a box that is stopping or not ready yet. It is short, so that the
+// caller soon tries another box.
 const drainRetryAfter = 100 * time.Millisecond
 
-// exchange is a request and its answer while they are processed.
+// exchange is a caller's request with its answer, while they are processed.
 type exchange struct {
 	r       *Relay
 	w       http.ResponseWriter
@@ -307,25 +313,26 @@
 	service *Service
 	// region is the region that serves the request.
 	region string
-	// account is the client account, nil if there is none, and units what the request took of its limit.
+	// account is the client account of the request; nil if it has none. units is what the request was charged on the
+	// account's limit.
 	account *Account
 	units   float64
-	// dispatched is set once a request was built for an endpoint, and ran once an endpoint may have run the request
-	// and failed.
+	// dispatched is set once a request was built for an endpoint. ran is set once an endpoint that may have run the
+	// request has failed.
 	dispatched, ran bool
 	meta            RequestMeta
 	body            []byte
-	// reservedBytes is the memory reserved for the request, and writeDeadline the time by which the caller must have
-	// taken the current write.
+	// reservedBytes is the memory of this box that is reserved for the request.
 	reservedBytes int64
+	// writeDeadline is the time by which the caller must have taken the data that is being written.
 	writeDeadline time.Time
-	// trace is the account of the request, and rec its record.
+	// trace collects what happens to the request, and rec is the record that it fills in.
 	trace   *account.Trace
 	rec     *record.Record
 	arrived time.Time
-	// deadline is the earlier of the caller's and the route's.
+	// deadline is the caller's deadline or the route's, whichever is earlier.
 	deadline time.Time
-	// cachedFingerprint is nil until the fingerprint is needed.
+	// cachedFingerprint is the request's fingerprint; nil until it is needed.
 	cachedFingerprint *quarantine.Fingerprint
 	// begun is set once any byte of an answer was written; after that the request can no longer be refused.
 	begun bool
@@ -341,7 +348,7 @@
 	return x
 }
 
-// serve runs the stages that all requests share, and then those of streams or plain calls.
+// serve runs the stages that all requests have in common, and then those of streams or of plain calls.
 func (x *exchange) serve() {
 	if !x.reserveMemory(requestOverheadBytes) {
 		x.refuse(boxFullOutcome())
@@ -400,7 +407,7 @@
 	x.servePlain(ctx)
 }
 
-// setDeadline sets the earlier of the caller's and the route's deadline.
+// setDeadline sets the deadline of the request: the caller's or the route's, whichever is earlier.
 func (x *exchange) setDeadline() {
 	x.deadline = x.arrived.Add(x.route.Timeout)
 	if x.meta.Timeout > 0 && x.meta.Timeout < x.route.Timeout {
@@ -426,13 +433,13 @@
 	case err != nil:
 		return outcome.Refuse(outcome.BadRequest, "the body ended early"), false
 	}
-	// The read deadline must not stop the detection of a caller that closes its connection.
+	// A read deadline that passes later would be taken for a caller that has closed its connection.
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
 	x.body = b
 	return outcome.Outcome{}, true
 }
 
-// readBody reads the body into memory that is reserved before it is allocated.
+// readBody reads the body. The memory for it is reserved before it is allocated.
 func (x *exchange) readBody() ([]byte, error) {
 	n, limit := x.req.ContentLength, x.cfg.Limits.MaxBody
 	src := http.MaxBytesReader(x.w, x.req.Body, limit)
@@ -450,7 +457,7 @@
 // timeLeft returns the time until the deadline, and at least a millisecond.
 func (x *exchange) timeLeft() time.Duration { return max(time.Millisecond, clock.Until(x.deadline)) }
 
-// request builds the request for one endpoint from the caller's.
+// request builds the request that is sent to one endpoint from the caller's request.
 func (x *exchange) request(address string, run Run) *h1.Request {
 	h := make(http.Header, len(x.req.Header)+4)
 	h1.CopyHeaders(h, x.req.Header)
@@ -473,29 +480,30 @@
 	return q
 }
 
-// refusal is the body of an error answer of the relay itself.
+// refusal is the body of an error answer that the relay itself makes.
 type refusal struct {
 	Reason  outcome.Reason `json:"reason"`
 	Run     outcome.Kind   `json:"run"`
 	Message string         `json:"message"`
 }
 
-// statusOf uses statuses that imply "not run" only for requests that did not run.
+// statusOf returns the HTTP status of an error answer. Callers take some statuses to mean that the request did not run;
+// these are used only for requests that did not run.
 func statusOf(o outcome.Outcome) int {
 	s := o.Reason.Status()
 	switch {
 	case o.Kind != outcome.NotRun && s != http.StatusGatewayTimeout:
 		return http.StatusBadGateway
 	case o.Reason == outcome.CrashesEndpoints:
-		return s // It was not run, as the body says, but must not be retried.
+		return s // The request did not run, as the body says, but must not be retried.
 	case o.Kind == outcome.NotRun && (s >= http.StatusInternalServerError || o.Reason == outcome.PromptTooLong):
-		// An engine whose memory is too small for a prompt refuses it in the same way as a full one.
+		// An engine that is too small for a prompt refuses it in the same way as an engine that is full.
 		return http.StatusServiceUnavailable
 	}
 	return s
 }
 
-// refuse answers with an error and ends the request.
+// refuse ends the request with an error answer, unless an answer has begun.
 func (x *exchange) refuse(o outcome.Outcome) {
 	if o.Kind == outcome.NotRun && x.service != nil && isCapacityRefusal(o.Reason) {
 		x.r.growSubset(clock.Now(), x.service.Name)
@@ -513,7 +521,8 @@
 	x.trace.Close(o)
 }
 
-// cutOff aborts an answer that cannot be completed, so that the caller does not take it for complete.
+// cutOff closes the caller's connection in the middle of an answer that cannot be completed. The caller would otherwise
+// take the answer for complete.
 func (x *exchange) cutOff(o outcome.Outcome) {
 	if x.begun {
 		_ = http.NewResponseController(x.w).Flush() // The caller gets the bytes received so far.
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -220,7 +220,7 @@
 		RefuseEarly:    true,
 		MaxWait:        maxStreamWait,
 		Kind:           x.route.Kind.String(),
-		Rank:           x.rank(),
+		Rank:           x.priority(),
 		Policy:         x.policy(),
 	}
 }
