--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -11,16 +11,17 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// plainTable selects endpoints of plain services.
+// plainTable has the endpoints of plain services, and selects one for each call.
 type plainTable struct {
 	hall string
-	// onStateChange is called when an endpoint is set aside or becomes usable again; it must not block.
+	// onStateChange is called when an endpoint is set aside or becomes usable again; it must not block. An endpoint
+	// that is set aside gets no calls for a while, unless there is no other.
 	onStateChange func(decide.StateChange)
-	// notices are the limits and pauses that endpoints ask for in their answers.
+	// notices has the request rate limits and pauses that endpoints ask for in their answers.
 	notices decide.Notices
 
 	mu sync.Mutex
-	// setBudget sets this box's retry budget for a service.
+	// setBudget sets this box's part of the retry budget of a service.
 	setBudget func(*retry.Budget)
 	services  map[string]*plainService
 }
@@ -30,21 +31,21 @@
 	byID   map[string]*plainEndpoint
 }
 
-// plainEndpoint is an endpoint with the results of this box's own calls to it.
+// plainEndpoint is an endpoint of the table, with the results of this box's own calls to it.
 type plainEndpoint struct {
 	knownEndpoint
-	inFlight      int // Calls in progress.
-	lastChosen    time.Time
-	failures      int // In a row.
+	inFlight      int       // The calls in progress.
+	lastChosen    time.Time // When the endpoint was last selected.
+	failures      int       // The failures since the last success.
 	setAsideUntil time.Time
-	// meanLatency is a moving average of its answer times, in seconds.
+	// meanLatency is a moving average of the endpoint's answer times, in seconds.
 	meanLatency float64
-	// failureRate is a moving average of the share of calls that failed, as of failureRateAt.
+	// failureRate is a moving average of the share of calls that failed, at the time failureRateAt.
 	failureRate   float64
 	failureRateAt time.Time
 }
 
-// currentFailureRate returns the failure rate, which decays without calls so that the endpoint is tried again.
+// currentFailureRate returns the failure rate. The rate decays without calls, so that the endpoint is tried again.
 func (e *plainEndpoint) currentFailureRate(now time.Time) float64 {
 	return e.failureRate * math.Exp2(-float64(now.Sub(e.failureRateAt))/float64(failureHalfLife))
 }
@@ -53,22 +54,23 @@
 	// An endpoint is set aside for setAsideDuration after setAsideFailures failures in a row.
 	setAsideFailures = 2
 	setAsideDuration = 1500 * time.Millisecond
-	// latencyWeight is the weight of a new answer in the average, and initialLatency the average, in seconds, of an
-	// endpoint that has not answered yet.
+	// latencyWeight is the weight of a new answer time in meanLatency. initialLatency is the meanLatency, in seconds,
+	// of an endpoint that has not answered yet.
 	latencyWeight  = 0.2
 	initialLatency = 0.050
-	// failureWeight is the weight of a call in the failure rate, and failureCostFactor the weight of that rate in an
-	// endpoint's cost: a call that may run only once is lost if it fails, where one that waits is only late. With
-	// both, an endpoint that drops a third of its calls is avoided until the others take three times as long.
+	// failureWeight is the weight of a call in the failure rate, failureHalfLife the time in which the rate halves
+	// without calls, and failureCostFactor the weight of the rate in an endpoint's cost. The weight is high because a
+	// call that may run only once is lost if it fails, and is only late if it waits. With these values, an endpoint
+	// that drops a third of its calls is avoided until the others take three times as long.
 	failureWeight     = 0.1
 	failureHalfLife   = 3 * time.Second
 	failureCostFactor = 6
-	// otherHallCostFactor is how much cheaper an endpoint in another hall must be to be selected.
+	// otherHallCostFactor is the factor by which the cost of an endpoint in another hall is raised.
 	otherHallCostFactor = 1.15
 )
 
-// Retry budget of a table that has not received the platform's limits: a share of the requests plus some free
-// calls in each window.
+// Retry budget of a service before the box has received the platform's limits: in each window a box may make a few free
+// retries, and in addition retries for a share of its requests.
 const (
 	defaultRetryShare  = 0.15
 	defaultFreeRetries = 2
@@ -83,7 +85,7 @@
 	return &plainTable{hall: hall, onStateChange: func(decide.StateChange) {}, notices: noNotices{}, setBudget: setDefaultBudget, services: map[string]*plainService{}}
 }
 
-// noNotices has no limits and no pauses.
+// noNotices stands for endpoints that asked for no limits and no pauses.
 type noNotices struct{}
 
 func (noNotices) ThrottledFor(string, time.Time) time.Duration { return 0 }
@@ -100,7 +102,7 @@
 	return s
 }
 
-// set replaces the list and keeps the statistics of endpoints that remain.
+// set replaces the list of endpoints, and keeps the statistics of endpoints that remain in it.
 func (t *plainTable) set(list []knownEndpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,17 +123,18 @@
 	}
 }
 
-// chosenEndpoint is an endpoint with a call of this box in progress. It is a copy of the entry at the time of
-// selection, because the list may change meanwhile.
+// chosenEndpoint is an endpoint that was selected for a call of this box. It is a copy of the endpoint's entry at the
+// time of selection, because the list may change during the call.
 type chosenEndpoint struct {
 	Endpoint
 	snapshot record.EndpointState
-	// entry is the table's own entry, which is accessed by the table only.
+	// entry is the entry in the table, which only methods of the table access.
 	entry *plainEndpoint
 }
 
-// accepts reports whether an endpoint may get a call from this box that was not tried there yet. If it is
-// throttled, wait is the time until it may; otherwise wait is 0. t.mu is held.
+// accepts reports whether an endpoint of a region may get a call from this box now; tried are the endpoints that the
+// request was sent to before. If the endpoint asked for fewer requests, wait is the time until it may get one;
+// otherwise wait is 0. t.mu is held.
 func (t *plainTable) accepts(e *plainEndpoint, region string, now time.Time, tried map[string]bool) (ok bool, wait time.Duration) {
 	if !e.open() || e.Region != region || e.cold(now) {
 		return false, 0
@@ -140,7 +143,7 @@
 	return wait == 0 && !tried[e.ID], wait
 }
 
-// hasUntried reports whether a call could be retried at an endpoint that was not tried yet.
+// hasUntried reports whether a call could be retried now at an endpoint that is not in tried.
 func (t *plainTable) hasUntried(service, region string, now time.Time, tried map[string]bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,9 +155,9 @@
 	return false
 }
 
-// choose selects the endpoint with the lowest expected latency among those of a region that are not leaving and
-// were not tried yet; nil if there is none. Endpoints that are set aside are a last resort. If there is none, wait
-// is the time until the first throttled endpoint accepts a call, or 0 if none is throttled.
+// choose selects the endpoint with the lowest expected latency among those of a region that accept a call and are not
+// in tried. Endpoints that are set aside are a last resort. If no endpoint accepts a call, choose returns nil and the
+// time until the first endpoint will that asked for fewer requests, or 0 if there is none.
 func (t *plainTable) choose(service, region string, now time.Time, tried map[string]bool) (_ *chosenEndpoint, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,7 +196,7 @@
 	return out, 0
 }
 
-// done records the end of a call: how long its answer took, or that it failed.
+// done records the end of a call: its answer time or, if ok is false, that it failed.
 func (t *plainTable) done(c *chosenEndpoint, now time.Time, took time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,7 +220,7 @@
 	}
 }
 
-// setRetryBudgets sets this box's retry budget for each service, including those added later.
+// setRetryBudgets sets this box's part of the retry budget of each service, also of services that are added later.
 func (t *plainTable) setRetryBudgets(setBudget func(*retry.Budget)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -245,7 +248,7 @@
 	return &t.service(service).budget
 }
 
-// release returns an endpoint that was selected and not called.
+// release records that an endpoint which choose selected is not called after all.
 func (t *plainTable) release(c *chosenEndpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -10,64 +10,69 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// Assumed rates of engines, which the platform does not publish. Reports and answers correct them.
+// Assumed speeds of engines, since the platform does not publish them. Load reports and answers correct them.
 const (
-	assumedSelfPrefillShare = 0.4      // Share of assumedPrefillRate at which a decode engine processes a prompt between tokens.
+	// assumedSelfPrefillShare is the speed at which a decode engine prefills a prompt while it generates other answers,
+	// as a share of assumedPrefillRate.
+	assumedSelfPrefillShare = 0.4
 	assumedPrefillRate      = 50_000.0 // Prompt tokens a second.
 	assumedStep             = 600 * time.Microsecond
 	assumedStepPerStream    = 20 * time.Microsecond
 )
 
-// fleet is the box's view of the endpoints: the services of the configuration together with the platform's list.
+// fleet is what the box knows of the endpoints, from its configuration, the platform's list and the engines' reports.
 type fleet struct {
 	// box, hall, region and halls are settings of the box: its name and location, and the region of each hall.
 	box    string
 	hall   string
 	region string
 	halls  map[string]string
-	// hasAnnouncedLeaving reports whether an endpoint has announced in an answer that it leaves.
+	// hasAnnouncedLeaving reports whether an endpoint has announced in an answer that it is about to stop.
 	hasAnnouncedLeaving func(id string) bool
 
 	mu        sync.Mutex
 	cfg       *Config
 	endpoints []Endpoint
-	// index is the position of each endpoint in endpoints, by ID.
+	// index maps the ID of each endpoint to its position in endpoints.
 	index map[string]int
-	// removed are endpoints that were recently removed from the list, by ID.
+	// removed are the endpoints that were recently removed from the list, by ID.
 	removed map[string]removedEndpoint
-	// roles are the listed and reported roles of engines, by ID.
+	// roles are the engines' roles in the list and in their own reports, by ID.
 	roles map[string]knownRole
-	// refusalPolledAt is when an engine was last polled because it refused a request.
+	// refusalPolledAt is when an engine was last polled because it had refused a request, by ID.
 	refusalPolledAt map[string]time.Time
-	// selected are the endpoints that the last selection chose, by ID. retainedAt is when an endpoint was last in the
-	// selection before, or when this box was last asked for room there as its owner. omitted counts the endpoints that
-	// accept requests and are not in the box's subset, and subsetScales has the services whose subset is enlarged.
-	selected     map[string]bool
-	retainedAt   map[string]time.Time
-	omitted      map[group]int
+	// selected are the IDs of the endpoints that the last computation of the subset selected.
+	selected map[string]bool
+	// retainedAt is when an endpoint was last in use, by ID: when a new subset replaced one that had selected the
+	// endpoint, or when another box last asked this box, as the owner of the engine, for room.
+	retainedAt map[string]time.Time
+	// omitted is the number of endpoints of each group that accept requests and are not in the box's subset.
+	omitted map[group]int
+	// subsetScales has the services whose subset is enlarged.
 	subsetScales map[string]subsetScale
-	// engineList are the engines that this box may send requests to, as of applyFleet. It is immutable once made.
+	// engineList are the engines that this box may send requests to, as computed by applyFleet. It is immutable once
+	// made.
 	engineList []Endpoint
 	// engineCounts is the number of engines in engineList for each service.
 	engineCounts map[string]int
-	// servingRegions are the regions in which a service has an endpoint that accepts requests.
+	// servingRegions are the regions in which a service has an endpoint that accepts requests, by service.
 	servingRegions map[string]map[string]bool
-	// cold are the endpoints that have just started, by ID.
+	// cold are the endpoints that are cold because they have just started, by ID.
 	cold map[string]*coldEndpoint
-	// evacuated are the data halls whose endpoints get no new requests.
+	// evacuated are the data halls that are evacuated: their endpoints get no new requests.
 	evacuated map[string]bool
-	// lastReports has the time of the last poll or load of each engine, from this box or another.
+	// lastReports is when each engine was last polled or its load last received, from this box or another, by ID.
 	lastReports map[string]lastReport
-	// rounds counts the polling rounds of each service.
+	// rounds counts the rounds of load polls of each service (pollSchedule).
 	rounds map[string]roundCount
 }
 
-// knownRole is an engine's role as listed and as reported by the engine.
+// knownRole is an engine's role in the list and in its own reports.
 type knownRole struct {
-	// listed is the role that the list shows since a time.
+	// listed is the role that the list has shown since listedAt.
 	listed   decide.EngineRole
 	listedAt time.Time
-	// reported is the role that the engine reported later; valid only with hasReport.
+	// reported is the role that the engine reported after listedAt; valid only if hasReport is set.
 	reported  decide.EngineRole
 	hasReport bool
 }
@@ -95,7 +100,7 @@
 	r.listed.Store(true)
 }
 
-// replaceEndpoints replaces the endpoints. f.mu is held.
+// replaceEndpoints replaces the list of endpoints. f.mu is held.
 func (f *fleet) replaceEndpoints(list []Endpoint) {
 	before := f.endpoints
 	f.endpoints = list
@@ -154,8 +159,8 @@
 	return slices.ContainsFunc(f.endpoints, func(e Endpoint) bool { return e.Address == address })
 }
 
-// applyListedRoles applies the roles of a new list. A role that the list has changed takes precedence over an
-// earlier report of the engine. f.mu is held.
+// applyListedRoles applies the roles of a new list. If the list shows another role of an engine than before, that role
+// replaces what the engine has reported. f.mu is held.
 func (f *fleet) applyListedRoles(now time.Time) {
 	if f.roles == nil {
 		f.roles = make(map[string]knownRole, len(f.endpoints))
@@ -174,13 +179,13 @@
 	maps.DeleteFunc(f.lastReports, func(id string, _ lastReport) bool { return isRemoved(id) })
 }
 
-// applyReportedRole applies the role that an engine reported, as of a time, and reports whether that changes the
-// role in use. A box that cannot reach the store has an old list, and would otherwise send an engine requests that
-// it refuses for many seconds.
+// applyReportedRole applies the role that an engine reported at a time, and returns whether the role in use changes. A
+// box that cannot reach the platform's store has an old list. Without the report it would, for many seconds, send an
+// engine requests that the engine refuses.
 //
-// Example: the list showed the decode role at 10.0 s, and the engine was ordered to prefill at 12.0. A report of
-// 13.1 with the prefill role is used until the list shows a change; a report of 9.5 with the prefill role is older
-// than the list and is ignored.
+// Example: the list has shown the decode role since 10.0 s, and the engine was ordered to prefill at 12.0 s. If the
+// engine reports the prefill role at 13.1 s, the report is used until the list shows a change. If it reported the
+// prefill role at 9.5 s, the report is older than what the list shows and is ignored.
 func (f *fleet) applyReportedRole(id string, role decide.EngineRole, at time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,6 +199,7 @@
 	return before != role
 }
 
+// role returns the role in use.
 func (k knownRole) role() decide.EngineRole {
 	if k.hasReport {
 		return k.reported
@@ -201,7 +207,7 @@
 	return k.listed
 }
 
-// applyFleet passes the box's view of the fleet to the decision core.
+// applyFleet recomputes the box's subset of the endpoints, and passes it to the decision core and the plain table.
 func (r *Relay) applyFleet() {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
@@ -225,8 +231,8 @@
 	r.controlPool.Prune(now, keep)
 }
 
-// subscribeEngines asks the other boxes for messages about the engines in this box's subset, or about all engines
-// if no engine that accepts requests is omitted from it. The lock is held.
+// subscribeEngines asks the other boxes for messages about the engines in this box's subset. If the subset has all
+// engines that accept requests, it asks for messages about all engines. The lock is held.
 func (r *Relay) subscribeEngines(engines []decide.Engine) {
 	if r.o.Peers == nil {
 		return
@@ -246,7 +252,8 @@
 	r.o.Peers.SetInterest(names)
 }
 
-// describeEngines returns the decision core's view of the engines and their addresses, and updates engineList.
+// describeEngines converts the engines in the subset for the decision core, returns them with their addresses, and
+// updates engineList. The lock is held.
 func (f *fleet) describeEngines(known []knownEndpoint) (decide.Fleet, map[string]string) {
 	f.engineList, f.engineCounts = nil, map[string]int{}
 	var out decide.Fleet
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -11,10 +11,10 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// This file has the messages that boxes exchange about engines. Any of them may be late or lost; that costs
-// goodput only.
+// This file has the messages that boxes exchange about engines. A message may be late or lost; that costs goodput only
+// (the share of requests served in time).
 
-// publish sends a message to the other boxes, as of now if it has no time.
+// publish sends a message to the other boxes. A message without a time gets the present time.
 func (r *Relay) publish(msg overlay.Message) {
 	if r.o.Peers == nil {
 		return
@@ -28,8 +28,8 @@
 // connected reports whether this box receives messages from other boxes.
 func (r *Relay) connected() bool { return r.o.Peers != nil && r.o.Peers.Connected() }
 
-// publishPlaced publishes that engines have a stream of this box. It is published once a reservation is made,
-// because until then the engines are only asked for one.
+// publishPlaced publishes that this box has placed a stream on engines. It is called once memory is reserved there:
+// before that, the engines have only been asked for a reservation.
 func (f *flight) publishPlaced(a decide.Attempt) {
 	p := &overlay.StreamPlaced{DecodeEngine: f.reservation.engine, KVTokens: f.x.meta.PromptTokens + f.x.expected(), PromptTokens: f.x.meta.PromptTokens, OutputReserve: f.x.outputReserve(), Owner: f.reservation.owner, Service: f.x.service.Name}
 	if a == f.prefillAttempt {
@@ -39,7 +39,7 @@
 	f.x.r.publish(overlay.Message{Placed: p})
 }
 
-// publishStreamEnded publishes that an engine no longer runs the stream.
+// publishStreamEnded publishes that an engine no longer runs the stream, unless the stream has not begun.
 func (f *flight) publishStreamEnded(engine string) {
 	if f.firstEventAt.IsZero() || engine == "" {
 		return
@@ -62,7 +62,7 @@
 		if p.PrefillEngine != "" {
 			r.disp.Step(decide.RemotePlacement{Engine: p.PrefillEngine, At: msg.At, Tokens: p.PrefillTokens})
 		}
-		if p.Owner != r.o.Box { // Otherwise this box has already counted it.
+		if p.Owner != r.o.Box { // Otherwise this box owns the engine and counted the stream when it granted the room.
 			r.disp.Step(decide.RemotePlacement{Engine: p.DecodeEngine, At: msg.At, KV: p.KVTokens, PromptTokens: p.PromptTokens, OutputReserve: p.OutputReserve})
 		}
 	case msg.Ended != nil:
@@ -78,8 +78,8 @@
 	}
 }
 
-// countRemoteStreams counts streams of other boxes. Services that are not configured are ignored, so that memory
-// use is bounded by the configuration whatever other boxes send.
+// countRemoteStreams counts streams that other boxes have placed. Services that are not configured are ignored, so that
+// memory use is bounded by the configuration, whatever other boxes send.
 func (r *Relay) countRemoteStreams(service string, n int) {
 	if c := r.cfg.Load(); c != nil && c.Services[service] != nil {
 		r.streams.add(clock.Now(), service, n)
@@ -105,7 +105,7 @@
 	r.applyLoad(l.Engine, at, &load)
 }
 
-// publishLoad publishes an engine's load; l is nil if the engine did not answer.
+// publishLoad publishes the load of an engine at a time; l is nil if the engine did not answer.
 func (r *Relay) publishLoad(engine string, at time.Time, l *Load) {
 	out := &overlay.Load{Engine: engine, Unresponsive: l == nil}
 	if l != nil {
@@ -118,11 +118,12 @@
 	r.publish(overlay.Message{At: at, Load: out})
 }
 
-// timingPublishInterval is the interval between stream timings published by all boxes together. Ten a second show
-// the engines' speed within some seconds, and cost little in a fleet of any size.
+// timingPublishInterval is the average interval between the timings that all boxes together publish. Ten timings a
+// second show the engines' speed within some seconds, and cost little in a fleet of any size.
 const timingPublishInterval = 100 * time.Millisecond
 
-// publishTiming publishes a stream's timing at the engines of a pool, unless this box published one recently.
+// publishTiming publishes how long the engines of a pool took for a stream, unless this box published a timing
+// recently.
 func (r *Relay) publishTiming(pool string, t decide.Timing) {
 	if !r.connected() {
 		return
@@ -137,10 +138,10 @@
 	}})
 }
 
-// Estimates returns the learned rates of the engines and requests of each pool.
+// Estimates returns, for each pool, the learned speed of its engines and lengths of its prompts and answers.
 func (r *Relay) Estimates() []decide.Estimates { return r.disp.Estimates() }
 
-// SetEstimates applies learned rates that boxes stored before this one started.
+// SetEstimates applies estimates that boxes learned and stored before this box started.
 func (r *Relay) SetEstimates(l decide.Estimates) { r.disp.Step(decide.SetEstimates{Estimates: l}) }
 
 func (r *Relay) receiveTiming(t *overlay.StreamTiming) {
@@ -150,8 +151,8 @@
 }
 
 const (
-	// waitingPublishInterval is the interval at which the number of waiting streams is published if it changed; zero is
-	// published only once. waitingTTL is how long a received number is valid.
+	// waitingPublishInterval is the interval at which the number of streams that wait on this box is published if it
+	// has changed. waitingTTL is how long a received number is valid; a number above zero is published again before.
 	waitingPublishInterval = 100 * time.Millisecond
 	waitingTTL             = time.Second
 )
@@ -163,6 +164,7 @@
 }
 
 type waitingCount struct {
+	// waitingCount is the number of streams that wait on a box, at a time.
 	n  int
 	at time.Time
 }
@@ -223,11 +225,11 @@
 	}
 }
 
-// waitingPublisher has the numbers of waiting streams that were last passed on.
+// waitingPublisher has the numbers of waiting streams that were passed on last.
 type waitingPublisher struct {
-	published   int // This box's, to the other boxes.
+	published   int // The number of this box, as sent to the other boxes.
 	publishedAt time.Time
-	remote      int // Other boxes', to the decision core.
+	remote      int // The number of all other boxes, as passed to the decision core.
 }
 
 func (s *waitingPublisher) step(r *Relay, now time.Time) {
--- a/internal/relay/halls.go
+++ b/internal/relay/halls.go
@@ -13,27 +13,27 @@
 	"github.com/stoatramp/stoatramp/internal/pacing"
 )
 
-// This file handles data halls and regions. Each hall is in a region, and a request is served in its own region:
-// that of the box that receives it, or those that its route and its account name. The operator may evacuate a
-// hall: until the evacuation ends its endpoints get no new requests, and finish the ones they have.
+// This file handles data halls and regions. Each hall is in a region. A request is served in the region of the box that
+// receives it, unless its route or its client account names regions. The operator may evacuate a hall: until the
+// evacuation ends, the hall's endpoints get no new requests, and finish those that they have.
 
-// knownEndpoint is an endpoint with what the box knows beside its entry in the list.
+// knownEndpoint is an entry of the list of endpoints, with what the box knows beyond the list.
 type knownEndpoint struct {
 	Endpoint
 	Region string
-	// Evacuated is set if its hall is evacuated.
+	// Evacuated is set if the endpoint's hall is evacuated.
 	Evacuated bool
-	Cold      pacing.Cold
+	Cold      pacing.Cold // Until when the endpoint is cold, and how often this box may send to it until then.
 }
 
-// open reports whether the endpoint may get new requests.
+// open reports whether the endpoint may get new requests: neither is it leaving nor is its hall evacuated.
 func (e *knownEndpoint) open() bool { return !e.Leaving && !e.Evacuated }
 
-// describe returns an endpoint of the list with what the box knows of it. The lock is held.
+// describe returns endpoint i of the list, with what the box knows beyond the list. The lock is held.
 func (f *fleet) describe(i int) knownEndpoint {
 	e := knownEndpoint{Endpoint: f.endpoints[i]}
 	e.Role = f.roles[e.ID].role()
-	// The list may be older than the answer.
+	// The list may be older than the endpoint's announcement that it is leaving.
 	e.Leaving = e.Leaving || f.hasAnnouncedLeaving != nil && f.hasAnnouncedLeaving(e.ID)
 	e.Region, e.Evacuated = f.regionOf(e.Hall), f.evacuated[e.Hall]
 	return e
@@ -84,11 +84,13 @@
 	return f.region
 }
 
-// inServedRegion reports whether this box may send requests to an endpoint: its region is the box's own, or named
-// by a route or an account. Boxes exchange messages on endpoints only within their region, so that all boxes which
-// send requests to an endpoint know its load. When boxes also used the engines of three regions as if these were
-// near, two thirds of an engine's load were unknown to the other boxes: on a day without engine failures 15% of the
-// streams were displaced, and 1,012 thousand prompt tokens were prefilled twice. The lock is held.
+// inServedRegion reports whether this box may send requests to an endpoint. It may if the endpoint's region is the
+// box's own, or is in named, the regions that routes or accounts name. The lock is held.
+//
+// Boxes exchange messages about endpoints only within their region, so that all boxes which send requests to an
+// endpoint know its load. When boxes also used the engines of three regions as if these were near, two thirds of an
+// engine's load were unknown to the other boxes. On a day without engine failures, 15% of the streams were displaced
+// then, and 1,012 thousand prompt tokens were prefilled twice.
 func (f *fleet) inServedRegion(e *knownEndpoint, named map[string]bool) bool {
 	return e.Region == f.region || named[e.Region]
 }
@@ -124,9 +126,10 @@
 	return out
 }
 
-// regionFor selects the region for a request of a service among those allowed: the box's own if it has an endpoint
-// that accepts requests, and otherwise another that has. Boxes choose differently among several. If no region has
-// one, it is the box's own if that is allowed; otherwise ok is false.
+// regionFor selects the region that serves a request of a service, among the allowed regions. The box's own region is
+// preferred if it has an endpoint that accepts requests. Otherwise another region with such an endpoint is selected;
+// different boxes select different ones. If no region has such an endpoint, the box's own is selected if it is allowed,
+// and otherwise ok is false.
 func (f *fleet) regionFor(service string, allowed []string) (region string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -146,8 +149,8 @@
 	return region, ok
 }
 
-// allowedRegions returns the regions that may serve the request. If its route and its account both name regions,
-// these are the regions that both name.
+// allowedRegions returns the regions that may serve the request. If both its route and its client account name regions,
+// only the regions that both name may.
 func (x *exchange) allowedRegions() []string {
 	allowed := x.route.Regions
 	if x.account != nil && len(x.account.Regions) > 0 {
@@ -162,8 +165,8 @@
 	return allowed
 }
 
-// findRegion selects the request's region. If only other regions may serve it and none can, it is refused at once,
-// because waiting would not help.
+// findRegion selects the region that serves the request. If the box's own region may not serve it and no other can, the
+// request is refused at once, because waiting would not help.
 func (x *exchange) findRegion() (outcome.Outcome, bool) {
 	allowed := x.allowedRegions()
 	region, ok := x.r.fleet.regionFor(x.service.Name, allowed)
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -12,18 +12,18 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file bounds the memory that a box uses for slow callers and endpoints. The platform kills a process that
-// exceeds its memory limit, together with all requests that it serves. A box close to the limit therefore refuses
-// new requests and reads answers only as fast as callers take them.
+// This file bounds the memory that a box uses for requests whose callers or endpoints are slow. The platform kills a
+// process that exceeds its memory limit, together with all requests that it serves. A box close to the limit therefore
+// refuses new requests, and reads answers only as fast as callers take them.
 
-// memory counts the bytes reserved for requests.
+// memory counts the bytes of this box's memory that are reserved for requests.
 type memory struct {
 	limit int64 // 0 means no limit.
 	used  atomic.Int64
 }
 
-// reserve adds n bytes if that stays within the limit. The counter never exceeds the limit, not even for a moment,
-// because other requests would then be refused for memory that is not in use.
+// reserve adds n bytes if the sum stays within the limit, and reports whether it did. The counter never exceeds the
+// limit, not even for a moment, because other requests would then be refused for memory that is not in use.
 func (m *memory) reserve(n int64) bool {
 	for {
 		used := m.used.Load()
@@ -42,29 +42,30 @@
 func (m *memory) underPressure() bool { return m.limit > 0 && m.used.Load() > m.limit/4*3 }
 
 const (
-	// requestOverheadBytes is the estimated memory of a request beside its body and its answer: four 4 KiB buffers for
-	// two connections, as much for goroutine stacks, headers and the record.
+	// requestOverheadBytes is the estimated memory of a request beside its body and its answer: 16 KiB for four buffers
+	// of 4 KiB on its two connections, and as much for goroutine stacks, headers and the record.
 	requestOverheadBytes = 32 << 10
-	// bodyChunkBytes is the step in which memory is reserved for a body of unknown length.
+	// bodyChunkBytes is the number of bytes that are reserved at a time for a body of unknown length.
 	bodyChunkBytes = 64 << 10
-	// callerWriteTimeout is how long a write to a caller may make no progress. Endpoints abort an answer that
-	// is not read for some seconds, which would look like a failure of the endpoint. pressureWriteTimeout replaces it
-	// while the box is short of memory.
+	// callerWriteTimeout is how long a write to a caller may make no progress. Endpoints abort an answer that is not
+	// read for some seconds, which would look like a failure of the endpoint. pressureWriteTimeout takes the place of
+	// callerWriteTimeout while the box is short of memory.
 	callerWriteTimeout   = 4 * time.Second
 	pressureWriteTimeout = time.Second
-	// readAheadPoll is the interval between attempts to reserve memory for reading an answer ahead of its caller.
+	// readAheadPoll is the interval between attempts to reserve memory for a part of an answer before the caller has
+	// taken the part before it.
 	readAheadPoll = 20 * time.Millisecond
 )
 
-// ReservedBytes returns the bytes reserved for requests.
+// ReservedBytes returns the bytes of this box's memory that are reserved for requests.
 func (r *Relay) ReservedBytes() int64 { return r.memory.used.Load() }
 
-// boxFullOutcome refuses a request because this box is out of memory; another box may have room.
+// boxFullOutcome refuses a request because this box is out of memory; another box may have memory left.
 func boxFullOutcome() outcome.Outcome {
 	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.BoxFull, RetryAfter: jitter(retryAfter)}
 }
 
-// reserveMemory reserves n bytes until the request ends.
+// reserveMemory reserves n bytes of this box's memory until the request ends, and reports whether that is possible.
 func (x *exchange) reserveMemory(n int64) bool {
 	if !x.r.memory.reserve(n) {
 		return false
@@ -73,7 +74,7 @@
 	return true
 }
 
-// releaseMemory releases all that reserveMemory reserved.
+// releaseMemory releases all bytes that reserveMemory has reserved for the request.
 func (x *exchange) releaseMemory() {
 	x.r.memory.release(x.reservedBytes)
 	x.reservedBytes = 0
@@ -81,11 +82,11 @@
 
 var errBoxFull = errors.New("not enough memory on this box for the request body")
 
-// countedBody reserves memory for a body of unknown length while it is read.
+// countedBody is a body of unknown length, for which memory is reserved while it is read.
 type countedBody struct {
 	io.Reader
 	x      *exchange
-	unread int64 // Reserved and not read yet.
+	unread int64 // The bytes that are reserved and not read yet.
 }
 
 func (b *countedBody) Read(p []byte) (int, error) {
@@ -100,8 +101,8 @@
 	return n, err
 }
 
-// extendWriteDeadline gives the caller its full time for the next write. It is called before each write, and
-// moves the deadline only once half of the time has passed.
+// extendWriteDeadline gives the caller the full write timeout for the next write. It is called before each write, and
+// moves the deadline only once half of the timeout has passed.
 func (x *exchange) extendWriteDeadline() {
 	limit := callerWriteTimeout
 	if x.r.memory.underPressure() {
@@ -138,8 +139,8 @@
 	return w.x.w.Write(b)
 }
 
-// waitReserve reserves n bytes for data read before the caller has taken it, and waits while the box is out of
-// memory, so that the endpoint is read only as fast as callers read. It returns false if ctx ends first.
+// waitReserve reserves n bytes for a part of an answer. While the box is out of memory it waits, so that an endpoint is
+// read only as fast as callers take data. It returns false if ctx ends first.
 func (m *memory) waitReserve(ctx context.Context, n int64) bool {
 	for !m.reserve(n) {
 		select {
