--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -10,55 +10,56 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// This file migrates a running stream to another engine. The engine that runs it stops the run, closes its answer
-// without an end marker, and copies the run's memory to the other one; the same request is then resumed there after
-// the last event that the caller has received:
+// This file migrates a running stream from one engine, the source, to another, the target. The source stops the run,
+// closes its answer without an end marker, and copies the run's memory to the target. The box then sends the same
+// request to the target, which resumes the stream after the last event that the caller has received:
 //
 //	migration requested ─► engine stops ─► its call ends ┐
 //	                         └► copied: a handle ────────┴► the next call resumes with the handle
 //
-// Both may happen in either order. A stream never runs at two engines at once: the next call is made only when the
-// engine has reported that the run is stopped, and its own call has ended. Until then the caller gets the events of
-// the first engine; after that none of them are passed on.
+// The end of the source's call and the copy may come in either order. A stream never runs at two engines at once: the
+// next call is made only when the source has reported that the run is stopped, and the source's call has ended. Until
+// then the caller gets the events of the source; after that none of them are passed on.
 
 // migration is a migration in progress.
 type migration struct {
-	attempt      decide.Attempt // Of the call that resumes the stream.
+	attempt      decide.Attempt // The attempt number of the call that resumes the stream.
 	sourceEngine string         // The engine that runs the stream.
 	targetEngine string         // The engine that is to resume the stream.
-	// source is where the run's memory is, once the engine has stopped it; empty before.
+	// source is the stopped run's memory at the source engine; empty until that engine has reported the stop.
 	source Source
-	// copied is set if the other engine has the memory too.
+	// copied is set if the target engine has the memory too.
 	copied bool
-	// sourceEnd is how the first engine's call ended; nil while it runs. A complete answer has no reason: only the
-	// answer to the migration request tells whether that was the end of the stream.
+	// sourceEnd is how the call to the source engine ended; nil while the call runs. Its reason is OK if the answer was
+	// complete. Such an answer may be that of a stopped run: only the answer to the migration request tells whether it
+	// was the end of the stream.
 	sourceEnd *callError
-	// unframed is set if the close of the connection ended the first engine's answer, which also happens to a stopped
-	// run.
+	// unframed is set if only the close of the connection ended the source engine's answer. The answer of a stopped run
+	// may end in the same way.
 	unframed bool
-	// keptUntil is the earliest time at which the engines may free the memory; zero before the run is stopped.
+	// keptUntil is the time until which the engines store the memory at least; zero before the run is stopped.
 	keptUntil time.Time
-	// resumed is set once the next call was made, and atSource if it was made to the first engine. bound is set once
-	// the attempt is bound to a call.
+	// resumed is set once a call was made that resumes the stream. atSource is set if the last call of this kind was
+	// made to the source engine, and not to the target. bound is set once bindDecode has bound the attempt to a context.
 	resumed, atSource, bound bool
-	// pauseRetries counts the calls that were made to an engine that had asked for a pause.
+	// pauseRetries counts the calls made to the source engine after it had asked for a pause in requests.
 	pauseRetries int
 }
 
-// is reports whether an attempt is that of the migration; false for a nil migration.
+// is reports whether an attempt is the one that resumes the stream. It is false if there is no migration (m is nil).
 func (m *migration) is(a decide.Attempt) bool { return m != nil && m.attempt == a }
 
 // migrationResult is the result of a migration request.
 type migrationResult struct {
-	source Source // Empty if the engine named no memory.
-	copied bool
-	// unanswered is set if no answer was received; the run may or may not have been stopped.
+	source Source // The memory of the stopped run; empty if the run was not stopped.
+	copied bool   // The target engine has the memory too.
+	// unanswered is set if the request was not answered. The run may or may not have been stopped then.
 	unanswered bool
-	// detail is the reason why the stream was not migrated, for the record.
+	// detail says, for the request's record, why the stream was not migrated.
 	detail string
 }
 
-// drop frees the memory that an engine stores for a migration and that is not needed any more.
+// drop frees the run's memory that the result names, if any; the call that frees it is not waited for.
 func (m *migrationResult) drop(r *Relay) {
 	if m.source.Handle != "" {
 		r.drop(m.source.Engine, m.source.Address, r.protocol.ReleaseHandle(m.source.Handle))
@@ -66,25 +67,26 @@
 }
 
 const (
-	// migrateTries is the number of migration requests sent while the connection ends without an answer.
+	// migrateTries is how often a migration request is sent if the connection ends without an answer.
 	migrateTries = 2
-	// migratePollInterval is the pause before a request is repeated whose engine answered that it is in progress.
+	// migratePollInterval is the pause before a migration request is repeated that the engine is still working on.
 	migratePollInterval = 100 * time.Millisecond
-	// stopTimeout is how long the call of a stopped run may take to end.
+	// stopTimeout is how long the call of a stopped run may take to end, before the box closes its connection.
 	stopTimeout = 250 * time.Millisecond
-	// reofferDelay is the pause before a stopped run is offered again to the engines that refused it: they store its
-	// memory, and streams end several times a second on a busy engine.
+	// reofferDelay is the pause before a stopped run is offered again to the engines that store its memory and have
+	// refused it. They may accept it soon, because streams end several times a second on a busy engine.
 	reofferDelay = 100 * time.Millisecond
-	// maxPauseRetries is how often a stopped run is offered to an engine that asked for a pause and stores its
-	// memory: no other engine can resume it, and its request came before the pause.
+	// maxPauseRetries is how often a stopped run is offered to an engine that stores its memory and asked for a pause
+	// in requests. No other engine can resume the run, and the engine accepted its request before it asked for the
+	// pause.
 	maxPauseRetries = 2
-	// migrateAnswerTimeout is how long the answer to a migration request is waited for once the run has ended, before a
-	// resumable stream is prefilled again elsewhere: callers abandon a stream that pauses for some seconds.
+	// migrateAnswerTimeout is how long the answer to a migration request is waited for after the run has ended. Then a
+	// resumable stream is prefilled again at another engine: callers abandon a stream that pauses for some seconds.
 	migrateAnswerTimeout = 2 * time.Second
 )
 
-// migrate asks the engine that runs the stream to migrate it. A quarantined stream is not migrated: it may not be
-// sent to another engine, and ending it would take a running answer from the caller.
+// migrate asks the engine that runs the stream to migrate it. A quarantined stream is not migrated, because it must not
+// be sent to another engine. It continues where it runs: ending it would take a running answer from the caller.
 func (f *flight) migrate(a decide.Migrate) {
 	if o, yes := f.x.quarantined(); yes {
 		f.abortMigration(a.Attempt, o.Reason.Sentence())
@@ -94,9 +96,9 @@
 	f.calls.Go(func() { f.callMigrate(a) })
 }
 
-// callMigrate reports the engine's answer to a migration request. An engine stops the run before it copies the
-// memory, so a late answer does not mean that the run continues, and only the answer names the memory. The call
-// therefore lasts until the caller's deadline, plus the time for which the engine keeps the memory.
+// callMigrate sends a migration request, and reports the engine's answer. An engine stops the run before it copies the
+// memory, so a late answer does not mean that the run continues, and only the answer names the memory. callMigrate
+// therefore waits until the caller's deadline, and in addition for as long as the engine stores the memory.
 func (f *flight) callMigrate(a decide.Migrate) {
 	gracePeriod := f.x.service.Engines.HandleTTL
 	limit := f.x.timeLeft() + gracePeriod
@@ -140,7 +142,7 @@
 	}
 }
 
-// handleMigrationEvent handles the events that concern a migration, and reports whether the event was one of them.
+// handleMigrationEvent handles an event that concerns a migration. It returns false for an event that does not.
 func (f *flight) handleMigrationEvent(ev flightEvent) bool {
 	m := f.migration
 	switch {
@@ -169,15 +171,15 @@
 	return true
 }
 
-// applyMigrationResult applies the engine's answer. If the engine did not stop the run, the stream continues or has
-// already ended.
+// applyMigrationResult applies the answer to the migration request. If the engine did not stop the run, the migration
+// ends; the stream then continues, or has already ended.
 func (f *flight) applyMigrationResult(result *migrationResult) {
 	m := f.migration
 	if result.source.Handle != "" {
 		m.source, m.copied = result.source, result.copied
 		m.keptUntil = clock.Now().Add(f.x.service.Engines.HandleTTL)
 		if m.sourceEnd == nil {
-			attempt := m.attempt // The loop may have ended the migration by then.
+			attempt := m.attempt // The migration may be over when the goroutine starts.
 			f.calls.Go(func() { f.awaitStop(attempt) })
 		}
 		f.resumeWhenStopped()
@@ -198,10 +200,10 @@
 	}
 }
 
-// requeue sends an event to the loop that was withheld during a migration.
+// requeue sends the loop an event of the source engine's call that was withheld during a migration.
 func (f *flight) requeue(ev flightEvent) { f.calls.Go(func() { f.send(ev) }) }
 
-// awaitAnswer reports if the migration request of a resumable stream is not answered in time.
+// awaitAnswer has the loop told if the migration request of a resumable stream is not answered in time.
 func (f *flight) awaitAnswer() {
 	if !f.x.route.Resumable || f.migration.source.Handle != "" {
 		return
@@ -213,8 +215,8 @@
 	})
 }
 
-// resumeElsewhere aborts a migration whose run has ended and whose request is unanswered, and has the stream
-// prefilled again. If that is not possible, only the answer can resume the stream, and is waited for.
+// resumeElsewhere aborts a migration whose run has ended and whose request was not answered, and has the stream
+// prefilled again at another engine. If that is not possible, only the answer can resume the stream, and it waits on.
 func (f *flight) resumeElsewhere() {
 	m := f.migration
 	if m.source.Handle != "" {
@@ -229,21 +231,21 @@
 	f.handleFailure(f.decodeAttempt, *m.sourceEnd)
 }
 
-// awaitStop reports if the call of the stopped run does not end in time.
+// awaitStop tells the loop if the call of a stopped run has not ended in time.
 func (f *flight) awaitStop(attempt decide.Attempt) {
 	sleepCtx(f.ctx, stopTimeout)
 	f.send(flightEvent{attempt: attempt, overdue: true})
 }
 
-// abortMigration ends a migration before its next call was made.
+// abortMigration records, with the reason, that a migration ended before a call that resumes the stream was made.
 func (f *flight) abortMigration(attempt decide.Attempt, why string) {
 	f.x.r.m.AbortedMigrations.Inc()
 	f.x.trace.Step(record.Step{Kind: record.StepMigrationAborted, Text: why})
 	f.x.r.disp.Step(decide.MigrateFailed{ID: f.id, Attempt: attempt})
 }
 
-// resumeWhenStopped makes the next call once the run is stopped and its call has ended. It resumes at the source a
-// stream that was quarantined meanwhile, or whose other engine asked for a pause.
+// resumeWhenStopped makes the call that resumes the stream, once the run is stopped and its call has ended. The call
+// goes to the target engine, unless mustResumeAtSource.
 func (f *flight) resumeWhenStopped() {
 	m := f.migration
 	if m.source.Handle == "" || m.sourceEnd == nil || m.resumed {
@@ -253,13 +255,14 @@
 	f.callResume(f.mustResumeAtSource(), 0)
 }
 
-// mustResumeAtSource reports whether the target of the migration cannot resume the stream.
+// mustResumeAtSource reports whether the stream cannot be resumed at the target engine: the stream was quarantined
+// meanwhile, the target does not have the memory, or it asked for a pause in requests.
 func (f *flight) mustResumeAtSource() bool {
 	_, quarantined := f.x.quarantined()
 	return quarantined || !f.migration.copied || f.x.r.notices.IsPaused(f.migration.targetEngine, clock.Now())
 }
 
-// callResume calls the target or, if atSource, the first engine, which keeps the memory, after a delay.
+// callResume has the stream resumed, after a delay, at the source engine if atSource is set, and else at the target.
 func (f *flight) callResume(atSource bool, delay time.Duration) {
 	m := f.migration
 	m.atSource = atSource
@@ -269,7 +272,7 @@
 	}
 	f.decodeAttempt, f.decodeEngine = m.attempt, engine
 	var ctx context.Context
-	if atSource || m.bound { // The attempt is already bound and continues.
+	if atSource || m.bound { // The attempt is already bound to a context.
 		ctx, f.stopDecode = context.WithCancel(f.ctx)
 	} else {
 		ctx, m.bound = f.bindDecode(m.attempt), true
@@ -282,8 +285,9 @@
 	})
 }
 
-// handleResumeFailure tries the first engine if the target is not known to have accepted the run: the handle can be
-// used only once, so the first engine refuses the run if the target did accept it.
+// handleResumeFailure handles the failure of a call that resumes the stream. If the target engine is not known to have
+// accepted the run, the source engine is tried next. That is safe, because the handle can be used only once: if the
+// target did accept the run, the source refuses it. A run that its source refuses may be offered again after a pause.
 func (f *flight) handleResumeFailure(e callError) {
 	m := f.migration
 	if !m.atSource && (!e.ran || e.connLoss.unanswered) {
@@ -305,15 +309,15 @@
 	f.handleFailure(f.decodeAttempt, e)
 }
 
-// canReoffer reports whether a stopped run that its engine refused may be offered again: while its memory is kept, and
-// within the limits for pauses and retries.
+// canReoffer reports whether a stopped run that the source engine has refused may be offered again. It may while the
+// run's memory is stored, and within the limits for pauses and retries.
 func (f *flight) canReoffer() bool {
 	m, now := f.migration, clock.Now()
 	if f.ctx.Err() != nil || now.Add(reofferDelay).After(m.keptUntil) {
 		return false
 	}
 	if !f.mustResumeAtSource() {
-		return f.x.r.disp.TakeRetries(2) // One for the target, and one for the first engine after it.
+		return f.x.r.disp.TakeRetries(2) // One retry for the target engine, and one for the source engine after it.
 	}
 	if f.x.r.notices.IsPaused(m.sourceEngine, now) {
 		if m.pauseRetries++; m.pauseRetries > maxPauseRetries {
@@ -323,7 +327,7 @@
 	return f.x.r.disp.TakeRetries(1)
 }
 
-// finishMigration ends a migration whose next call has begun to answer.
+// finishMigration ends a migration whose stream has been resumed: the resuming call has begun to answer.
 func (f *flight) finishMigration() {
 	m := f.migration
 	f.migration = nil
@@ -338,7 +342,7 @@
 	f.x.trace.Step(record.Step{Kind: record.StepMigrated, Decode: f.decodeEngine})
 }
 
-// freeMigration frees the memory that engines store for an unfinished migration.
+// freeMigration frees the memory that the source engine stores for an unfinished migration, if any.
 func (f *flight) freeMigration() {
 	if f.migration != nil {
 		(&migrationResult{source: f.migration.source}).drop(f.x.r)
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -12,24 +12,26 @@
 	"github.com/stoatramp/stoatramp/internal/overlay"
 )
 
-// This file handles the notices that endpoints send in the headers of their answers.
+// This file handles the notices that endpoints send in the headers of their answers: a request rate limit, a pause in
+// requests, or that the endpoint is leaving.
 
-// Limited returns the number of endpoints with a limit that they named in their answers.
+// Limited returns the number of endpoints that have announced a request rate limit.
 func (r *Relay) Limited() int { return r.notices.Limited() }
 
-// observeRun handles the header of the answer to a caller's request.
+// observeRun handles the header of an endpoint's answer to a caller's request.
 func (r *Relay) observeRun(q *h1.Request, resp *http.Response, sent time.Time) {
 	reply := r.protocol.ParseReply(resp)
 	ran := reply.Signed && !reply.NotRun && resp.StatusCode < http.StatusInternalServerError
 	r.observe(q, resp, notice.Answer{Sent: sent, Completed: ran, Notice: reply.Notice})
 }
 
-// observeControl handles the header of the answer to one of this box's own calls.
+// observeControl handles the header of an endpoint's answer to a control call.
 func (r *Relay) observeControl(q *h1.Request, resp *http.Response, sent time.Time) {
 	r.observe(q, resp, notice.Answer{Sent: sent, Notice: r.protocol.ParseReply(resp).Notice})
 }
 
-// observe handles the header of an answer. A misdirected request was answered by another endpoint.
+// observe applies the notice in the header of an answer, and publishes it if needed. An answer with the status
+// "misdirected" is ignored, because it came from another endpoint than the one that was called.
 func (r *Relay) observe(q *h1.Request, resp *http.Response, a notice.Answer) {
 	if q.Endpoint == "" || resp.StatusCode == http.StatusMisdirectedRequest {
 		return
@@ -43,15 +45,15 @@
 	}
 }
 
-// receiveNotice applies a notice that an endpoint sent to another box, if the endpoint is in this box's subset:
-// each notice of leaving causes the whole fleet to be recomputed.
+// receiveNotice applies a notice that another box has received from an endpoint. Endpoints outside this box's subset
+// are ignored, because each notice of leaving causes the whole fleet to be recomputed.
 func (r *Relay) receiveNotice(at time.Time, n *overlay.Notice) {
 	if r.fleet.inSubset(n.Endpoint) {
 		r.applyNotice(notice.Answer{Endpoint: n.Endpoint, Sent: at, Completed: n.Completed, Notice: notice.Notice{Limit: n.Limit, Leaving: n.Leaving}})
 	}
 }
 
-// applyNotice applies the notice of an answer, and reports whether it must be published to the other boxes.
+// applyNotice applies the notice of an answer, and reports whether the notice must be published to the other boxes.
 func (r *Relay) applyNotice(a notice.Answer) (publish bool) {
 	e, _ := r.fleet.findCalled(a.Endpoint)
 	a.Region = r.fleet.regionOf(e.Hall)
@@ -61,7 +63,8 @@
 	return publish
 }
 
-// recordNoticeChange logs and counts a change, and reports whether it must be published to the other boxes.
+// recordNoticeChange logs and counts a change in what an endpoint has announced, and reports whether the notice must be
+// published to the other boxes.
 func (r *Relay) recordNoticeChange(c notice.Change, a notice.Answer) (publish bool) {
 	log := func(what string, fields ...zap.Field) {
 		r.o.Recorder.Log.StateChange(what, append(fields, zap.String("endpoint", a.Endpoint))...)
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -17,12 +17,12 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// bufferedAnswerBytes is how much of a plain answer is buffered before any of it is passed on. If a shorter answer
-// is cut off, that of another attempt can replace it.
+// bufferedAnswerBytes is how much of a plain answer is buffered before any of it is passed on. If a shorter answer is
+// cut off, the answer of another attempt can take its place.
 const bufferedAnswerBytes = 64 << 10
 
-// servePlain tries endpoints until one answers. It retries at another endpoint only if the call did not run, or may
-// run again.
+// servePlain sends the request to one endpoint after the other, until one answers. It tries another endpoint only if
+// the call before did not run, or may run again.
 func (x *exchange) servePlain(ctx context.Context) {
 	if o, ok := x.admitPlain(); !ok {
 		x.refuse(o)
@@ -70,7 +70,7 @@
 			runs++
 		}
 		x.recordConnLoss(e.ID, a.connLoss)
-		// An endpoint's own error answer says more than ours: it is passed on if no other call may follow.
+		// An endpoint's own error answer says more than one of the box, so it is passed on if no other call may follow.
 		last := !x.route.repeats() || runs >= x.route.MaxEndpoints || !budget.Has(clock.Now(), 1) || !x.r.plain.hasUntried(x.service.Name, x.region, clock.Now(), tried)
 		if a.resp != nil && (a.good || last) {
 			x.passAnswer(a)
@@ -86,14 +86,15 @@
 	x.refuse(o)
 }
 
-// throttledOutcome refuses a request that no endpoint accepts for the given time.
+// throttledOutcome refuses a request because all endpoints asked for fewer requests; wait is the time until the first
+// of them accepts a request.
 func throttledOutcome(wait time.Duration) outcome.Outcome {
 	delay := time.Duration(float64(wait) * (1 + limitJitter*rand.Float64()))
 	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.EndpointsThrottled, RetryAfter: max(minLimitRetryAfter, delay)}
 }
 
-// admitPlain evaluates the policy for a plain call. In a policy wait() has the effect of run() here, because plain
-// calls do not wait on the box.
+// admitPlain evaluates the policy for a plain call. Plain calls do not wait on the box, so wait() in a policy has the
+// same effect as run().
 func (x *exchange) admitPlain() (outcome.Outcome, bool) {
 	p := x.policy()
 	if p == nil {
@@ -112,23 +113,23 @@
 	return outcome.Outcome{}, true
 }
 
-// policyRetryAfter is the retry delay of a call that a policy refused.
+// policyRetryAfter is the retry delay of a plain call that a policy refused.
 const policyRetryAfter = time.Second
 
-// retryAfter is the retry delay for reasons that pass soon.
+// retryAfter is the retry delay of a refusal whose reason will probably pass soon.
 const retryAfter = 250 * time.Millisecond
 
-// plainAnswer is the result of a call to an endpoint.
+// plainAnswer is the result of a call to an endpoint of a plain service.
 type plainAnswer struct {
 	resp     *http.Response
-	buffered []byte // The beginning of the body, or all of it.
-	// whole is set if buffered is all of the body.
+	buffered []byte // The beginning of the body.
+	// whole is set if buffered is the whole body.
 	whole  bool
 	sent   bool // The request was sent to the endpoint.
 	ran    bool // The request may have run.
 	good   bool // The answer is a success.
 	reason outcome.Reason
-	// connLoss is set if the endpoint closed the connection.
+	// connLoss describes the lost connection, if the endpoint closed it before the answer was complete.
 	connLoss connLoss
 }
 
@@ -138,8 +139,8 @@
 	}
 }
 
-// callPlain sends the request to an endpoint and checks its answer. An answer that is not signed by its endpoint, cut
-// short or encoded is rejected.
+// callPlain sends the request to an endpoint and checks the answer. It rejects an answer that lacks the endpoint's
+// signature, is cut short, or has an encoded body.
 func (x *exchange) callPlain(ctx context.Context, e *chosenEndpoint) (a plainAnswer) {
 	start := clock.Now()
 	defer func() {
@@ -189,7 +190,7 @@
 	return a
 }
 
-// plainFailure returns the outcome of a request if no attempt had an answer to pass on.
+// plainFailure returns the outcome of a request that no endpoint has answered in a way that can be passed on.
 func (x *exchange) plainFailure(ctx context.Context, a plainAnswer, ran bool) outcome.Outcome {
 	o := outcome.Outcome{Kind: outcome.NotRun, Reason: a.reason, RetryAfter: retryAfter}
 	if ran {
@@ -214,7 +215,7 @@
 	return false
 }
 
-// copyHead copies the header of an endpoint's answer, except for what concerns a single connection.
+// copyHead copies the header of an endpoint's answer to the caller's, except for fields that concern one connection.
 func (x *exchange) copyHead(from http.Header) {
 	h := x.w.Header()
 	closing := h.Get("Connection")
@@ -222,11 +223,12 @@
 	if closing != "" {
 		h.Set("Connection", closing)
 	}
-	h.Del("Content-Length") // Set again if it is known.
+	h.Del("Content-Length") // Set again if the length is known.
 }
 
-// writeStatus begins the answer with the status of an endpoint that ran the request. A status that implies that the
-// request did not run is replaced, and the endpoint's signature removed.
+// writeStatus begins the answer to the caller with the status of an endpoint that ran the request. If callers would
+// take the status to mean that the request did not run, another status replaces it, and the endpoint's signature is
+// removed.
 func (x *exchange) writeStatus(status int) {
 	if impliesNotRun(status) {
 		status = http.StatusBadGateway
--- a/internal/relay/pollschedule.go
+++ b/internal/relay/pollschedule.go
@@ -8,30 +8,31 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// This file decides when a box polls an engine for its load. Time alone is not enough: the rate allowed to all
-// boxes grows with their streams, so all engines polled a while ago would become due at once, on all boxes, as
-// soon as the rate rises: while streams went on, a box polled 38 of its 96 engines, out of 8,650,
-// within five seconds, where seven are allowed (TestNewEnginesArePolledInTurn). So the rounds are counted too; in
-// one round all engines may be polled once.
+// This file decides when a box polls an engine for its load. An engine is due when enough time has passed and enough
+// rounds; in one round, all engines may be polled once. Time alone is not enough. The rate of polls allowed to all
+// boxes grows with their streams. As soon as it rises, all engines that were polled a while ago would become due at
+// once, on all boxes. By time alone, while streams went on, a box with 96 of 8,650 engines polled 38 of them within
+// five seconds, where seven are allowed (TestNewEnginesArePolledInTurn).
 
-// pollSchedule spreads the polls of a service's engines over the boxes that keep them.
+// pollSchedule spreads the polls of a service's engines over time and over the boxes that have them in their subsets.
 type pollSchedule struct {
-	// round is the time in which the allowed rate polls every engine once.
+	// round is the time in which each engine is polled once at the rate allowed to all boxes.
 	round time.Duration
-	// spread is the range of the jitter between boxes that keep the same engine: one polls, and the others receive
-	// the result.
+	// spread is the range of the jitter between boxes that have the same engine in their subsets. The box with the
+	// shortest jitter polls, and the others receive the result before they would poll.
 	spread time.Duration
 }
 
-// pollDelay is what must pass before an engine is polled: both a time and a number of rounds.
+// pollDelay is what must pass before an engine is polled: both an amount of time and a number of rounds.
 type pollDelay struct {
 	time   time.Duration
 	rounds float64
 }
 
-// delays returns the delay of an engine that was polled before, and of one that never was. Both include a jitter
-// for each box and engine. Its hash differs from the one that selects the subset: a box keeps the engines with the
-// highest subset ranks, so all boxes would poll an engine at the same moment.
+// delays returns two delays for polls of an engine: again after an earlier poll, and first for an engine that was never
+// polled. Both include a jitter that is fixed for each box and engine. The hash for the jitter differs from the hash
+// that selects the box's subset. With the same hash, all boxes that have an engine would have similar jitters for it
+// and poll it at the same moment, because a subset has the engines with the highest hashes.
 func (t pollSchedule) delays(box string, e Endpoint) (again, first pollDelay) {
 	after := pollIntervalDecode
 	if e.Role == decide.Prefill {
@@ -42,28 +43,29 @@
 	return pollDelay{after + first.time, 1 + first.rounds}, first
 }
 
-// remaining returns the time until a delay is over that began ago and rounds before now.
+// remaining returns the time until a delay is over. The delay began ago before now, and rounds have passed since.
 func (t pollSchedule) remaining(delay pollDelay, ago time.Duration, rounds float64) time.Duration {
 	return max(delay.time-ago, seconds((delay.rounds-rounds)*t.round.Seconds()))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// roundCount counts the rounds of a service, as of a time.
+// roundCount is the number of rounds of a service that were completed at a time.
 type roundCount struct {
 	completed float64
 	at        time.Time
 }
 
-// lastReport is when an engine's load was last received or polled, or when the engine was first listed.
+// lastReport says when the load of an engine was last polled or received. If neither has happened yet, it says when the
+// engine was first listed.
 type lastReport struct {
 	at     time.Time
-	rounds float64
-	// listedOnly is set while the engine was listed and no load was received.
+	rounds float64 // The completed rounds of the service at that time.
+	// listedOnly is set while the load of the engine was neither polled nor received.
 	listedOnly bool
 }
 
-// advanceRounds counts the rounds of a service up to now, given the present duration of one.
+// advanceRounds counts the rounds of a service up to now, at the present duration of a round.
 func (f *fleet) advanceRounds(service string, now time.Time, round time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +80,8 @@
 	f.rounds[service] = r
 }
 
-// claimPoll records a poll of an engine now if one is due, and otherwise returns the time until it is.
+// claimPoll reports whether a poll of an engine is due now, and if so records the poll. left is the time until a poll
+// is due or, if this one was, until the next check.
 func (f *fleet) claimPoll(e Endpoint, now time.Time, t pollSchedule, again, first pollDelay) (due bool, left time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -99,7 +102,7 @@
 	return true, maxPollPause
 }
 
-// claimStalePoll records a poll of an engine now, unless its load was received within a time.
+// claimStalePoll reports whether the last load of an engine is older than within, and if so records a poll now.
 func (f *fleet) claimStalePoll(id string, now time.Time, within time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +113,7 @@
 	return true
 }
 
-// recordReport records that an engine's load was received. f.mu is held.
+// recordReport records that an engine's load was received or polled now. f.mu is held.
 func (f *fleet) recordReport(id string, now time.Time) {
 	report := lastReport{at: now}
 	if i, listed := f.index[id]; listed {
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -7,11 +7,11 @@
 	"github.com/stoatramp/stoatramp/internal/quarantine"
 )
 
-// This file quarantines requests: one whose fingerprint equals that of requests that crashed endpoints is not sent to
-// any.
+// This file quarantines requests: a request is not sent to any endpoint if requests with the same fingerprint have
+// crashed endpoints. The fingerprint is a hash of what an endpoint would run (package quarantine).
 
-// quarantined reports whether the request must not be sent to an endpoint, because equal requests crashed
-// endpoints. It must be called before each call to an endpoint.
+// quarantined reports whether the request must not be sent to an endpoint, because equal requests have crashed
+// endpoints. The outcome is then that of the request. quarantined must be called before each call to an endpoint.
 func (x *exchange) quarantined() (o outcome.Outcome, quarantined bool) {
 	if x.r.o.Crashes.Empty() {
 		return o, false
@@ -30,8 +30,8 @@
 	return o, true
 }
 
-// maxRememberedBody is the longest body, in bytes, of which an answered request is recorded while the list of
-// crashes is empty: the fingerprint costs 1 ns a byte.
+// maxRememberedBody limits, while the list of crashes is empty, the body of an answered request that is recorded, in
+// bytes. Computing the fingerprint of a request costs 1 ns for each byte of its body.
 const maxRememberedBody = 64 << 10
 
 // recordServed records that an endpoint answered the request completely without crashing.
@@ -41,7 +41,7 @@
 	}
 }
 
-// fingerprint is computed on first use: most requests never need it.
+// fingerprint returns the request's fingerprint. It is computed on first use, because most requests never need it.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if x.cachedFingerprint == nil {
 		id := quarantine.Identity{
--- a/internal/relay/route.go
+++ b/internal/relay/route.go
@@ -10,17 +10,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sort orders the routes for RouteFor, longer prefixes first. It must be called once after a Config is made.
+// Sort orders the routes as RouteFor needs them, those with longer prefixes first. It must be called once after a
+// Config is made.
 func (c *Config) Sort() {
 	slices.SortStableFunc(c.Routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 }
 
-// has reports whether a route of that name is configured.
+// has reports whether a route with a name is configured.
 func (c *Config) has(route string) bool {
 	return slices.ContainsFunc(c.Routes, func(r *Route) bool { return r.Name == route })
 }
 
-// RouteFor returns the route of a host with the longest matching path prefix; nil if there is none.
+// RouteFor returns the route of a host whose path prefix is the longest that matches; nil if no route matches.
 func (c *Config) RouteFor(host, path string) *Route {
 	host = hostOnly(host)
 	for _, r := range c.Routes {
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// hostOnly returns a host without its port, if it has one.
+// hostOnly returns a host without its port, if it has a port.
 func hostOnly(host string) string {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		return h
@@ -42,12 +43,12 @@
 // repeats reports whether a request of the route may run more than once.
 func (r *Route) repeats() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
-// returningTimeoutShare is the share of the longest timeout seen below which a caller is taken for one that was
-// refused before and has spent the rest on its earlier attempt.
+// returningTimeoutShare is a share of the longest timeout seen on a route. A caller whose timeout is below that share
+// is taken to have been refused before, and to have spent the missing time on its earlier attempt.
 const returningTimeoutShare = 0.97
 
-// isReturning reports whether a caller with so much time left has tried before. Callers of one route start with
-// the same timeout, and lose the time of each refused attempt.
+// isReturning reports whether a caller with this timeout was probably refused before. Callers of one route start with
+// the same timeout, and each refused attempt takes time from it.
 func (r *Route) isReturning(callerTimeout time.Duration) bool {
 	if callerTimeout <= 0 {
 		return false
@@ -63,8 +64,8 @@
 	}
 }
 
-// pick selects the service for a request. The choice depends on the request's id alone, so that every attempt at
-// every box uses the same service.
+// pick selects the service for a request. The choice depends only on the request's id, so that each attempt goes to the
+// same service, whichever box receives it.
 func (r *Route) pick(id string) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
--- a/internal/relay/split.go
+++ b/internal/relay/split.go
@@ -2,16 +2,17 @@
 
 import "bytes"
 
-// splitter splits a stream of bytes into whole events.
-type splitter struct{ rest []byte } // Bytes after the last whole event.
+// splitter splits a stream of bytes into complete events.
+type splitter struct{ rest []byte } // The bytes after the last complete event.
 
-// eventEnd ends an event. Lines end with a line feed, with or without a carriage return before it.
+// eventEnd ends an event. A carriage return may precede each line feed (see add).
 var eventEnd = []byte("\n\n")
 
-// add appends bytes as received, and returns the whole events among the buffered bytes.
+// add appends received bytes to the buffered ones. It returns the complete events among them, and keeps the bytes after
+// the last complete event.
 //
-// Example: after "id: 1\ndata: a\n\nid: 2\nda" the first event is returned with the id
-// "1", and "id: 2\nda" is kept for the next call.
+// Example: of "id: 1\ndata: a\n\nid: 2\nda" it returns the first event, with the id "1", and keeps "id: 2\nda" for the
+// next call.
 func (s *splitter) add(b []byte) part {
 	s.rest = append(s.rest, b...)
 	end := bytes.LastIndex(s.rest, eventEnd)
@@ -28,7 +29,7 @@
 	return part{bytes: whole, lastID: id, events: n}
 }
 
-// lastID returns the id of the last event with an id, and counts the events with one.
+// lastID returns the id of the last event that has an id, and the number n of events that have an id.
 func lastID(events []byte) (id string, n int) {
 	for line := range bytes.Lines(events) {
 		if v, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/relay/subset.go
+++ b/internal/relay/subset.go
@@ -11,49 +11,51 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file limits the endpoints that a box uses to a subset. Where a service has thousands, each box selects some
-// of each role by rendezvous hashing, more in its own hall than in others. Memory, processor time, polls and
-// connections then do not grow with the fleet, and all but one endpoint in a hundred are in the subset of some
-// box. All endpoints of a small service are selected. A box that finds no capacity enlarges its subset.
+// This file limits the endpoints that a box uses to a subset. If a service has thousands of endpoints, each box selects
+// some of each role by rendezvous hashing, more in its own hall than in others. Memory, processor time, polls and
+// connections then do not grow with the fleet. All but one endpoint in a hundred are in the subset of some box. All
+// endpoints of a small service are selected. A box that finds no capacity enlarges its subset.
 //
-// Alternatives: with all endpoints on every box there are 10 million pairs at 1,000 boxes and 10,000 endpoints, and
-// every box sorts 138,000 points of the prefix ring at each change of the list. With totals for each hall and a
-// call to an owner for each placement, no stream can be placed while the owner is unavailable.
+// Alternatives: if every box used all endpoints, there would be 10 million pairs of a box and an endpoint at 1,000
+// boxes and 10,000 endpoints, and every box would sort 138,000 points of the prefix ring (the hash ring that maps
+// prompt prefixes to engines) at each change of the list. If boxes knew only totals for each hall and asked an owner
+// for each placement, no stream could be placed while the owner is unavailable.
 
 const (
-	// subsetNear and subsetFar are the endpoints of a service and role that a box selects in its own hall and in
-	// others. A decision compares 8 engines of a role, and a third of a hall may be down.
+	// subsetNear is the number of endpoints of a service and role that a box selects in its own hall, and subsetFar the
+	// number in other halls. They are large enough for a decision, which compares 8 engines of a role, even if a third
+	// of a hall is down.
 	subsetNear = 32
 	subsetFar  = 16
-	// retainFor is how long an endpoint stays in the subset after its last selection. It is longer than a stream runs,
-	// because a stream would otherwise be migrated as if its engine were leaving.
+	// retainFor is how long an endpoint stays in the subset after it was last selected. That is longer than a stream
+	// runs. A stream whose engine left the subset earlier would be migrated as if the engine were leaving.
 	retainFor = time.Minute
-	// subsetGrowInterval is the minimum time between two enlargements of a subset, and subsetShrinkAfter the time
-	// after the last one at which it is halved.
+	// subsetGrowInterval is the minimum time between two enlargements of a subset. subsetShrinkAfter is the time after
+	// the last change of its size at which an enlarged subset is halved.
 	subsetGrowInterval = 500 * time.Millisecond
 	subsetShrinkAfter  = 30 * time.Second
 )
 
-// group identifies interchangeable endpoints.
+// group identifies endpoints that can take each other's place.
 type group struct {
 	service, region string
-	role            decide.EngineRole // Of engines.
+	role            decide.EngineRole // The role of engines.
 }
 
-// subsetScale is the size of a service's subset as a multiple of the normal one.
+// subsetScale is the size of a service's subset, as a multiple of the normal size.
 type subsetScale struct {
-	factor  int // At least 1.
-	grownAt time.Time
+	factor  int       // At least 1.
+	grownAt time.Time // When the size last changed.
 }
 
-// subset returns the endpoints that this box uses, and counts the others that accept requests. It visits every
-// endpoint of the list but allocates for few: describing each of 10,000 made 1.7 MB of garbage at each change. The
-// lock is held.
+// subset computes the endpoints that this box uses, and counts the others that accept requests (omitted). It visits
+// every endpoint of the list but keeps descriptions of few: keeping one of each of 10,000 endpoints made 1.7 MB of
+// garbage at each change of the list. The lock is held.
 func (f *fleet) subset(now time.Time) []knownEndpoint {
 	named := f.cfg.regions()
 	groups := f.groups(named)
 	for id := range f.selected {
-		f.retain(id, now) // Even if it is not selected any more.
+		f.retain(id, now) // Also if it will not be selected again.
 	}
 	f.selected, f.omitted = map[string]bool{}, map[group]int{}
 	var kept []int
@@ -87,7 +89,8 @@
 	return out
 }
 
-// groups returns the endpoints that accept requests and that this box may use, by group. The lock is held.
+// groups returns the endpoints that accept requests and that this box may use, as positions in the list, by group. The
+// lock is held.
 func (f *fleet) groups(named map[string]bool) map[group][]int {
 	out := map[group][]int{}
 	for i := range f.endpoints {
@@ -101,7 +104,7 @@
 
 func (e *knownEndpoint) group() group { return group{e.Service, e.Region, e.Role} }
 
-// retain records that an endpoint is in use now.
+// retain records that an endpoint is in use now, so that it stays in the subset. The lock is held.
 func (f *fleet) retain(id string, now time.Time) {
 	if f.retainedAt == nil {
 		f.retainedAt = map[string]time.Time{}
@@ -109,7 +112,7 @@
 	f.retainedAt[id] = now
 }
 
-// selectMembers selects the endpoints of a group that are in this box's subset.
+// selectMembers selects, from the positions of a group's endpoints, those in this box's subset. The lock is held.
 func (f *fleet) selectMembers(members []int, scale subsetScale) []int {
 	near, far := subsetNear*max(1, scale.factor), subsetFar*max(1, scale.factor)
 	if len(members) <= near+far {
@@ -126,7 +129,7 @@
 			others.add(r)
 		}
 	}
-	// If one side has too few endpoints, more of the other are selected.
+	// If one side, the own hall or the others, has too few endpoints, more of the other side are selected.
 	nOwn := min(len(own.list), max(near, near+far-len(others.list)))
 	nOthers := min(len(others.list), near+far-nOwn)
 	var out []int
@@ -136,13 +139,13 @@
 	return out
 }
 
-// rankedEndpoint is the index of an endpoint in the list, with its rank for this box.
+// rankedEndpoint is the position of an endpoint in the list, with its rank for this box.
 type rankedEndpoint struct {
 	index int
 	rank  uint64
 }
 
-// topRanked keeps up to limit endpoints with the highest ranks, in descending order.
+// topRanked keeps the endpoints with the highest ranks, limit at most, in descending order.
 type topRanked struct {
 	limit int
 	list  []rankedEndpoint
@@ -159,8 +162,8 @@
 	t.list = slices.Insert(t.list, at, r)
 }
 
-// engineCount returns the number of a service's engines in this box's region that accept requests, and the share
-// of them in the box's subset.
+// engineCount returns the number of a service's engines that accept requests in this box's region, and the share of
+// these engines that are in the box's subset.
 func (f *fleet) engineCount(service string) (all int, share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,8 +175,7 @@
 	return all, float64(kept) / float64(max(1, all))
 }
 
-// isPartial reports whether endpoints of a service that accept requests are omitted from the box's subset. The
-// lock is held.
+// isPartial reports whether the box's subset lacks endpoints of a service that accept requests. The lock is held.
 func (f *fleet) isPartial(service string) bool {
 	for g, n := range f.omitted {
 		if g.service == service && n > 0 {
@@ -183,7 +185,7 @@
 	return false
 }
 
-// growSubset doubles the box's subset of a service, unless it has all endpoints.
+// growSubset doubles the box's subset of a service, unless the subset has all endpoints or was enlarged just before.
 func (r *Relay) growSubset(now time.Time, service string) {
 	f := &r.fleet
 	f.mu.Lock()
@@ -201,7 +203,7 @@
 	r.applyFleet()
 }
 
-// inSubset reports whether the box uses an endpoint.
+// inSubset reports whether an endpoint is in the box's subset.
 func (f *fleet) inSubset(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,7 +211,8 @@
 	return f.selected[id] || kept
 }
 
-// shrinkSubsets halves the subsets that were not enlarged recently. The lock is held.
+// shrinkSubsets halves the enlarged subsets whose size has not changed for a while, and forgets endpoints that have not
+// been in use for retainFor. The lock is held.
 func (f *fleet) shrinkSubsets(now time.Time) {
 	for service, c := range f.subsetScales {
 		if c.factor > 1 && now.Sub(c.grownAt) > subsetShrinkAfter {
@@ -223,7 +226,7 @@
 	}
 }
 
-// adopt adds an engine to the subset because another box asks this one, the engine's owner, for room there.
+// adopt adds an engine to the subset because another box asks this one, as the owner of the engine, for room there.
 func (r *Relay) adopt(now time.Time, id string) {
 	f := &r.fleet
 	f.mu.Lock()
@@ -240,7 +243,7 @@
 	}
 }
 
-// isCapacityRefusal reports whether a larger subset might have avoided the refusal.
+// isCapacityRefusal reports whether a larger subset might have avoided a refusal with this reason.
 func isCapacityRefusal(r outcome.Reason) bool {
 	switch r {
 	case outcome.NoPrefill, outcome.NoDecode, outcome.TooLate, outcome.WaitExpired, outcome.QueueFull, outcome.ConnectFailed, outcome.EndpointsThrottled, outcome.EndpointRefused:
