--- a/internal/relay/begin_test.go
+++ b/internal/relay/begin_test.go
@@ -15,14 +15,14 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// headEvent returns the event of a call whose answer begins with one event.
+// headEvent returns the flight event of a call whose answer begins with the given text, one event of a stream.
 func headEvent(a decide.Attempt, text string) flightEvent {
 	return flightEvent{attempt: a, head: &headPart{header: http.Header{}, part: part{bytes: []byte(text), events: 1}}}
 }
 
-// arrivedFlight returns a stream that has arrived at a box with one prefill engine and decode engines of these
-// names. It completes the request q.
-func arrivedFlight(t *testing.T, ctx context.Context, q decide.Request, decoders ...string) (*Relay, *flight, *httptest.ResponseRecorder) {
+// arrivedFlight returns the flight of a stream that was submitted to a box. The box knows one prefill engine, and a
+// decode engine for each name in decoders. arrivedFlight completes the fields of request.
+func arrivedFlight(t *testing.T, ctx context.Context, request decide.Request, decoders ...string) (*Relay, *flight, *httptest.ResponseRecorder) {
 	t.Helper()
 	recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
 	r := New(Options{Protocol: fakeProtocol{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: recorder})
@@ -44,16 +44,16 @@
 		service: &Service{Name: "p", Engines: &EngineConfig{TokensPerEvent: 1}},
 	}
 	f := &flight{x: x, ctx: ctx, events: make(chan flightEvent, eventBuffer)}
-	q.Pool, q.Region, q.PromptTokens, q.MaxTokens = "p", "r", 10, 10
-	q.FirstToken, q.BetweenTokens, q.Repeatable = time.Minute, time.Second, true
-	f.id, f.call = r.disp.Submit("q", q)
+	request.Pool, request.Region, request.PromptTokens, request.MaxTokens = "p", "r", 10, 10
+	request.FirstToken, request.BetweenTokens, request.Repeatable = time.Minute, time.Second, true
+	f.id, f.call = r.disp.Submit("q", request)
 	t.Cleanup(func() { r.disp.Remove(f.id) })
 	return r, f, w
 }
 
-// TestStalledCallWritesNothing guards against an answer whose beginning is sent twice: the first event of a call may
-// be in the box's queue when the decision core gives the call up as stalled and calls another engine. The caller must
-// get the answer of the second call only.
+// TestStalledCallWritesNothing guards against an answer whose beginning is sent twice. A decode call stalls, the
+// decision core gives it up and calls another engine, and then the first event of the stalled call is handled. The
+// caller must get the answer of the second call only.
 func TestStalledCallWritesNothing(t *testing.T) {
 	r, f, w := arrivedFlight(t, context.Background(), decide.Request{}, "writer-1", "writer-2")
 	takeDecode := func() decide.Attempt {
--- a/internal/relay/callerconn_test.go
+++ b/internal/relay/callerconn_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// callerPair returns the two ends of a caller's connection to a box.
+// callerPair returns the box's end and the caller's end of a connection.
 func callerPair(t *testing.T) (box, caller net.Conn) {
 	t.Helper()
 	lis, err := ListenCallers("tcp", "127.0.0.1:0")
@@ -33,8 +33,8 @@
 	return box, caller
 }
 
-// TestWriteAfterAStall guards against closing the connections of callers that read all data sent to them: after a
-// box was not scheduled for seconds, the deadlines of its writes had passed.
+// TestWriteAfterAStall guards against closing the connections of callers that read all data. A box was not scheduled
+// for seconds, so the deadline of its write has passed; the write must succeed.
 func TestWriteAfterAStall(t *testing.T) {
 	box, caller := callerPair(t)
 	text := bytes.Repeat([]byte("event"), 100_000) // More than the buffers of a connection hold.
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestWriteToOneThatDoesNotRead checks that a write to a caller that takes no data fails, also after a stall.
+// TestWriteToOneThatDoesNotRead checks that a write to a caller that takes no data fails once its deadline has passed.
 func TestWriteToOneThatDoesNotRead(t *testing.T) {
 	box, _ := callerPair(t)
 	if err := box.SetWriteDeadline(time.Now().Add(50 * time.Millisecond)); err != nil {
@@ -69,6 +69,8 @@
 	}
 }
 
+// TestUndeliveredEndOfAnAnswerIsReportedOnce checks that the first failure of a write after the handler has returned is
+// reported, and a second one is not.
 func TestUndeliveredEndOfAnAnswerIsReportedOnce(t *testing.T) {
 	box, caller := callerPair(t)
 	reported := 0
@@ -82,7 +84,7 @@
 	}
 	for range 2 {
 		for err := error(nil); err == nil; {
-			_, err = box.Write([]byte("the end")) // Until the reset is received.
+			_, err = box.Write([]byte("the end")) // Succeeds until the reset of the connection is received.
 		}
 	}
 	if reported != 1 {
@@ -90,7 +92,8 @@
 	}
 }
 
-// stallingConn is a connection whose process is not scheduled between each of the first deadlines and its write.
+// stallingConn is a connection of a process that is not scheduled before its first writes. Each of them finds its
+// deadline passed; stalls is the number of writes for which this is still to happen.
 type stallingConn struct {
 	stalls  int
 	written bytes.Buffer
@@ -106,6 +109,7 @@
 	return s.written.Write(b)
 }
 
+// TestWriteAfterStallsInARow checks that a write succeeds after its deadline has passed untried three times in a row.
 func TestWriteAfterStallsInARow(t *testing.T) {
 	s := &stallingConn{stalls: 3}
 	if n, err := writeRetryingStalls(s, []byte("event")); n != 5 || err != nil || s.written.String() != "event" {
--- a/internal/relay/endpoints_test.go
+++ b/internal/relay/endpoints_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestFailingEndpoint checks that an endpoint which drops part of its calls is seldom selected. It may never have the
-// two failures in a row that set an endpoint aside.
+// TestFailingEndpoint checks that an endpoint that fails 40 of 100 calls gets few calls. It may never have the two
+// failures in a row for which an endpoint is set aside. It must still get some calls, since it may have recovered.
 func TestFailingEndpoint(t *testing.T) {
 	table := newPlainTable("h")
 	table.set([]knownEndpoint{{Endpoint: Endpoint{ID: "sound", Service: "s", Hall: "h"}}, {Endpoint: Endpoint{ID: "failing", Service: "s", Hall: "h"}}})
--- a/internal/relay/expired_test.go
+++ b/internal/relay/expired_test.go
@@ -11,10 +11,11 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// choiceTries is how often a test repeats a choice between two ready events, which select makes at random.
+// choiceTries is how often a test repeats a case in which two events are ready at once: select takes one of them at
+// random, so a fault might show only in some runs.
 const choiceTries = 64
 
-// expiredFlight returns a stream that has begun and whose deadline has passed.
+// expiredFlight returns the flight of a stream whose answer has begun and whose deadline has passed.
 func expiredFlight(t *testing.T) (*Relay, *flight) {
 	t.Helper()
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
@@ -32,7 +33,8 @@
 	return r, f
 }
 
-// The box cancels its calls at the request's deadline, which must not count as a failure of the engine.
+// At a request's deadline the box cancels its calls, which then report errors. These must not count as failures of the
+// engine.
 func TestEndOfARequestsTimeIsNoFailureOfItsEngine(t *testing.T) {
 	for range choiceTries {
 		r, f := expiredFlight(t)
@@ -46,6 +48,8 @@
 	}
 }
 
+// The deadline passes when an answer has been received completely and its last events were not yet passed on. The
+// caller must still get them.
 func TestAnswerThatCameWholeIsDeliveredThoughItsTimeIsOver(t *testing.T) {
 	for range choiceTries {
 		_, f := expiredFlight(t)
@@ -57,6 +61,7 @@
 	}
 }
 
+// The deadline passes when only the beginning of an answer has been received. Nothing must be written to the caller.
 func TestAnswerIsNotBegunWhenItsTimeIsOver(t *testing.T) {
 	for range choiceTries {
 		_, f := expiredFlight(t)
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -7,7 +7,8 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// roleScene is a fleet of one engine with different listed and reported roles.
+// roleScene is a fleet of one engine, whose role in the list and role in its own reports change over time. Times are
+// relative to start.
 type roleScene struct {
 	t     *testing.T
 	f     fleet
@@ -30,8 +31,8 @@
 	}
 }
 
-// TestReportedRole checks that a box which cannot reach the store learns a role from the engine itself, and that an
-// old report does not override what the list has shown since.
+// TestReportedRole checks that a box which cannot reach the platform's store learns an engine's role from the engine
+// itself, and that a report does not count if it is older than the role that the list shows.
 func TestReportedRole(t *testing.T) {
 	s := roleScene{t: t, start: time.Unix(1_800_000_000, 0)}
 	s.list(10*time.Second, decide.Decode)
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -14,7 +14,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// fakePeers is another box that sends no messages.
+// fakePeers stands for peers of which this box receives no messages. It grants every request for room.
 type fakePeers struct{}
 
 func (fakePeers) Publish(overlay.Message) {}
@@ -28,7 +28,8 @@
 	return true, ""
 }
 
-// expectPollRate runs one box with a number of decode engines for ten seconds, and checks its polls a second.
+// expectPollRate checks the polls a second of one box with a number of decode engines, over ten seconds at a thousand
+// streams a second.
 func expectPollRate(t *testing.T, engines int, minRate, maxRate float64) {
 	t.Helper()
 	r := New(Options{Box: "a", Region: "r", Protocol: fakeProtocol{}, Peers: fakePeers{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
@@ -42,10 +43,10 @@
 	polls := 0
 	const seconds = 10
 	for at := time.Second; at < (seconds+2)*time.Second; at += pollTick {
-		for range 100 { // A thousand streams a second.
+		for range 100 { // Ten times in a second, so a thousand streams a second.
 			r.streams.add(start.Add(at), "s", 1)
 		}
-		if n := len(duePollsAt(r, start.Add(at))); at >= 2*time.Second { // All engines are new at first.
+		if n := len(duePollsAt(r, start.Add(at))); at >= 2*time.Second { // Until then all engines are new to the box.
 			polls += n
 		}
 	}
@@ -54,21 +55,22 @@
 	}
 }
 
-// The polls grow with the engines up to a bound. A box with 48 of 2,250 engines in its subset has its part of the
-// 300 polls a second of all boxes: 6.4 a second.
+// The polls grow with the number of engines, up to a bound. With 2,250 engines, of which 48 are in its subset, a box
+// has 48/2,250 of the 300 polls a second that are allowed to all boxes: 6.4 a second.
 func TestPollRateOfSmallFleet(t *testing.T) { expectPollRate(t, 9, 13, 25) }
 func TestPollRateOfLargeFleet(t *testing.T) { expectPollRate(t, 2250, 4, 8) }
 
-// TestPollRateFollowsStreams checks that polls are bounded by the streams, and continue at a low rate without any.
+// TestPollRateFollowsStreams checks that the polls are bounded by the rate of streams, and that some polls continue
+// without streams.
 func TestPollRateFollowsStreams(t *testing.T) {
 	for _, c := range []struct {
-		streams float64 // A second.
-		most    float64 // Polls a second of a box with 96 of 300 engines in its subset.
+		streams float64 // Streams a second.
+		most    float64 // The polls a second allowed to a box with 96 of 300 engines in its subset.
 	}{{0, 20. * 96 / 300}, {2, 20. * 96 / 300}, {20, 80. * 96 / 300}, {200, 300. * 96 / 300}} {
 		r := subsetRelay("a", "h-0", fleetOf(300, 0))
 		start, polls, due := time.Now(), 0, 0.0
-		// 45 s are whole periods of the lowest rate, at which each engine is polled every 15 s, so the phase has no
-		// effect.
+		// The last 45 s are measured. At the lowest rate each engine is polled every 15 s, so they are three whole
+		// periods, and it does not matter when the polls of an engine fall.
 		const from, until = 15 * time.Second, 60 * time.Second
 		for at := time.Duration(0); at < until; at += pollTick {
 			for due += c.streams * pollTick.Seconds(); due >= 1; due-- {
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -40,7 +40,8 @@
 	// keptUntil is the time until which the engines store the memory at least; zero before the run is stopped.
 	keptUntil time.Time
 	// resumed is set once a call was made that resumes the stream. atSource is set if the last call of this kind was
-	// made to the source engine, and not to the target. bound is set once bindDecode has bound the attempt to a context.
+	// made to the source engine, and not to the target. bound is set once bindDecode has bound the attempt to a
+	// context.
 	resumed, atSource, bound bool
 	// pauseRetries counts the calls made to the source engine after it had asked for a pause in requests.
 	pauseRetries int
--- a/internal/relay/release_test.go
+++ b/internal/relay/release_test.go
@@ -14,7 +14,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// fakeProtocol encodes the calls that free memory.
+// fakeProtocol encodes the control calls that reserve and free memory, so that an HTTP test server can tell them apart.
 type fakeProtocol struct{ Protocol }
 
 func (fakeProtocol) ParseReply(*http.Response) Reply { return Reply{} }
@@ -33,8 +33,8 @@
 	return Call{Method: http.MethodDelete, Target: "/handle/" + handle}
 }
 
-// TestEndFreesReports checks that memory is freed that a call has reported and the loop has not received when the
-// flight ends.
+// TestEndFreesReports checks that a flight which ends frees the memory named in events that its loop has not received
+// yet.
 func TestEndFreesReports(t *testing.T) {
 	var freed atomic.Int32
 	engine := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { freed.Add(1) }))
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestLeaveWhileSettingAside checks that no reservation remains for a caller that leaves while it is being made: only
-// the engine's answer tells whether it was made.
+// TestLeaveWhileSettingAside checks that no reservation remains at an engine if the caller leaves while the reservation
+// is being made. Whether it was made is known only from the engine's answer, which comes after the caller has left.
 func TestLeaveWhileSettingAside(t *testing.T) {
 	reserving, dropped := make(chan struct{}), make(chan string, 1)
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -94,8 +94,8 @@
 
 func (fakeProtocol) ParsePrefill(body []byte) (string, error) { return string(body), nil }
 
-// TestLeaveAsPromptIsRead checks that nothing remains for a caller that leaves just as its prefill is done: the
-// engine's answer, which names the memory to free, is being sent at that moment.
+// TestLeaveAsPromptIsRead checks that an engine stores nothing for a caller that leaves just as its prefill is done. At
+// that moment the engine is sending the answer that names the memory to free.
 func TestLeaveAsPromptIsRead(t *testing.T) {
 	reading, dropped := make(chan struct{}), make(chan string, 2)
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/relay/split_test.go
+++ b/internal/relay/split_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the property tests, so that every run checks the same cases.
+// TestMain sets a fixed seed for the property tests (rapid), so that each run checks the same cases, unless a seed is
+// given on the command line.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := false
@@ -21,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-// TestSplitter checks that events are returned whole, in order and once, however the stream is cut into reads.
+// TestSplitter checks that events are returned complete, in order and once, however the stream is cut into reads.
 func TestSplitter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		end := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "end")
@@ -53,7 +54,7 @@
 	})
 }
 
-// TestPick checks that each service of a split route gets requests in proportion to its weight.
+// TestPick checks that each service of a route gets requests in proportion to its weight.
 func TestPick(t *testing.T) {
 	r := Route{Targets: []Target{{"a", 90}, {"b", 10}}}
 	n := map[string]int{}
@@ -65,6 +66,8 @@
 	}
 }
 
+// TestCameBack sends one route timeouts of callers, in this order. A caller with clearly less than the longest timeout
+// so far must be taken for one that was refused before.
 func TestCameBack(t *testing.T) {
 	r := &Route{}
 	for _, c := range []struct {
--- a/internal/relay/subset_test.go
+++ b/internal/relay/subset_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// fleetOf returns engines and plain endpoints in five halls.
+// fleetOf lists numbers of engines and plain endpoints, spread over five halls. One engine in four prefills.
 func fleetOf(engines, plain int) (list []Endpoint) {
 	for i := range engines {
 		role := decide.Decode
@@ -27,7 +27,7 @@
 	return list
 }
 
-// subsetRelay returns a box with a list of endpoints.
+// subsetRelay returns a box in a hall, with a list of endpoints.
 func subsetRelay(box, hall string, list []Endpoint) *Relay {
 	r := New(Options{
 		Box: box, Hall: hall, Region: "r", Protocol: fakeProtocol{}, Peers: fakePeers{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1),
@@ -38,7 +38,7 @@
 	return r
 }
 
-// subsetMembers returns the engines, and the number of plain endpoints, that a box uses.
+// subsetMembers returns the engines in the box's subset, and the number of endpoints in its table of plain services.
 func (r *Relay) subsetMembers() (engines map[string]bool, plain int) {
 	engines = map[string]bool{}
 	list, _, _ := r.Engines()
@@ -51,8 +51,8 @@
 	return engines, plain
 }
 
-// TestSubsetSizeIsBounded guards against memory use that grows with the fleet: 986 boxes that each used all of 10,000
-// endpoints took 43 MB each, and the machine ran out of memory. A small fleet is used whole.
+// TestSubsetSizeIsBounded guards against memory use that grows with the fleet: when each of 986 boxes used all of
+// 10,000 endpoints, a box took 43 MB, and the machine ran out of memory. All endpoints of a small fleet must be used.
 func TestSubsetSizeIsBounded(t *testing.T) {
 	for _, c := range []struct{ engines, plain, wantEngines, wantPlain int }{
 		{9, 3, 9, 3},
@@ -62,15 +62,15 @@
 		{17300, 2700, 96, 48},
 	} {
 		engines, plain := subsetRelay("a", "h-0", fleetOf(c.engines, c.plain)).subsetMembers()
-		plain -= len(engines) // The table of plain services also has the engines.
+		plain -= len(engines) // The table has the engines too.
 		if len(engines) != c.wantEngines || plain != c.wantPlain {
 			t.Errorf("%d engines and %d others: expected %d and %d in the subset, got %d and %d", c.engines, c.plain, c.wantEngines, c.wantPlain, len(engines), plain)
 		}
 	}
 }
 
-// TestSubsetsCoverFleet checks that nearly every engine is used by some boxes, so that its capacity is not lost, and
-// none by very many.
+// TestSubsetsCoverFleet checks that nearly every engine is in the subset of some box, since its capacity would be lost
+// otherwise, and that no engine is in the subsets of very many boxes.
 func TestSubsetsCoverFleet(t *testing.T) {
 	list := fleetOf(1000, 0)
 	users := map[string]int{}
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestSubsetGrowsOnRefusal checks that a box which finds no capacity uses more endpoints.
+// TestSubsetGrowsOnRefusal checks that a box uses more endpoints after a request was refused for lack of capacity.
 func TestSubsetGrowsOnRefusal(t *testing.T) {
 	r := subsetRelay("a", "h-0", fleetOf(600, 0))
 	count := func() int { engines, _ := r.subsetMembers(); return len(engines) }
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestDeselectedEngineIsRetained checks that an engine which is no longer selected is used for some time: a stream may
-// be running there, and would be migrated as if the engine were leaving. An engine is also used once this box was
-// asked for room as its owner.
+// TestDeselectedEngineIsRetained checks that an engine stays in use for some time after the subset no longer selects
+// it. A stream may be running there, and would otherwise be migrated as if the engine were leaving. An engine must also
+// come into use once another box asks this one, as its owner, for room there.
 func TestDeselectedEngineIsRetained(t *testing.T) {
 	r := subsetRelay("a", "h-0", fleetOf(600, 0))
 	before, _ := r.subsetMembers()
