--- a/internal/relay/accounts.go
+++ b/internal/relay/accounts.go
@@ -97,7 +97,7 @@
 // key, but with the reason RevokedKey. The map is immutable once stored.
 type revoked map[KeyHash]struct{}
 
-// updated returns the revoked keys when the configuration next replaces old.
+// updated returns the keys that are revoked once the configuration next has replaced old.
 func (r revoked) updated(old, next *Config) revoked {
 	out := make(revoked, len(r))
 	for k := range r {
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -66,7 +66,7 @@
 // prefill that takes longer is stopped by closing its connection.
 const prefillGracePeriod = 50 * time.Millisecond
 
-// withGracePeriod returns a context that ends d after ctx.
+// withGracePeriod returns a context that ends a time d after the end of ctx.
 func withGracePeriod(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	out, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
@@ -138,8 +138,8 @@
 	return id
 }
 
+// controlRequest builds the HTTP request for a control call, a call to an endpoint that is not a caller's request.
 func controlRequest(endpoint, address string, c Call) *h1.Request {
-	// controlRequest builds the HTTP request of a control call to an endpoint.
 	h := http.Header{}
 	if c.Body != nil {
 		h.Set("Content-Type", "application/json")
@@ -147,7 +147,7 @@
 	return &h1.Request{Address: address, Endpoint: endpoint, Method: c.Method, Target: c.Target, Host: address, Header: h, Body: c.Body}
 }
 
-// reasonOf returns why a call got no answer.
+// reasonOf returns why a call got no answer, as shown by the error of the call.
 func reasonOf(err error) outcome.Reason {
 	var e *h1.Error
 	switch {
@@ -254,8 +254,8 @@
 }
 
 // reportStream reads a stream to its end, and reports only complete events: an engine may stop in the middle of an
-// event, and the stream is then resumed elsewhere after the last complete event. If the stream was resumed after an
-// event, an empty answer is a complete one, since the caller may have received the last event before.
+// event, and the stream is then resumed at another engine after the last complete event. If the stream was resumed
+// after an event, an empty answer is a complete one, since the caller may have received the last event before.
 func (f *flight) reportStream(a decide.Attempt, resp *http.Response, sent time.Time, resumed bool) {
 	var s splitter
 	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -163,8 +163,8 @@
 	byBox map[string]waitingCount
 }
 
+// waitingCount is the number of streams that wait on a box, at a time.
 type waitingCount struct {
-	// waitingCount is the number of streams that wait on a box, at a time.
 	n  int
 	at time.Time
 }
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// release subtracts n bytes that reserve has added.
 func (m *memory) release(n int64) { m.used.Add(-n) }
 
 // underPressure reports whether more than three quarters of the limit are in use.
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -25,7 +25,7 @@
 	r.observe(q, resp, notice.Answer{Sent: sent, Completed: ran, Notice: reply.Notice})
 }
 
-// observeControl handles the header of an endpoint's answer to a control call.
+// observeControl handles the header of an endpoint's answer to one of the box's own calls (control calls).
 func (r *Relay) observeControl(q *h1.Request, resp *http.Response, sent time.Time) {
 	r.observe(q, resp, notice.Answer{Sent: sent, Notice: r.protocol.ParseReply(resp).Notice})
 }
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -133,6 +133,7 @@
 	connLoss connLoss
 }
 
+// drop closes the body of an answer that is not needed any more.
 func (a *plainAnswer) drop() {
 	if a.resp != nil {
 		_ = a.resp.Body.Close()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -79,8 +79,8 @@
 	o        Options
 	protocol Protocol
 	disp     *dispatch.Dispatcher
-	// callerPool has the connections for callers' requests, and controlPool those for control calls. On a shared
-	// connection, a late answer to a caller's request could be taken for the answer to a control call.
+	// callerPool has the connections for callers' requests, and controlPool those for the box's own calls. On a shared
+	// connection, a late answer to a caller's request could be taken for the answer to one of the box's own calls.
 	callerPool  *h1.Pool
 	controlPool *h1.Pool
 	plain       *plainTable
@@ -166,7 +166,7 @@
 func (r *Relay) RecordStall(d time.Duration) { r.lastStall.Store(&stall{d, clock.Now()}) }
 
 // Conditions returns the conditions of the box that the records of requests contain: the age of its configuration, and
-// the last period during which the process was not scheduled.
+// the length and age of the last period during which the process was not scheduled.
 func (r *Relay) Conditions() account.Conditions {
 	var c account.Conditions
 	if since := r.cfgAppliedAt.Load(); since != nil {
@@ -178,8 +178,9 @@
 	return c
 }
 
-// Policies finds the policy that applies to a request, by the kind of its route, its service and its priority. For also
-// returns the name of the rule that selected the policy. The policy is nil if none applies.
+// Policies finds policies: the operators' programs that decide on requests. For returns the policy for a request, by
+// the kind of its route, its service and its priority, and the name of the rule that selected the policy. The policy is
+// nil if none applies.
 type Policies interface {
 	For(kind, service string, priority int) (decide.Policy, string)
 }
@@ -246,7 +247,8 @@
 // that it can finish by the deadline.
 func (r *Relay) BeginStop(deadline time.Time) { r.stopDeadline.Store(deadline.UnixNano()) }
 
-// outlastsStop reports whether a stream that starts now would probably still run at the deadline of a planned stop.
+// outlastsStop reports whether a stream that starts now would probably still run at the deadline of a planned stop; it
+// is false if no stop is planned.
 func (r *Relay) outlastsStop(now time.Time, service string, tokens int) bool {
 	deadline := r.stopDeadline.Load()
 	if deadline == 0 {
@@ -433,7 +435,7 @@
 	case err != nil:
 		return outcome.Refuse(outcome.BadRequest, "the body ended early"), false
 	}
-	// A read deadline that passes later would be taken for a caller that has closed its connection.
+	// With a read deadline, the server could not detect later that the caller closes its connection.
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
 	x.body = b
 	return outcome.Outcome{}, true
@@ -503,7 +505,7 @@
 	return s
 }
 
-// refuse ends the request with an error answer, unless an answer has begun.
+// refuse ends the request. If no answer has begun, refuse writes an error answer.
 func (x *exchange) refuse(o outcome.Outcome) {
 	if o.Kind == outcome.NotRun && x.service != nil && isCapacityRefusal(o.Reason) {
 		x.r.growSubset(clock.Now(), x.service.Name)
@@ -521,8 +523,8 @@
 	x.trace.Close(o)
 }
 
-// cutOff closes the caller's connection in the middle of an answer that cannot be completed. The caller would otherwise
-// take the answer for complete.
+// cutOff ends a request whose answer cannot be completed, by closing the caller's connection. The caller would
+// otherwise take the answer for complete.
 func (x *exchange) cutOff(o outcome.Outcome) {
 	if x.begun {
 		_ = http.NewResponseController(x.w).Flush() // The caller gets the bytes received so far.
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -20,13 +20,14 @@
 const (
 	// eventBuffer is the number of reported events that a flight buffers while its caller is slow.
 	eventBuffer = 32
-	// controlCallTimeout limits the wait for the answer to a control call that reserves or frees engine memory.
+	// controlCallTimeout limits the wait for the answer to a control call (a call of the box that is not a caller's
+	// request) that reserves or frees engine memory.
 	controlCallTimeout = 700 * time.Millisecond
 	// releaseTries is the number of attempts to free memory if the engine does not answer, and releaseRetryDelay the
 	// pause between two attempts.
 	releaseTries      = 3
 	releaseRetryDelay = 250 * time.Millisecond
-	// maxControlAnswer limits the body of the answer to a control call, in bytes.
+	// maxControlAnswer limits the body of the answer to a control call or to a prefill, in bytes.
 	maxControlAnswer = 64 << 10
 )
 
@@ -44,8 +45,8 @@
 	prefillEngine  string         // The engine of the current prefill call.
 	decodeAttempt  decide.Attempt // The attempt number of the current decode call.
 	decodeEngine   string         // The engine of the current decode call.
-	// abandonedAttempt is a decode call that began to answer after the decision core had given it up; 0 if there is
-	// none. Nothing of its answer is passed on.
+	// abandonedAttempt is the attempt number of a decode call that began to answer after the decision core had given
+	// the call up; 0 if there is none. Nothing of such an answer is passed on.
 	abandonedAttempt decide.Attempt
 	// plannedDecode is the decode engine that the flight asks for a reservation.
 	plannedDecode string
@@ -60,7 +61,7 @@
 	// stopDecode cancels the current decode call.
 	stopDecode context.CancelFunc
 
-	firstEventAt time.Time // When the first event was sent to the caller; zero before.
+	firstEventAt time.Time // When the first event was sent to the caller; zero before that.
 	lastEventAt  time.Time // When the last event was sent to the caller; zero before the first.
 	lastID       string    // The id of the last event sent to the caller.
 	eventsSent   int       // The number of events sent to the caller.
@@ -148,9 +149,9 @@
 		x.trace.Close(o)
 	case x.begun || o.Kind == outcome.Cancelled:
 		if o.Kind != outcome.Cancelled {
-			o.Kind = outcome.CutOff // An answer that began is cut off, whatever kind the decision core gave its end.
+			o.Kind = outcome.CutOff // The decision core does not know that part of the answer was sent.
 		}
-		x.cutOff(o) // A plain return would make the incomplete answer look complete.
+		x.cutOff(o) // If the handler returned instead, the incomplete answer would look complete.
 	default:
 		if o.RetryAfter > 0 {
 			o.RetryAfter = max(o.RetryAfter, jitter(streamRetryAfter))
@@ -238,7 +239,7 @@
 			}
 		case ev := <-f.events:
 			if f.ctx.Err() != nil {
-				return f.finishExpired(ev) // The end of the request cancels its calls, so their errors are no failures of engines.
+				return f.finishExpired(ev) // The event may be an error caused by canceling the calls, and no failure of the engine.
 			}
 			if o, end := f.handleEvent(ev); end {
 				return o
@@ -308,8 +309,8 @@
 	}
 }
 
+// recordStep adds an action of the decision core to the request's trace.
 func (f *flight) recordStep(a decide.Action) {
-	// recordStep adds an action of the decision core to the request's trace.
 	if s, ok := record.NewStep(a); ok {
 		f.x.trace.Step(s)
 	}
@@ -326,7 +327,7 @@
 	}
 	switch a := a.(type) {
 	case decide.Retry:
-		// The engine of a stalled transfer may have run the request, so it must not be reported as "not run" later.
+		// An engine that did not answer in time may have run the request, so a later refusal must not say "not run".
 		f.x.ran = f.x.ran || a.Reason == outcome.TransferStalled
 	case decide.Migrate:
 		f.migrate(a)
@@ -377,7 +378,8 @@
 }
 
 // freeReservation frees the memory that an engine has reserved for the flight, if any. It is called when the answer
-// begins, at the latest: the engine would count the reservation beside the memory of the run until it expires.
+// begins, at the latest: the engine would count the reservation beside the memory of the run until the reservation
+// expires.
 func (f *flight) freeReservation() {
 	if f.reservation.id != "" {
 		f.x.r.drop(f.reservation.engine, f.x.r.disp.Address(f.reservation.engine), f.x.r.protocol.ReleaseReservation(f.reservation.id))
@@ -409,7 +411,7 @@
 	case ev.reserved != nil:
 		f.reservation = *ev.reserved
 		f.publishPlaced(ev.attempt)
-		f.countCall(ev.attempt) // Calls are counted from the reservation on: before it the request is in no engine's queue.
+		f.countCall(ev.attempt) // Not before, as until now the request was in no engine's queue.
 	case ev.noRoom != nil:
 		f.x.trace.Step(record.Step{Kind: record.StepNoRoom, Attempt: int(ev.attempt), Decode: f.plannedDecode, Text: ev.noRoom.owner})
 		f.x.r.disp.Step(decide.ReservationRefused{ID: f.id, Attempt: ev.attempt})
@@ -477,8 +479,8 @@
 }
 
 // beginAnswer handles the beginning of a call's answer. The header is passed to the caller only from the first call
-// that answers: a stream that is resumed at another engine keeps it. If the decision core has given the call up,
-// nothing of its answer is passed on.
+// that answers: a stream that is resumed at another engine keeps the first header. If the decision core has given the
+// call up, nothing of its answer is passed on.
 func (f *flight) beginAnswer(ev flightEvent) (outcome.Outcome, bool) {
 	if !f.migration.is(ev.attempt) && !f.x.r.disp.AcceptFirstToken(decide.FirstToken{
 		ID: f.id, Attempt: ev.attempt, Tokens: ev.head.part.events * f.x.service.Engines.TokensPerEvent,
@@ -492,7 +494,7 @@
 		f.x.rec.FirstToken = f.firstEventAt.Sub(f.x.arrived)
 		f.x.r.m.FirstToken.Update(f.x.rec.FirstToken.Seconds())
 	}
-	f.source = Source{} // The engine that answers has used the result of the prefill.
+	f.source = Source{} // The engine that answers has used up the result of the prefill.
 	f.freeReservation()
 	if f.migration.is(ev.attempt) {
 		f.finishMigration()
@@ -545,9 +547,9 @@
 	return outcome.Outcome{Kind: outcome.Answered}
 }
 
-// free frees all that engines store for the flight: its reservation, the result of its last prefill, and the memory of
-// an unfinished migration. The calls that free the memory may outlast the request, and Relay.Drain waits for them. If
-// they fail, the engine frees the memory when its time to live ends.
+// free frees all that engines store for the flight: its memory reservation, the result of its last prefill, and the KV
+// cache of an unfinished migration. The calls that free the memory may outlast the request, and Relay.Drain waits for
+// these calls. If they fail, the memory is freed when it expires at the engine.
 func (f *flight) free() {
 	f.freeReservation()
 	f.freeMigration()
@@ -557,7 +559,7 @@
 	}
 }
 
-// drop sends a control call that frees memory at an engine, and does not wait for its end. The call is repeated if it
+// drop has an engine free memory, by the call c, and does not wait for the end of the call. The call is repeated if it
 // is not answered, because the memory may not have been freed. An engine whose port refuses connections has crashed and
 // stores nothing, so the call is not repeated.
 func (r *Relay) drop(engine, address string, c Call) {
--- a/internal/relay/streams.go
+++ b/internal/relay/streams.go
@@ -22,8 +22,8 @@
 // between streams.
 const rateTimeConstant = 5 * time.Second
 
+// value returns the average at the time now.
 func (s streamRate) value(now time.Time) float64 {
-	// value returns the average at the time now.
 	return s.perSecond * math.Exp(-float64(now.Sub(s.at))/float64(rateTimeConstant))
 }
 
