--- a/internal/relay/callerconn_test.go
+++ b/internal/relay/callerconn_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// stallingConn is a connection of a process that is not scheduled before its first writes. Each of them finds its
-// deadline passed; stalls is the number of writes for which this is still to happen.
+// stallingConn is a connection of a process that is not scheduled before its first writes. Such a
+// write finds its deadline passed, and fails; stalls is the number of writes that are still to fail.
 type stallingConn struct {
 	stalls  int
 	written bytes.Buffer
--- a/internal/relay/cold.go
+++ b/internal/relay/cold.go
@@ -11,8 +11,8 @@
 )
 
 // This file keeps track of cold endpoints. An endpoint is cold when it has just started and can handle only a few
-// requests a second yet. Its entry in the list of endpoints says how much longer it is cold. When the evacuation of a
-// hall ends, its endpoints are treated as cold for as long as after a start.
+// requests a second yet. The platform's list of endpoints says how much longer the endpoint is cold. When the
+// evacuation of a hall ends, its endpoints are treated as cold for as long as after a start.
 
 // coldEndpoint is an endpoint that is or was cold.
 type coldEndpoint struct {
@@ -25,7 +25,7 @@
 	logged  bool // The log has a line about the endpoint.
 }
 
-// updateCold applies the cold periods of a new list of endpoints, and forgets those that have ended. The lock is held.
+// updateCold applies the cold periods of a new list of endpoints, and forgets those that have ended. f.mu is held.
 func (f *fleet) updateCold(now time.Time) {
 	for _, e := range f.endpoints {
 		f.markCold(e.ID, now, e.ColdLeft)
@@ -36,7 +36,7 @@
 	})
 }
 
-// endEvacuation records that a hall is no longer evacuated: its endpoints may be cold from now on. The lock is held.
+// endEvacuation records that a hall is no longer evacuated: its endpoints may be cold from now on. f.mu is held.
 func (f *fleet) endEvacuation(now time.Time, hall string) {
 	for _, e := range f.endpoints {
 		if e.Hall == hall {
@@ -45,7 +45,7 @@
 	}
 }
 
-// markCold records that an endpoint may be cold for a duration from now. The lock is held.
+// markCold records that an endpoint may be cold for a duration from now. f.mu is held.
 func (f *fleet) markCold(id string, now time.Time, d time.Duration) {
 	if d <= 0 {
 		return
@@ -61,7 +61,7 @@
 	}
 }
 
-// service returns a service of the configuration, or an empty one if the service is not configured. The lock is held.
+// service returns a service of the configuration, or an empty one if the service is not configured. f.mu is held.
 func (f *fleet) service(name string) *Service {
 	if f.cfg != nil && f.cfg.Services[name] != nil {
 		return f.cfg.Services[name]
@@ -69,8 +69,8 @@
 	return &Service{}
 }
 
-// setCold sets, for each cold endpoint, when it stops being cold and how often this box may send to it until then. The
-// lock is held.
+// setCold sets, for each cold endpoint, when it stops being cold and how often this box may send to it until then.
+// r.fleet.mu is held.
 func (r *Relay) setCold(now time.Time, known []knownEndpoint) {
 	lines := 0
 	for i := range known {
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -65,7 +65,7 @@
 	failureWeight     = 0.1
 	failureHalfLife   = 3 * time.Second
 	failureCostFactor = 6
-	// otherHallCostFactor is the factor by which the cost of an endpoint in another hall is raised.
+	// otherHallCostFactor is the factor by which the cost of an endpoint in another hall is multiplied.
 	otherHallCostFactor = 1.15
 )
 
@@ -156,8 +156,8 @@
 }
 
 // choose selects the endpoint with the lowest expected latency among those of a region that accept a call and are not
-// in tried. Endpoints that are set aside are a last resort. If no endpoint accepts a call, choose returns nil and the
-// time until the first endpoint will that asked for fewer requests, or 0 if there is none.
+// in tried. Endpoints that are set aside are a last resort. If no endpoint accepts a call, choose returns nil. wait is
+// then the time until the first of the endpoints that asked for fewer requests accepts a call, or 0 if none asked.
 func (t *plainTable) choose(service, region string, now time.Time, tried map[string]bool) (_ *chosenEndpoint, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -232,7 +232,7 @@
 }
 
 // subscribeEngines asks the other boxes for messages about the engines in this box's subset. If the subset has all
-// engines that accept requests, it asks for messages about all engines. The lock is held.
+// engines that accept requests, it asks for messages about all engines. r.fleet.mu is held.
 func (r *Relay) subscribeEngines(engines []decide.Engine) {
 	if r.o.Peers == nil {
 		return
@@ -253,7 +253,7 @@
 }
 
 // describeEngines converts the engines in the subset for the decision core, returns them with their addresses, and
-// updates engineList. The lock is held.
+// updates engineList. f.mu is held.
 func (f *fleet) describeEngines(known []knownEndpoint) (decide.Fleet, map[string]string) {
 	f.engineList, f.engineCounts = nil, map[string]int{}
 	var out decide.Fleet
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -39,7 +39,7 @@
 	f.x.r.publish(overlay.Message{Placed: p})
 }
 
-// publishStreamEnded publishes that an engine no longer runs the stream, unless the stream has not begun.
+// publishStreamEnded publishes that an engine no longer runs the stream, if the stream has begun.
 func (f *flight) publishStreamEnded(engine string) {
 	if f.firstEventAt.IsZero() || engine == "" {
 		return
--- a/internal/relay/halls.go
+++ b/internal/relay/halls.go
@@ -29,7 +29,7 @@
 // open reports whether the endpoint may get new requests: neither is it leaving nor is its hall evacuated.
 func (e *knownEndpoint) open() bool { return !e.Leaving && !e.Evacuated }
 
-// describe returns endpoint i of the list, with what the box knows beyond the list. The lock is held.
+// describe returns endpoint i of the list, with what the box knows beyond the list. f.mu is held.
 func (f *fleet) describe(i int) knownEndpoint {
 	e := knownEndpoint{Endpoint: f.endpoints[i]}
 	e.Role = f.roles[e.ID].role()
@@ -39,8 +39,9 @@
 	return e
 }
 
-// SetEvacuated sets the data halls that are evacuated. From then on no request is sent there, and no memory is
-// reserved, prefilled or migrated there; streams that run there are finished.
+// SetEvacuated sets the data halls that are evacuated. From then on no request is sent to an
+// endpoint there: no memory is reserved, no prompt prefilled, and no stream migrated to it. Streams that run there are
+// finished.
 func (r *Relay) SetEvacuated(halls []string) {
 	next := make(map[string]bool, len(halls))
 	for _, h := range halls {
@@ -85,7 +86,7 @@
 }
 
 // inServedRegion reports whether this box may send requests to an endpoint. It may if the endpoint's region is the
-// box's own, or is in named, the regions that routes or accounts name. The lock is held.
+// box's own, or is in named, the regions that routes or accounts name. f.mu is held.
 //
 // Boxes exchange messages about endpoints only within their region, so that all boxes which send requests to an
 // endpoint know its load. When boxes also used the engines of three regions as if these were near, two thirds of an
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -96,7 +96,7 @@
 }
 
 // duePolls lists the engines that this box must poll now, and returns the time until the next poll is due. The
-// polls of all boxes are bounded by the number of streams.
+// rate of polls of all boxes together is bounded by the rate of streams (pollsPerStream).
 func (r *Relay) duePolls(now time.Time) (out []Endpoint, next time.Duration) {
 	next = maxPollPause
 	neighbours := float64(r.o.Peers.RegionSize())
@@ -226,8 +226,8 @@
 	go r.pollLoad(context.Background(), e)
 }
 
-// refusalPollInterval is the minimum time between two polls of an engine that refuses requests. The result of a poll is
-// some hundred ms old anyway.
+// refusalPollInterval is the minimum time between two polls of an engine that refuses requests. The loads that
+// a box knows are some hundred ms old anyway.
 const refusalPollInterval = time.Second
 
 // runs converts the engine's streams from events to tokens.
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestSuspendedBox checks that what was received before a suspension of the machine is stale after it: engines are
-// polled again, and streams that waited on other boxes no longer count.
+// TestSuspendedBox checks that what a box received before its machine was suspended is stale afterwards: the box polls
+// engines again, and no longer counts the streams that waited on other boxes.
 func TestSuspendedBox(t *testing.T) {
 	var suspended time.Duration
 	defer clock.SetSuspendedForTest(func() time.Duration { return suspended })()
@@ -109,28 +109,29 @@
 	}
 }
 
-// duePollsAt lists the engines that a box must poll at a time.
+// duePollsAt lists the engines that a box must poll at the time now.
 func duePollsAt(r *Relay, now time.Time) []Endpoint {
 	list, _ := r.duePolls(now)
 	return list
 }
 
-// TestNewEnginesArePolledInTurn guards against polling all engines at once that start together: without streams, all
-// boxes together may poll 20 a second, and 8,650 engines that 986 boxes saw listed at one moment were polled within
-// 2 s.
+// TestNewEnginesArePolledInTurn guards against polling all engines at once that start together. Without streams, all
+// boxes together may poll 20 engines a second. Yet when 986 boxes saw 8,650 engines listed at one moment, all were
+// polled within 2 s.
 func TestNewEnginesArePolledInTurn(t *testing.T) {
 	r := subsetRelay("a", "h-0", fleetOf(8650, 0))
 	start, polls := time.Now(), 0
 	for at := time.Duration(0); at < 10*time.Second; at += pollTick {
 		polls += len(duePollsAt(r, start.Add(at)))
 	}
-	// The box polls each of its 96 engines once in the 432 s of a round.
+	// At 20 polls a second, a round of polls of all 8,650 engines takes 432 s. In a round the box polls each of the 96
+	// engines in its subset once.
 	if most := 8; polls > most {
 		t.Errorf("expected at most %d polls in the first ten seconds, got %d", most, polls)
 	}
-	// The same holds when streams begin, at 40 a second and then 80: these allow 160 and 300 polls a second of all
-	// boxes, 9 and 17 in five seconds of a box that receives no loads from others. The bound is twice that, for
-	// jitters that coincide; a schedule by time alone polled 38 and more.
+	// Then streams begin, at 40 a second and later 80. They allow 160 and later 300 polls a second of all boxes. Of
+	// these, 9 and later 17 in five seconds are due on this box, if it receives no loads from others. The bound is
+	// twice 17, because jitters may coincide. A schedule by time alone polled 38 engines and more.
 	var recent []int
 	for at := 10 * time.Second; at < 150*time.Second; at += pollTick {
 		streams := 4
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -217,7 +217,8 @@
 }
 
 // resumeElsewhere aborts a migration whose run has ended and whose request was not answered, and has the stream
-// prefilled again at another engine. If that is not possible, only the answer can resume the stream, and it waits on.
+// prefilled again at another engine. If that is not possible, only the answer can resume the stream, and is waited for
+// again.
 func (f *flight) resumeElsewhere() {
 	m := f.migration
 	if m.source.Handle != "" {
@@ -246,7 +247,7 @@
 }
 
 // resumeWhenStopped makes the call that resumes the stream, once the run is stopped and its call has ended. The call
-// goes to the target engine, unless mustResumeAtSource.
+// goes to the target engine, or to the source engine if the target cannot resume the stream.
 func (f *flight) resumeWhenStopped() {
 	m := f.migration
 	if m.source.Handle == "" || m.sourceEnd == nil || m.resumed {
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -30,8 +30,8 @@
 	r.observe(q, resp, notice.Answer{Sent: sent, Notice: r.protocol.ParseReply(resp).Notice})
 }
 
-// observe applies the notice in the header of an answer, and publishes it if needed. An answer with the status
-// "misdirected" is ignored, because it came from another endpoint than the one that was called.
+// observe applies the notice in the header of an answer, and publishes it if the other boxes must know it. An answer
+// with the status "misdirected" is ignored, because it came from another endpoint than the one that was called.
 func (r *Relay) observe(q *h1.Request, resp *http.Response, a notice.Answer) {
 	if q.Endpoint == "" || resp.StatusCode == http.StatusMisdirectedRequest {
 		return
--- a/internal/relay/room_test.go
+++ b/internal/relay/room_test.go
@@ -12,8 +12,9 @@
 )
 
 // expectRoom has a box own an engine with memory for 20,000 tokens, and grant room there to a stream of 6,000 tokens.
-// The box then receives the message that placedBy granted the room of a stream of that size. expectRoom checks whether
-// the box still has room for a second stream with a prompt of 11,000 tokens.
+// The box then receives the message that a stream of that size was placed on the engine. placedBy is the box that
+// granted the room for it; empty if none did. want is whether the box must still have room for a second stream, whose
+// prompt has 11,000 tokens.
 func expectRoom(t *testing.T, placedBy string, want bool) {
 	t.Helper()
 	r := New(Options{Box: "home", Region: "r", Protocol: fakeProtocol{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
--- a/internal/relay/subset.go
+++ b/internal/relay/subset.go
@@ -50,7 +50,7 @@
 
 // subset computes the endpoints that this box uses, and counts the others that accept requests (omitted). It visits
 // every endpoint of the list but keeps descriptions of few: keeping one of each of 10,000 endpoints made 1.7 MB of
-// garbage at each change of the list. The lock is held.
+// garbage at each change of the list. f.mu is held.
 func (f *fleet) subset(now time.Time) []knownEndpoint {
 	named := f.cfg.regions()
 	groups := f.groups(named)
@@ -89,8 +89,8 @@
 	return out
 }
 
-// groups returns the endpoints that accept requests and that this box may use, as positions in the list, by group. The
-// lock is held.
+// groups returns the endpoints that accept requests and that this box may use, as positions in the list, by group.
+// f.mu is held.
 func (f *fleet) groups(named map[string]bool) map[group][]int {
 	out := map[group][]int{}
 	for i := range f.endpoints {
@@ -104,7 +104,7 @@
 
 func (e *knownEndpoint) group() group { return group{e.Service, e.Region, e.Role} }
 
-// retain records that an endpoint is in use now, so that it stays in the subset. The lock is held.
+// retain records that an endpoint is in use now, so that it stays in the subset. f.mu is held.
 func (f *fleet) retain(id string, now time.Time) {
 	if f.retainedAt == nil {
 		f.retainedAt = map[string]time.Time{}
@@ -112,7 +112,7 @@
 	f.retainedAt[id] = now
 }
 
-// selectMembers selects, from the positions of a group's endpoints, those in this box's subset. The lock is held.
+// selectMembers selects, from the positions of a group's endpoints, those in this box's subset. f.mu is held.
 func (f *fleet) selectMembers(members []int, scale subsetScale) []int {
 	near, far := subsetNear*max(1, scale.factor), subsetFar*max(1, scale.factor)
 	if len(members) <= near+far {
@@ -175,7 +175,7 @@
 	return all, float64(kept) / float64(max(1, all))
 }
 
-// isPartial reports whether the box's subset lacks endpoints of a service that accept requests. The lock is held.
+// isPartial reports whether the box's subset lacks endpoints of a service that accept requests. f.mu is held.
 func (f *fleet) isPartial(service string) bool {
 	for g, n := range f.omitted {
 		if g.service == service && n > 0 {
@@ -212,7 +212,7 @@
 }
 
 // shrinkSubsets halves the enlarged subsets whose size has not changed for a while, and forgets endpoints that have not
-// been in use for retainFor. The lock is held.
+// been in use for retainFor. f.mu is held.
 func (f *fleet) shrinkSubsets(now time.Time) {
 	for service, c := range f.subsetScales {
 		if c.factor > 1 && now.Sub(c.grownAt) > subsetShrinkAfter {
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -236,8 +236,9 @@
 
 // Migration is an engine's answer to a migration request.
 type Migration struct {
-	// Handle names the memory of the run. The run was stopped, and can be resumed with the handle: at the other engine
-	// if Copied is set, and otherwise at the first one. Handle is empty if the run was not stopped.
+	// Handle names the memory of the stopped run; it is empty if the run was not stopped. With the handle the run can
+	// be resumed: if Copied is set, at the engine that the memory was copied to, and otherwise at the engine that ran
+	// it.
 	Handle string
 	Copied bool
 	// InProgress is set if the engine is still working on an earlier request for the same migration.
@@ -274,6 +275,7 @@
 	LoadCall() Call
 	ParseLoad(body []byte) (Load, error)
 	// SetRole orders an engine to change its role. The engine obeys only if it has accepted exactly the given number of
-	// orders since its start. holder is the box that sends the order, and fence the number of its lease.
+	// orders since its start. holder is the box that sends the order. fence is the number of
+	// the lease that gives the box the right to send orders; later leases have greater numbers.
 	SetRole(instance string, role decide.EngineRole, holder string, fence, orders int64) (Call, http.Header)
 }
