--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -170,8 +170,8 @@
 // docs/design/relay.md has the figures for this value together with reservationTTL.
 const reservedOutputShare = 0.9
 
-// headroomTokens are reserved in addition to reservedOutputShare, because running streams grow while the new one is
-// prefilled. A larger share in place of the fixed number would exclude the longest answers.
+// headroomTokens are reserved in addition to reservedOutputShare of an answer, because running streams grow while a new
+// stream is prefilled. A larger reservedOutputShare in place of the fixed number would exclude the longest answers.
 const headroomTokens = 1500
 
 // reservationTTL is how long memory is reserved. An engine counts a reservation beside the memory in use until the
--- a/internal/relay/cold.go
+++ b/internal/relay/cold.go
@@ -17,8 +17,8 @@
 // coldEndpoint is an endpoint that is or was cold.
 type coldEndpoint struct {
 	endsAt time.Time // When the cold period ends.
-	// pace is the shortest interval between requests of this box to the endpoint. It was computed from version of the
-	// list of boxes, once paced is set.
+	// pace is the shortest interval between requests of this box to the endpoint; 0 if this box may send none. It is
+	// valid once paced is set, and was computed from the list of boxes with that version.
 	pace    pacing.ColdPace
 	version int64
 	paced   bool
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -152,7 +152,8 @@
 
 const (
 	// waitingPublishInterval is the interval at which the number of streams that wait on this box is published if it
-	// has changed. waitingTTL is how long a received number is valid; a number above zero is published again before.
+	// has changed. waitingTTL is how long a received number is valid; a number above zero is published again after half
+	// that time.
 	waitingPublishInterval = 100 * time.Millisecond
 	waitingTTL             = time.Second
 )
--- a/internal/relay/pollschedule.go
+++ b/internal/relay/pollschedule.go
@@ -10,9 +10,9 @@
 
 // This file decides when a box polls an engine for its load. An engine is due when enough time has passed and enough
 // rounds; in one round, all engines may be polled once. Time alone is not enough. The rate of polls allowed to all
-// boxes grows with their streams. As soon as it rises, all engines that were polled a while ago would become due at
-// once, on all boxes. By time alone, while streams went on, a box with 96 of 8,650 engines polled 38 of them within
-// five seconds, where seven are allowed (TestNewEnginesArePolledInTurn).
+// boxes grows with their streams. As soon as that rate rises, all engines that were polled a while ago would become due
+// at once, on all boxes. With a schedule by time alone, while streams went on, a box with 96 of 8,650 engines polled 38
+// of them within five seconds, where seven are allowed (TestNewEnginesArePolledInTurn).
 
 // pollSchedule spreads the polls of a service's engines over time and over the boxes that have them in their subsets.
 type pollSchedule struct {
@@ -43,7 +43,8 @@
 	return pollDelay{after + first.time, 1 + first.rounds}, first
 }
 
-// remaining returns the time until a delay is over. The delay began ago before now, and rounds have passed since.
+// remaining returns the time until a delay is over. ago is the time, and rounds the number of rounds, since the delay
+// began.
 func (t pollSchedule) remaining(delay pollDelay, ago time.Duration, rounds float64) time.Duration {
 	return max(delay.time-ago, seconds((delay.rounds-rounds)*t.round.Seconds()))
 }
@@ -102,7 +103,8 @@
 	return true, maxPollPause
 }
 
-// claimStalePoll reports whether the last load of an engine is older than within, and if so records a poll now.
+// claimStalePoll reports whether the last load of an engine is older than the duration within, and if so records a poll
+// now.
 func (f *fleet) claimStalePoll(id string, now time.Time, within time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -30,8 +30,8 @@
 	return o, true
 }
 
-// maxRememberedBody limits, while the list of crashes is empty, the body of an answered request that is recorded, in
-// bytes. Computing the fingerprint of a request costs 1 ns for each byte of its body.
+// maxRememberedBody is the longest body, in bytes, of an answered request that is recorded while the list of crashes is
+// empty. Recording needs the fingerprint of the request, which costs 1 ns for each byte of the body.
 const maxRememberedBody = 64 << 10
 
 // recordServed records that an endpoint answered the request completely without crashing.
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -82,7 +82,7 @@
 	attempt       decide.Attempt
 	reserved      *reservation // An engine has reserved memory.
 	noRoom        *noRoom      // No memory was reserved.
-	prefillResult *Source      // The prefill is done; its result is stored there.
+	prefillResult *Source      // The prefill is done; this is where its result is stored.
 	head          *headPart    // The answer has begun.
 	part          *part        // More of the answer was received.
 	ended         bool         // The answer is complete.
@@ -106,7 +106,7 @@
 	part   part
 }
 
-// part is a sequence of whole events of a stream.
+// part is a sequence of complete events of a stream.
 type part struct {
 	bytes []byte
 	// lastID is the id of the last event that has an id, and events the number of events that have an id. lastID is
@@ -239,7 +239,7 @@
 			}
 		case ev := <-f.events:
 			if f.ctx.Err() != nil {
-				return f.finishExpired(ev) // The event may be an error caused by canceling the calls, and no failure of the engine.
+				return f.finishExpired(ev) // ev may be the error of a call that was canceled with the request.
 			}
 			if o, end := f.handleEvent(ev); end {
 				return o
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -131,7 +131,7 @@
 // Endpoint is an entry of the platform's list of endpoints.
 type Endpoint struct {
 	// ID identifies one start of the endpoint. All that the box knows of an endpoint is stored under its ID, and is
-	// discarded when the ID is removed from the list.
+	// discarded some time after the ID has left the list.
 	ID string
 	// Started is the time of the endpoint's start, in Unix milliseconds by its own clock. It is 0 if the platform does
 	// not publish the time; each start has an ID of its own anyway.
@@ -197,7 +197,7 @@
 	Signed bool
 	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
-	// Notice has the limits or departure that the endpoint announces.
+	// Notice is what the endpoint announces: a request rate limit, a pause in requests, or that it is leaving.
 	Notice notice.Notice
 }
 
