--- a/internal/overlay/accounts.go
+++ b/internal/overlay/accounts.go
@@ -17,38 +17,41 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// This file selects the owners of client accounts and calls them; package quota decides. All
-// boxes of a region rank its boxes in the same order for a group of accounts, and use the first one
-// that answers as the owner.
+// Package quota divides the limit of a client account into equal shares, one for each box. The boxes lend
+// their shares to one box, the owner of the account, which grants units of the limit to all boxes. This file
+// selects the owners and calls them; package quota decides what is granted.
+//
+// Accounts are divided into groups, and all accounts of a group have the same owner. All boxes of a region
+// rank the boxes of the region in the same order for a group. The first box that answers is the owner.
 
 const (
-	// allowTimeout bounds a request for units to an owner, and lendTimeout the lending of parts. A
-	// call without streaming counts as on time within 300 ms, and a box that is short of processor
-	// time answers some tens of milliseconds late.
+	// allowTimeout bounds a call that requests units from an owner, and lendTimeout a call that lends shares.
+	// A request without streaming counts as on time within 300 ms. A box that is short of processor time
+	// answers some tens of milliseconds late.
 	allowTimeout = 60 * time.Millisecond
 	lendTimeout  = 200 * time.Millisecond
-	// maxOwnersAsked is how many owners are asked for one request.
+	// maxOwnersAsked is how many boxes are asked as owner of the account for one client request.
 	maxOwnersAsked = 2
-	// unsettledLendInterval is the pause between lending attempts while a part is not at its owner.
-	// After a change of owner the new one can grant again within a tenth of a second, where waiting
-	// for the next renewal took five seconds. In a simulated day in which all of 60 boxes were killed and
-	// restarted, 175 of the 531 requests of those two seconds were refused, most because no owner had
-	// parts.
+	// unsettledLendInterval is the pause between lending attempts while a share of this box is not yet lent
+	// to the owner of its group. A new owner can then grant units within a tenth of a second. Before, a
+	// share was lent only at the next renewal of the loans, and that took five seconds. In a simulated day
+	// in which all of 60 boxes were killed and restarted, 175 of the 531 requests of those two seconds were
+	// refused. Most of them were refused because no owner had any shares.
 	unsettledLendInterval = 100 * time.Millisecond
-	// startupGrace is how long after its start a box calls others although it follows none yet.
+	// startupGrace is for how long after its start a box calls other boxes although it follows none yet.
 	startupGrace = 3 * time.Second
-	// maxUnits bounds the units of a request.
+	// maxUnits bounds the units in a request for units of an account.
 	maxUnits = 1 << 40
 )
 
-// ownerRankings caches the order of boxes for each group.
+// ownerRankings caches the order in which the boxes of the region are asked as owner of each group of accounts.
 type ownerRankings struct {
 	mu      sync.Mutex
 	version int64
 	byGroup [quota.Groups][]Member
 }
 
-// accountOwners returns the region's boxes in order of preference as owner of a group.
+// accountOwners returns the region's boxes in the order in which they are asked as owner of a group of accounts.
 func (n *Node) accountOwners(group int) []Member {
 	version := n.members.changes.Load()
 	n.ownerOrder.mu.Lock()
@@ -63,7 +66,8 @@
 	return n.ownerOrder.byGroup[group]
 }
 
-// rankMembers sorts members by their score for a key; the first one is that of rendezvous.
+// rankMembers sorts members by their rendezvousScore for a key, the highest first. The first one is the
+// member that rendezvous returns for the key.
 func rankMembers(list []Member, key string) []Member {
 	type scored struct {
 		m     Member
@@ -81,15 +85,15 @@
 	return out
 }
 
-// RunLimits lends this box's parts of the account limits to their owners until ctx ends. Alone means
-// that there are no other boxes.
+// RunLimits lends this box's shares of the account limits to the owners of the accounts until ctx ends.
+// Alone means that there are no other boxes.
 func (n *Node) RunLimits(ctx context.Context, alone bool) {
 	for ctx.Err() == nil {
 		limited := n.o.Limits.HasLimits()
 		if limited {
 			n.updateRanks(clock.Now(), alone)
 			if n.lendOnce(ctx, alone) {
-				n.lendOnce(ctx, alone) // Returned parts go to their owner at once.
+				n.lendOnce(ctx, alone) // Shares that were just returned are lent to their owner at once.
 			}
 		}
 		sleep(ctx, n.nextLendDelay(clock.Now(), limited, alone))
@@ -107,7 +111,7 @@
 	return renew
 }
 
-// settled reports whether all parts are at their owners.
+// settled reports whether this box's share of every group is lent to the box that should own the group.
 func (n *Node) settled(now time.Time, alone bool) bool {
 	for g, owner := range n.desiredOwners(now, alone) {
 		if owner != n.lender.Borrower(now, g) {
@@ -117,12 +121,13 @@
 	return true
 }
 
-// canReachOthers reports whether other boxes may answer this one.
+// canReachOthers reports whether calls to other boxes may be answered. A box that has just started counts as
+// able to reach others once it knows the shared key.
 func (n *Node) canReachOthers() bool {
 	return n.Connected() || clock.Since(n.startedAt) < startupGrace && n.members.sharedKey() != ""
 }
 
-// desiredOwners returns the box that should have this box's part of each group now.
+// desiredOwners returns, for each group of accounts, the box that this box's share should be lent to now.
 func (n *Node) desiredOwners(now time.Time, alone bool) (want [quota.Groups]string) {
 	for g := range want {
 		want[g] = n.o.Self.Name
@@ -139,7 +144,7 @@
 	return want
 }
 
-// updateRanks sets the rank of this box among the owners of each group.
+// updateRanks tells the pool of limits the rank of this box among the possible owners of each group.
 func (n *Node) updateRanks(now time.Time, alone bool) {
 	for g := range quota.Groups {
 		at := quota.Place{Boxes: 1}
@@ -154,14 +159,15 @@
 	}
 }
 
-// lendOnce lends once, and reports whether parts came back that can be lent again.
+// lendOnce makes the lend and return calls that are due. It reports whether shares became free that can be
+// lent again.
 func (n *Node) lendOnce(ctx context.Context, alone bool) (again bool) {
 	now := clock.Now()
 	_, lent := quota.RenewalInterval(n.members.size())
 	return n.runLendCalls(ctx, n.lender.Plan(now, n.desiredOwners(now, alone), lent))
 }
 
-// runLendCalls makes calls concurrently.
+// runLendCalls makes lend and return calls concurrently. It reports whether shares can be lent again.
 func (n *Node) runLendCalls(ctx context.Context, calls []quota.Call) (again bool) {
 	var wg sync.WaitGroup
 	results := make([]quota.Result, len(calls))
@@ -180,10 +186,10 @@
 	return again
 }
 
-// lend notifies an owner that it has parts of this box, or has them no longer.
+// lend makes one call that lends shares of this box to an owner, or asks for their return.
 func (n *Node) lend(ctx context.Context, address string, c quota.Call) quota.Result {
 	if address == "" {
-		return quota.Lost // No longer listed; the loan expires by itself.
+		return quota.Lost // The box is not listed any more. The loan expires by itself.
 	}
 	ctx, cancel := context.WithTimeout(ctx, lendTimeout)
 	defer cancel()
@@ -199,7 +205,7 @@
 	}
 	n.count.lendFailed.Inc()
 	if connect.CodeOf(err) == connect.CodeFailedPrecondition {
-		return quota.Gone // It does not list this box yet, and has accepted nothing.
+		return quota.Gone // The called box does not list this one yet, and has accepted nothing.
 	}
 	n.unresponsive.failed(c.To, clock.Now())
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -208,8 +214,8 @@
 	return quota.Lost
 }
 
-// Allow asks the owner of an account for units of its limit. If none answers, this box decides by
-// the parts that it has. Known is false if neither knows a limit of the account.
+// Allow asks the owner of an account for units of its limit. If no owner answers, this box grants from the
+// shares that it has itself. Known is false if neither the owner nor this box knows a limit of the account.
 func (n *Node) Allow(ctx context.Context, account string, units, ahead float64) (a quota.Answer, known bool) {
 	if n.canReachOthers() {
 		for _, m := range n.ownersToAsk(clock.Now(), quota.GroupOf(account)) {
@@ -224,9 +230,9 @@
 	return n.o.Limits.Grant(clock.Now(), account, units, ahead)
 }
 
-// ownersToAsk returns the boxes to ask about a group, up to maxOwnersAsked: first the one that has
-// this box's part, since it also has the parts of other boxes while those are being lent to a new
-// owner, then the owners in order of rank.
+// ownersToAsk returns the boxes to ask for units of a group's accounts, up to maxOwnersAsked. The first is the
+// box that this box's share is lent to: while the shares move to a new owner, that box still has shares of
+// other boxes too. The next are the possible owners in order of rank.
 func (n *Node) ownersToAsk(now time.Time, group int) (out []Member) {
 	if to := n.lender.Borrower(now, group); to != "" {
 		if m, ok := n.members.get(to); ok && n.unresponsive.usable(to, now) {
@@ -244,7 +250,7 @@
 	return out
 }
 
-// askOwner asks one owner; ok is false if it did not answer or does not know the account.
+// askOwner asks one owner for units; ok is false if the owner did not answer or knows no limit of the account.
 func (n *Node) askOwner(ctx context.Context, m Member, account string, units, ahead float64) (a quota.Answer, ok bool) {
 	limited, cancel := context.WithTimeout(ctx, allowTimeout)
 	defer cancel()
@@ -264,7 +270,7 @@
 	}, true
 }
 
-// Lend accepts the parts of another box.
+// Lend serves another box's call that lends its shares to this box or asks for their return.
 func (s *server) Lend(_ context.Context, r *connect.Request[v1.LendRequest]) (*connect.Response[v1.LendResponse], error) {
 	if err := s.n.authenticate(r.Header()); err != nil {
 		return nil, err
@@ -281,7 +287,7 @@
 	return connect.NewResponse(&v1.LendResponse{}), nil
 }
 
-// Allow answers for an account that this box owns.
+// Allow serves another box's request for units of an account that this box owns.
 func (s *server) Allow(_ context.Context, r *connect.Request[v1.AllowRequest]) (*connect.Response[v1.AllowResponse], error) {
 	if err := s.n.authenticate(r.Header()); err != nil {
 		return nil, err
--- a/internal/overlay/accounts_test.go
+++ b/internal/overlay/accounts_test.go
@@ -23,14 +23,15 @@
 	}
 }
 
-// lentShare is the share of the boxes that has lent to an account's owner.
+// lentShare is the share of all boxes that have lent their shares to the owner of an account.
 func (b *box) lentShare(account string) float64 {
 	a, _ := b.Allow(context.Background(), account, 0, 0)
 	return a.LentShare
 }
 
-// All boxes lend to the same owner of an account, which grants all of its limit whichever box a
-// caller uses and no more; once that owner is gone the others lend to the next.
+// All boxes lend their shares of an account's limit to the same box, the account's owner. The owner grants the
+// whole limit and no more, whichever boxes the requests come from. Once the owner is gone, the other boxes lend
+// to the next one.
 func TestAccountOwner(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -44,7 +45,8 @@
 			ownerBox = b
 		}
 	}
-	// The bucket is full after a tenth of a second at this rate, and stays full at the other.
+	// At 1,000 units per second the account's bucket is full after a tenth of a second. At 0.001 units per second
+	// it is hardly refilled during the test.
 	setLimits(all, quota.Limit{Rate: 1000, Burst: 100}, account)
 	eventually(t, "the account has its burst", func() bool { return ownerBox.o.Limits.LowAccounts(time.Now(), 2)[account] == 1 })
 	setLimits(all, quota.Limit{Rate: 0.001, Burst: 100}, account)
@@ -66,7 +68,8 @@
 	}
 }
 
-// A box without any other grants from its own part, and reports that no owner answered.
+// A box whose other boxes are all gone grants from its own share alone: it reports a lent share above 0 and below
+// one half.
 func TestAccountWithoutOtherBoxes(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -80,7 +83,8 @@
 	})
 }
 
-// Units out of bounds are refused, and so are boxes without the key or not listed.
+// The owner refuses requests for units that are out of bounds, for accounts without a limit or without the shared
+// key. It also refuses to be lent shares by a box that is not listed.
 func TestAccountInvalidCalls(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
--- a/internal/overlay/fact.go
+++ b/internal/overlay/fact.go
@@ -6,13 +6,13 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// Message is a gossip message: something that one box observed and that is of use to the others.
-// Exactly one of the fields after Box is set. Messages may be lost, delayed or duplicated; no
-// guarantee depends on them.
+// Message is a gossip message: an observation of one box that is of use to the others. Exactly one of the
+// fields after Box is set. Messages may be lost, delayed or duplicated; no guarantee depends on them.
 type Message struct {
-	// At is when it was observed, by this box's monotonic clock.
+	// At is when the box made the observation, by the clock of the box that reads this field. That clock is
+	// monotonic.
 	At time.Time
-	// Box is the box that observed it; empty for this one.
+	// Box is the box that made the observation; empty for this box.
 	Box string
 
 	Load    *Load
@@ -21,43 +21,43 @@
 	Ended   *StreamEnded
 	Timing  *StreamTiming
 	Notice  *Notice
-	// Waiting is the number of streams that wait on a box.
+	// Waiting is how many streams wait for engines on the box that sends the message.
 	Waiting *StreamsWaiting
-	// Omitted is only received: it replaces messages that were left out.
+	// Omitted is set only in received messages. It stands for messages that the sender left out.
 	Omitted *OmittedStreams
 }
 
-// OmittedStreams counts the streams of a service that other boxes placed at engines which this box
-// does not deal with.
+// OmittedStreams counts streams of a service whose messages were not sent to this box. Other boxes placed
+// these streams at engines that this box sends nothing to.
 type OmittedStreams struct {
 	Service string
 	Placed  int
 }
 
-// Notice is what an endpoint reported about itself in an answer to a request that was sent at Message.At.
+// Notice is what an endpoint reported about itself in an answer. Message.At is when the request was sent.
 type Notice struct {
 	Endpoint string
-	// Limit is how many requests a second it accepts from all boxes together; 0 if it names none.
+	// Limit is how many requests a second the endpoint accepts from all boxes together; 0 if it names no limit.
 	Limit   float64
 	Leaving bool
-	// Completed means that the answer was to a request that completed successfully.
+	// Completed means that the endpoint completed the request successfully.
 	Completed bool
 }
 
 // StreamEnded reports that an engine no longer generates a stream.
 type StreamEnded struct {
 	Engine string
-	Tokens int // KV cache that the stream used at its end.
+	Tokens int // Tokens of KV cache that the stream used at its end.
 }
 
-// StreamTiming reports how long a stream took at the engines of a pool. What was not observed is 0.
+// StreamTiming reports how long a stream took at the engines of a pool. A field that was not observed is 0.
 type StreamTiming struct {
 	Pool string
-	// PrefillTokens were prefilled in PrefillTime, those of prompts queued before it included.
+	// PrefillTokens were prefilled in PrefillTime. Both include the prompts that were queued before this one.
 	PrefillTokens int
 	PrefillTime   time.Duration
-	// FirstEventDelay is the time from the request to the decode engine until the first event, and Step
-	// the mean time per token, while the engine ran Streams streams.
+	// FirstEventDelay is the time from the request to the decode engine until the first event. Step is the
+	// mean time per token. The engine ran Streams streams meanwhile.
 	FirstEventDelay time.Duration
 	Step            time.Duration
 	Streams         int
@@ -69,44 +69,46 @@
 // Load is the load that an engine reports.
 type Load struct {
 	Engine string
-	// Unresponsive means that the engine did not answer; then the rest is zero.
+	// Unresponsive means that the engine did not answer. Then all other fields but Engine are zero.
 	Unresponsive   bool
-	Decodes        bool // Its role is decode and not prefill.
+	Decodes        bool // The engine's role is to decode, not to prefill.
 	Leaving        bool
-	ExecutingOrder bool // It executes an order.
+	ExecutingOrder bool // The engine executes an order of a box.
 	Queued         int
 	Running        int
 	KVUsed         int // Tokens.
 	KVTotal        int // Tokens.
 	Orders         int64
-	// Runs are the streams that it runs.
+	// Runs are the streams that the engine runs.
 	Runs []StreamLoad
 }
 
 // StreamLoad is one stream that an engine runs.
 type StreamLoad struct {
-	Tokens int // Of KV cache.
-	Events int // Generated so far.
+	Tokens int // Tokens of KV cache that the stream uses.
+	Events int // Events generated so far.
 }
 
-// PrefillRefused reports that an engine rejected a prompt.
+// PrefillRefused reports that an engine refused to prefill a prompt.
 type PrefillRefused struct{ Engine string }
 
-// StreamPlaced reports that a box sends a stream to engines.
+// StreamPlaced reports that a box sends a stream to engines. Sizes are in tokens.
 type StreamPlaced struct {
 	PrefillEngine string // Empty if the decode engine prefills the prompt itself.
 	PrefillTokens int
 	DecodeEngine  string
-	KVTokens      int // KV cache that the stream is expected to use,
-	PromptTokens  int // and the part of it that is for the prompt.
-	OutputReserve int // Reserved beside the prompt until it is generated.
-	// Owner is the owner that granted the room and has reserved it for the stream; empty if none did.
+	KVTokens      int // KV cache that the stream is expected to use in total.
+	PromptTokens  int // The part of KVTokens that holds the prompt.
+	OutputReserve int // KV cache reserved for the answer until it is generated.
+	// Owner is the engine's owner, the box that all boxes ask before they place a stream at the engine. It is
+	// set if that box granted the stream and has reserved KV cache for it, and otherwise empty.
 	Owner string
-	// Service is the one that the engines belong to.
+	// Service is the service that the engines belong to.
 	Service string
 }
 
-// encode encodes a message that is sent at a time; the node fills in the sender's fields.
+// encode encodes a message that is sent at the time now. The caller fills in the sender, its incarnation and
+// the sequence number.
 func (msg *Message) encode(now time.Time) *v1.Fact {
 	out := &v1.Fact{AgeMs: max(0, now.Sub(msg.At).Milliseconds())}
 	switch {
@@ -149,12 +151,12 @@
 	return out
 }
 
-// Bounds of what another box may report: a wrong value must not upset the arithmetic.
+// These constants bound the values in messages of other boxes: a wrong value must not upset the arithmetic.
 const (
 	maxMessageAge = time.Minute
 	maxTokens     = 1 << 26
 	maxRuns       = 1024
-	// maxWaiting bounds the streams that wait on a box.
+	// maxWaiting bounds the number of streams that wait on a box.
 	maxWaiting = 1 << 20
 	// maxRequestRate bounds an endpoint's limit, in requests a second.
 	maxRequestRate = 1e6
@@ -162,8 +164,8 @@
 	maxDurationUs = int64(time.Minute / time.Microsecond)
 )
 
-// decode decodes a message that arrived at a time; ok is false for one of an unknown kind, or with
-// values out of bounds.
+// decode decodes a message that arrived at the time now. Ok is false if the kind of the message is unknown or
+// a value is out of bounds.
 func decode(m *v1.Fact, now time.Time) (msg Message, ok bool) {
 	age := time.Duration(m.AgeMs) * time.Millisecond
 	if age < 0 || age > maxMessageAge {
--- a/internal/overlay/gossip.go
+++ b/internal/overlay/gossip.go
@@ -8,20 +8,20 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// This file floods gossip messages through the tree: each is forwarded to every neighbour but the
-// one it came from, and is accepted once.
+// This file sends gossip messages to all boxes of the tree. A box forwards each message to its upstream and its
+// followers, except to the box that sent it. It accepts a message only once.
 
-// messageQueue holds the messages that wait to be sent to one box. When it is full the oldest are
-// dropped: newer ones are worth more.
+// messageQueue holds the messages that wait to be sent to one box. When the queue is full, the oldest messages
+// are dropped: newer messages are worth more.
 type messageQueue struct {
-	// wake has an entry while there is something to send.
+	// wake has an element while there is something to send.
 	wake chan struct{}
 
 	mu       *sync.Mutex
 	messages []queuedMessage
 }
 
-// queuedMessage is a message with the time at which it was observed.
+// queuedMessage is a message with the time at which its observation was made.
 type queuedMessage struct {
 	f  *v1.Fact
 	at time.Time
@@ -49,7 +49,7 @@
 	}
 }
 
-// drain empties the queue; the ages of the messages are set as of now.
+// drain empties the queue and returns its messages. Their ages are as of now.
 func (q *messageQueue) drain(now time.Time) []*v1.Fact {
 	q.mu.Lock()
 	list := q.messages
@@ -63,7 +63,7 @@
 	return out
 }
 
-// Publish publishes what this box observed.
+// Publish sends an observation of this box to the others.
 func (n *Node) Publish(msg Message) {
 	m := msg.encode(msg.At)
 	m.Box, m.Incarnation = n.o.Self.Name, n.o.Self.Incarnation
@@ -75,7 +75,7 @@
 	n.forward(queuedMessage{m, msg.At}, nil, nil)
 }
 
-// receive processes a message that came from the upstream or from a follower.
+// receive processes a message from the upstream, by its link, or from a follower; the other one of both is nil.
 func (n *Node) receive(m *v1.Fact, by *link, from *follower) {
 	now := clock.Now()
 	f, ok := decode(m, now)
@@ -90,7 +90,7 @@
 	}
 	if _, listed := n.members.get(m.Box); !listed {
 		n.mu.Unlock()
-		return // Keeps lastReceived as small as the list of members.
+		return // So lastReceived stays as small as the list of members.
 	}
 	n.lastReceived[m.Box] = messagePosition{m.Incarnation, m.Seq}
 	n.forward(queuedMessage{m, f.At}, by, from)
@@ -99,7 +99,7 @@
 	n.o.OnMessage(f)
 }
 
-// forward queues a message for all peers but the one it came from. The lock is held.
+// forward queues a message for the upstream and all followers but the box that sent it. The lock is held.
 func (n *Node) forward(f queuedMessage, by *link, from *follower) {
 	if n.upstream != nil && n.upstream != by {
 		n.count.dropped.Add(n.upstream.queue.add(f))
--- a/internal/overlay/interest.go
+++ b/internal/overlay/interest.go
@@ -11,23 +11,23 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// This file filters out messages that a follower has no use for. Where a service has thousands of
-// engines each box deals with some of them, and a message about any other is of no use to it. A box
-// without followers sends its upstream the engines that it deals with; one with followers is sent
-// all messages, since it forwards them. So what most boxes receive does not grow with the streams of
-// the fleet.
+// This file keeps messages away from followers that have no use for them. Where a service has thousands of
+// engines, each box sends streams to some of them, and has no use for messages about the others. A box
+// without followers tells its upstream the engines that it uses, and is sent the messages about those. A box
+// with followers is sent all messages, since it forwards them. So the number of messages that most boxes
+// receive does not grow with the streams of the fleet.
 //
-// The alternative was to publish messages to an engine's owner alone, which forwards them to the
-// boxes that subscribed: that also spares the boxes between, and costs each box a subscription at
-// each owner.
+// The alternative was to send messages about an engine only to its owner, the box that all others ask before
+// they place a stream there. The owner would forward them to the boxes that subscribed. That also relieves
+// the boxes along the way, but costs each box a subscription at each owner.
 
-// interest is the set of engines whose messages a box has a use for. The zero value is all engines.
+// interest is the set of engines whose messages a box has a use for. The zero value stands for all engines.
 type interest struct {
-	// engines holds hashes of engine names; nil for all engines.
+	// engines holds the hashes of engine names; nil stands for all engines.
 	engines map[uint32]bool
 }
 
-// engineHash identifies an engine in an interest.
+// engineHash returns the hash by which an interest identifies an engine.
 func engineHash(engine string) uint32 { return uint32(xxhash.Sum64String(engine)) }
 
 func newInterest(engines []string) interest {
@@ -46,7 +46,7 @@
 	return &v1.Interest{All: in.engines == nil, Engines: slices.Sorted(maps.Keys(in.engines))}
 }
 
-// maxInterestEngines bounds the engines that a follower may name; with more it is sent all messages.
+// maxInterestEngines bounds the engines that a follower may name. A follower that names more is sent all messages.
 const maxInterestEngines = 4096
 
 func decodeInterest(m *v1.Interest) (in interest) {
@@ -60,7 +60,8 @@
 	return in
 }
 
-// wants reports whether a message is of use. One that is not about engines always is.
+// wants reports whether a box with this interest has a use for a message. A message that is not about an engine
+// is always of use.
 func (in interest) wants(f *v1.Fact) bool {
 	if in.engines == nil {
 		return true
@@ -79,32 +80,34 @@
 	return true
 }
 
-// interestState is a box's interest and what its upstream was sent of it. The zero value is all engines.
+// interestState is the interest of this box, and the interest that its upstream knows. The zero value of both
+// stands for all engines.
 type interestState struct {
 	mu      sync.Mutex
 	current interest
-	// sent is the interest as the upstream knows it: all engines until it is sent one. unconfirmed
-	// means that the last one sent may not have arrived.
+	// sent is the interest that was last sent to the upstream. An upstream that was sent none assumes all
+	// engines. unconfirmed means that the last call that sent the interest failed, so that the upstream may
+	// not have it.
 	sent        interest
 	unconfirmed bool
 }
 
-// set replaces the interest.
+// set replaces the interest of this box.
 func (i *interestState) set(in interest) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.current = in
 }
 
-// reset discards what a previous upstream was sent.
+// reset forgets what was sent to a previous upstream: the new upstream knows nothing of it.
 func (i *interestState) reset() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.sent, i.unconfirmed = interest{}, false
 }
 
-// takeChange returns the interest to send to the upstream, and marks it as sent; nil if the upstream
-// has it. A box with followers has a use for all messages.
+// takeChange returns the interest to send to the upstream and marks it as sent; nil if the upstream knows it.
+// Followed means that this box has followers, and so has a use for all messages.
 func (i *interestState) takeChange(followed bool) *v1.Interest {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -119,14 +122,14 @@
 	return now.encode()
 }
 
-// markUnconfirmed has the interest sent again, as it may not have arrived.
+// markUnconfirmed records that the interest may not have arrived, so that it is sent again.
 func (i *interestState) markUnconfirmed() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.unconfirmed = true
 }
 
-// SetInterest sets the engines whose messages this box has a use for; nil for all.
+// SetInterest sets the engines whose messages this box has a use for; nil stands for all engines.
 func (n *Node) SetInterest(engines []string) {
 	in := interest{}
 	if engines != nil {
@@ -136,7 +139,7 @@
 	n.signalInterest()
 }
 
-// signalInterest wakes the sender to the upstream, which sends the interest if it has changed.
+// signalInterest wakes the goroutine that sends to the upstream. It sends the interest if that has changed.
 func (n *Node) signalInterest() {
 	n.mu.Lock()
 	up := n.upstream
@@ -146,14 +149,15 @@
 	}
 }
 
-// setInterest sets the engines whose messages a follower is sent.
+// setInterest sets the engines whose messages a follower is to be sent.
 func (n *Node) setInterest(f *follower, in interest) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f.interest = in
 }
 
-// countOmitted counts a message that the follower is not sent. The node's lock is held.
+// countOmitted counts the placed stream of a message that the follower is not sent. Messages of other kinds are
+// not counted. The node's lock is held.
 func (f *follower) countOmitted(m *v1.Fact) {
 	p := m.GetPlaced()
 	if p == nil {
@@ -165,12 +169,13 @@
 	f.omittedPlaced[p.Service]++
 }
 
-// receivePlaced processes the count of streams whose messages this box was not sent.
+// receivePlaced processes the number of streams that were placed but whose messages this box was not sent.
 func (n *Node) receivePlaced(m *v1.StreamsPlaced) {
 	if m.N > 0 && m.N < maxPlacedStreams {
 		n.o.OnMessage(Message{At: clock.Now(), Omitted: &OmittedStreams{Service: m.Service, Placed: int(m.N)}})
 	}
 }
 
-// maxPlacedStreams bounds the streams placed between two updates.
+// maxPlacedStreams bounds the number of omitted streams in one update of the upstream. A count that is not below
+// it is invalid and ignored.
 const maxPlacedStreams = 1 << 16
--- a/internal/overlay/interest_test.go
+++ b/internal/overlay/interest_test.go
@@ -12,7 +12,7 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// publishUntilReceived has a box publish messages about an engine until another one has received one.
+// publishUntilReceived has a box publish messages about an engine until the box to has received one of them.
 func (b *box) publishUntilReceived(t *testing.T, to *box, engine string) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%s receives a message about %s", to.o.Self.Name, engine), func() bool {
@@ -22,7 +22,7 @@
 	})
 }
 
-// interestOfFollower returns the interest that a follower sent to a box.
+// interestOfFollower returns the interest that a box has recorded for its follower of a name.
 func (b *box) interestOfFollower(name string) (in interest, follows bool) {
 	b.Node.mu.Lock()
 	defer b.Node.mu.Unlock()
@@ -34,9 +34,10 @@
 	return in, false
 }
 
-// A box that deals with few of many engines receives the messages about these, and of the others only the
-// number of streams placed. One with followers receives all, since it forwards them. Without interests
-// each box received each message: at 36 streams a second some 220 a second, of which it had a use for two.
+// A box that uses few of many engines is sent the gossip messages about these engines. Of all other engines it is
+// sent only the number of streams placed there. A box with followers is sent all messages, since it forwards them.
+// When every box was sent every message, that was some 220 messages a second at 36 streams a second, and a box had
+// a use for two of them.
 func TestInterest(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -75,8 +76,8 @@
 	return b.omitted[service]
 }
 
-// A box that gains followers is sent all messages again: otherwise its followers would miss
-// those that it has no use for itself.
+// A box without followers asks its upstream for the messages about the engines that it uses. Once the box has a
+// follower, it asks for all messages, since the follower may need those about other engines.
 func TestInterestWithFollowers(t *testing.T) {
 	var i interestState
 	i.set(newInterest([]string{"mine"}))
@@ -99,7 +100,8 @@
 	}
 }
 
-// TestInterestBounds: what a follower sends is bounded; too many engines mean all engines.
+// A follower that names more engines than allowed is sent the messages about all engines. A number of omitted
+// streams that is out of bounds is ignored.
 func TestInterestBounds(t *testing.T) {
 	m := &v1.Interest{Engines: make([]uint32, maxInterestEngines+1)}
 	if in := decodeInterest(m); in.engines != nil {
@@ -114,9 +116,10 @@
 	}
 }
 
-// BenchmarkInterest measures the bytes a second that a box of a large fleet sends to one follower at 36
-// streams a second: placed, ended and 4 loads each, at 8,650 engines. 8.9 KB/s when the follower is sent
-// all messages, and 0.23 KB/s for an interest of 96 engines (one run each).
+// BenchmarkInterest measures how many bytes a second a box of a large fleet sends to one follower. The fleet has
+// 8,650 engines and starts 36 streams a second; each stream causes a message that it is placed, one that it has
+// ended, and 4 messages about the load of engines. The follower is sent 8.9 KB/s if it is sent all messages, and
+// 0.23 KB/s with an interest of 96 engines (one run each).
 func BenchmarkInterest(b *testing.B) {
 	const engines, known, streams = 8650, 96, 36
 	for _, all := range []bool{true, false} {
--- a/internal/overlay/link.go
+++ b/internal/overlay/link.go
@@ -15,19 +15,20 @@
 	"github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1/stoatrampv1connect"
 )
 
-// maxMessageBytes bounds a message between boxes: the largest configuration fits.
+// maxMessageBytes bounds a message from another box. The largest configuration fits in it.
 const maxMessageBytes = 16 << 20
 
-// link is the connection to the upstream.
+// link is the connection of this box to its upstream, the box that it follows.
 type link struct {
 	n      *Node
 	member Member
 	client stoatrampv1connect.OverlayClient
 	key    string
 	queue  messageQueue
-	// established is set once the upstream has sent something.
+	// established is set once the upstream has sent an update.
 	established bool
-	// storeLostSince is since when the upstream reports that the store does not answer it; zero if it does.
+	// storeLostSince is when the upstream began to report that the store does not answer it; zero if the
+	// store answers it.
 	storeLostSince time.Time
 }
 
@@ -41,7 +42,7 @@
 		connect.WithReadMaxBytes(maxMessageBytes))
 }
 
-// fetchTables requests the open tables of a box once.
+// fetchTables fetches once the tables that a box sends without a key.
 func (n *Node) fetchTables(ctx context.Context, address string) (*v1.Update, error) {
 	resp, err := n.client(address).Tables(ctx, connect.NewRequest(&v1.TablesRequest{Packed: true}))
 	if err != nil {
@@ -52,8 +53,8 @@
 
 var errUnresponsiveUpstream = errors.New("no update received within the silence timeout")
 
-// follow receives updates until the upstream falls silent or ends the stream, or better reports
-// that another one should be followed.
+// follow receives updates until the upstream sends none for silenceTimeout or ends the stream. It also returns
+// when better reports that another upstream should be followed.
 func (l *link) follow(ctx context.Context, better func() bool) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -111,7 +112,7 @@
 	errCycle             = errors.New("the updates of the upstream pass through this box")
 )
 
-// apply applies an update. An error means that the upstream should not be followed now.
+// apply applies an update of the upstream. An error means that this upstream should not be followed now.
 func (l *link) apply(msg *v1.Update) error {
 	for _, f := range msg.Facts {
 		l.n.receive(f, l, nil)
@@ -137,7 +138,8 @@
 	return l.checkStoreLost(lost, clock.Now())
 }
 
-// checkStoreLost returns an error once the upstream has been without the store for too long.
+// checkStoreLost returns an error once the upstream has had no answer of the store for too long. Lost means that
+// the upstream has just reported that the store does not answer it.
 func (l *link) checkStoreLost(lost bool, now time.Time) error {
 	if !lost {
 		l.storeLostSince = time.Time{}
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// publishLoop sends the messages of this box and its followers to the upstream.
+// publishLoop sends the gossip messages of this box and of its followers to the upstream.
 func (l *link) publishLoop(ctx context.Context) {
 	for {
 		select {
--- a/internal/overlay/locks_test.go
+++ b/internal/overlay/locks_test.go
@@ -7,7 +7,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// reentrantTable calls the node, as a user of its rows does while the table's lock is held.
+// reentrantTable is a table that calls the node when it is told of followers. A real table then waits for its lock,
+// which may be held while its rows are handed to code that calls the node.
 type reentrantTable struct {
 	Table
 	ask func()
@@ -15,7 +16,8 @@
 
 func (t *reentrantTable) SetFollowed(bool) { t.ask() }
 
-// A box deadlocked when it admitted a follower while one of its tables was applying its rows.
+// A box that admits a follower tells its tables so, and a table may call the node meanwhile. The box deadlocked when
+// one of its tables was just applying rows.
 func TestTableMayAskTheNodeWhileItIsToldOfFollowers(t *testing.T) {
 	table := &reentrantTable{}
 	n := New(Options{Tables: map[string]Table{"t": table}, Metrics: metrics.NewSet()})
--- a/internal/overlay/members.go
+++ b/internal/overlay/members.go
@@ -11,21 +11,22 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// Member is one start of a box, as it registers itself in the platform's store.
+// Member is a box as it registers itself in the members table of the platform's store, with each start.
 type Member struct {
-	Name string `json:"-"` // The row's key.
-	// Region and Hall are its location. Boxes follow only others of their region.
+	Name string `json:"-"` // The key of the box's row in the table.
+	// Region and Hall are where the box is. Boxes follow only boxes of their region.
 	Region string `json:"region"`
 	Hall   string `json:"hall"`
-	// Address is where it serves other boxes, ip:port.
+	// Address is where the box serves other boxes, as ip:port.
 	Address string `json:"address"`
-	// Incarnation identifies a start of a box and grows with each. It is the time of the start in
-	// nanoseconds; clocks need to agree only roughly, since it is used only as an order.
+	// Incarnation identifies a start of a box, and is higher for each later start. It is the time of the
+	// start in nanoseconds. Only the order of incarnations matters, so the clocks of the boxes need to agree
+	// only roughly.
 	Incarnation int64 `json:"incarnation"`
 }
 
-// keyRow is the row of the members table with the key that authenticates all boxes' connections. No
-// box's name contains a slash.
+// keyRow is the name of the row of the members table that holds the shared key, which authenticates the
+// connections between all boxes. No box has this name, since no name of a box contains a slash.
 const keyRow = "/key"
 
 func (m *Member) encode() []byte {
@@ -34,28 +35,29 @@
 }
 
 const (
-	// A member that could not be followed is skipped for minFollowBackoff, and for twice as long
-	// after each further failure, up to maxFollowBackoff.
+	// A member that could not be followed is not tried again for minFollowBackoff. The time doubles with each
+	// further failure, up to maxFollowBackoff.
 	minFollowBackoff = 700 * time.Millisecond
 	maxFollowBackoff = 20 * time.Second
 )
 
-// members is a box's copy of the list of members.
+// members is this box's copy of the members table, the list of all boxes.
 type members struct {
 	// changes counts how often the list was set.
 	changes atomic.Int64
 
 	mu  sync.Mutex
 	key string
-	// keyListed means that the table has the key. A table of an older copy may lack it.
+	// keyListed means that the table has the shared key. A table that was restored from an older copy may lack it.
 	keyListed bool
 	all       map[string]Member
-	// missing are members among all that the table lacks since it was restored from an older copy. They are kept
-	// until retainUntil, by when they have registered again: the number of members determines how much each may spend.
+	// missing names the members in all that the table lacks since it was restored from an older copy. They
+	// are kept until retainUntil. By then they have registered again. They are kept because the number of
+	// members determines how much of an account's limit each box may grant.
 	missing     map[string]bool
-	restored    bool // The next table that is set is of an older copy.
+	restored    bool // The next table that is set was restored from an older copy.
 	retainUntil time.Time
-	// failures are the members that recently could not be followed.
+	// failures has the members that recently could not be followed.
 	failures map[string]memberFailure
 }
 
@@ -65,17 +67,17 @@
 	until       time.Time
 }
 
-// MissingRetention is for how long members are kept that a restored table lacks.
+// MissingRetention is for how long a box keeps members that a restored table lacks.
 const MissingRetention = 3 * registerInterval
 
-// setRestored announces that the next table is of an older copy.
+// setRestored announces that the next table that is set was restored from an older copy.
 func (s *members) setRestored() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.restored = true
 }
 
-// set replaces the table of members. Rows that cannot be decoded or have no address are skipped.
+// set replaces the list by the rows of the table. Rows that cannot be decoded or have no address are skipped.
 func (s *members) set(rows map[string][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,8 +102,8 @@
 	}
 }
 
-// retainMissing keeps members that the table lacks, for some time after it was restored from an older copy. The
-// lock is held.
+// retainMissing keeps members that the table lacks, until retainUntil. Before is the list before the table was
+// set. The lock is held.
 func (s *members) retainMissing(before map[string]Member, now time.Time) {
 	if !now.Before(s.retainUntil) {
 		return
@@ -119,14 +121,15 @@
 	return s.key
 }
 
-// keyMissing reports whether the table has no key, and the one to restore; empty if any will do.
+// keyMissing reports whether the table lacks the shared key. Key is the key that this box knows and that should
+// be written to the table again; if it is empty, any new key will do.
 func (s *members) keyMissing() (key string, missing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.key, !s.keyListed
 }
 
-// get returns a member, and whether the table has it.
+// get returns a member. Listed is false if the table lacks it, even if it is kept for some time.
 func (s *members) get(name string) (m Member, listed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,8 +137,8 @@
 	return m, ok && !s.missing[name]
 }
 
-// compareAge orders members by age, oldest first: the oldest has proved stable, and while it runs
-// the tree keeps its root.
+// compareAge orders members by the time of their start, oldest first. The oldest member has proved to be stable,
+// and the tree keeps its root as long as that member runs.
 func compareAge(a, b Member) int {
 	if n := cmp.Compare(a.Incarnation, b.Incarnation); n != 0 {
 		return n
@@ -143,7 +146,8 @@
 	return cmp.Compare(a.Name, b.Name)
 }
 
-// followable lists the members of a region that may be followed now, oldest first.
+// followable lists the members of a region that may be followed now, oldest first. Members that failed recently
+// are left out.
 func (s *members) followable(region string, now time.Time) []Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,21 +190,21 @@
 	s.failures[m.Name] = b
 }
 
-// recordSuccess clears the failures of a member that was followed.
+// recordSuccess clears the recorded failures of a member that could be followed.
 func (s *members) recordSuccess(m Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.failures, m.Name)
 }
 
-// size returns how many members are listed.
+// size returns how many members are in the list, the missing ones that are kept included.
 func (s *members) size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.all)
 }
 
-// loaded reports whether the table of members has been read.
+// loaded reports whether a table of members was set.
 func (s *members) loaded() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/overlay/node.go
+++ b/internal/overlay/node.go
@@ -1,16 +1,22 @@
-// Package overlay distributes the platform's tables and gossip messages among the boxes of a
-// platform, with no coordinator and no fixed list of members.
+// Package overlay distributes the tables of the platform's store and gossip messages among the boxes of a
+// platform, with no coordinator and no fixed list of boxes.
 //
 //	platform's store ─► oldest box of all ─┬► the others of its hall
 //	                                       ├► oldest box of another hall ─► the others of that
 //	                                       └► …
 //
-// Each box registers itself in a table of the store. It follows an older box of its hall (see
-// parent), its upstream; the oldest of a hall follows the oldest of all; and a box without an
-// upstream reads the store itself. So one box reads for all, and electing it takes no agreement:
-// two boxes that both act as the root only cost some extra calls to the store. Tables flow down
-// the tree (package follow ensures that they never go back to an older version and are fresh
-// enough). Gossip messages also flow up, and reach each box of the tree once.
+// Each box registers itself as a member: it writes a row with its address to the members table of the store.
+// Each box follows an older box of its hall, which is its upstream (see parent), and receives the tables from
+// it. The oldest box of a hall follows the oldest of all. A box without an upstream reads the store itself.
+// So one box reads for all. Electing that box takes no agreement: two boxes that both act as the root only
+// cost some extra calls to the store.
+//
+// Tables flow down the tree, from each box to its followers. Package follow ensures that a table never goes
+// back to an older version and is fresh enough. Gossip messages are observations of single boxes, such as the
+// load of an engine. They flow up and down, and reach each box of the tree once.
+//
+// The owner of an engine or of a client account is a box that all other boxes ask: the owner of an engine grants
+// the engine's memory to streams, and the owner of an account grants units of the account's limit.
 package overlay
 
 import (
@@ -36,47 +42,47 @@
 )
 
 const (
-	// heartbeatInterval is how often a follower is sent an update even without changes, and
-	// silenceTimeout how long a follower waits for one before it reads the store itself.
+	// heartbeatInterval is how often a follower is sent an update even if nothing has changed. silenceTimeout
+	// is how long a follower waits for an update before it reads the store itself.
 	heartbeatInterval = 200 * time.Millisecond
 	silenceTimeout    = 600 * time.Millisecond
-	// minSendInterval is the minimum time between two sends to one follower, or to the upstream:
-	// what is queued meanwhile is sent together.
+	// minSendInterval is the minimum time between two sends to one follower, or to the upstream. Messages that
+	// are queued meanwhile are sent together.
 	minSendInterval = 60 * time.Millisecond
-	// followerBytesPerSecond limits the rate at which one follower is sent long updates, and
-	// maxSendInterval bounds the pause that results; it is shorter than silenceTimeout. The smallest
-	// boxes have links of 20 Mbit/s, 2.5 MB/s, and fourteen followers in a hall of 200: a third of
-	// the link is for tables.
+	// followerBytesPerSecond limits the rate at which one follower is sent long updates. maxSendInterval bounds
+	// the pause after a long update; it is shorter than silenceTimeout. The smallest boxes have links of
+	// 20 Mbit/s, 2.5 MB/s, and fourteen followers in a hall of 200 boxes: a third of the link is for tables.
 	followerBytesPerSecond = 50e3
 	maxSendInterval        = 400 * time.Millisecond
-	// minFollowTime is how long an upstream is kept although a better one is available, or none is
-	// needed, and minFollowTimeStoreLost the same where it was chosen because the store did not answer.
+	// minFollowTime is how long a box keeps its upstream although a better one is available or it needs none.
+	// minFollowTimeStoreLost is that time for an upstream that was chosen because the store did not answer.
 	minFollowTime          = 2 * time.Second
 	minFollowTimeStoreLost = 6 * time.Second
-	// upstreamRetryInterval is the pause between attempts to select an upstream while there is none.
+	// upstreamRetryInterval is the pause between attempts to select an upstream while a box has none.
 	upstreamRetryInterval = 500 * time.Millisecond
-	// callTimeout bounds a call to another box, and dialTimeout the connection to it.
+	// callTimeout bounds a call to another box, and dialTimeout the time to connect to that box.
 	callTimeout = 500 * time.Millisecond
 	dialTimeout = 300 * time.Millisecond
-	// maxFollowers bounds the followers of one box; further boxes follow one of those.
+	// maxFollowers bounds the followers of one box. It refuses further boxes, which then follow another one.
 	maxFollowers = 64
 	// maxQueuedMessages bounds the gossip messages that are queued for one box.
 	maxQueuedMessages = 512
-	// registerInterval is the mean pause between attempts to register this box, and registerJitter
-	// keeps boxes that start together from writing at the same time.
+	// registerInterval is the mean pause between two checks whether this box is still in the members table.
+	// registerJitter keeps boxes that start together from writing at the same time.
 	registerInterval = 2 * time.Second
-	// An upstream that reports that the store does not answer it is dropped after storeLostGrace if
+	// A box drops an upstream that reports that the store does not answer. It does so after storeLostGrace if
 	// the store answers this box, and otherwise after bothStoreLostGrace.
 	storeLostGrace     = 400 * time.Millisecond
 	bothStoreLostGrace = 2500 * time.Millisecond
 	registerJitter     = 300 * time.Millisecond
-	// keyCreationTimeout is how long the oldest box has to create the shared key.
+	// keyCreationTimeout is how long the other boxes leave it to the oldest box to create the shared key, which
+	// authenticates the connections between all boxes.
 	keyCreationTimeout = 2 * registerInterval
 	// protocolVersion is raised when boxes of the previous version would misread a message.
 	protocolVersion = 1
 )
 
-// Table is a table that boxes replicate to each other; package follow implements it.
+// Table is a copy of a table of the store that boxes send each other. Package follow implements it.
 type Table interface {
 	PartSince(since follow.Version) follow.Part
 	Receive(p follow.Part, duration time.Duration) bool
@@ -87,11 +93,11 @@
 	Unavailable() bool
 }
 
-// Register is the table of members in the platform's store.
+// Register writes the members table in the platform's store.
 type Register interface {
-	// Put adds or replaces a row.
+	// Put adds a row or replaces the row with this key.
 	Put(ctx context.Context, key string, value []byte) error
-	// Create adds a row unless one exists.
+	// Create adds a row unless there is a row with this key.
 	Create(ctx context.Context, key string, value []byte) error
 	Remove(ctx context.Context, key string) error
 }
@@ -100,43 +106,44 @@
 type Options struct {
 	Self     Member
 	Register Register
-	// Tables are replicated, by names that all boxes share. Open are those that a box which
-	// starts while the store is unavailable may fetch without a key.
+	// Tables are the tables to replicate, by names that are the same on all boxes. KeylessTables names those
+	// that are sent to a box without the shared key, such as a box that starts while the store is unavailable.
 	Tables        map[string]Table
 	KeylessTables []string
-	// Seeds are addresses of boxes, ip:port, which may be stale.
+	// Seeds are addresses of boxes, as ip:port. Some may be out of date.
 	Seeds []string
-	// Room answers for engines that this box owns, and must not block.
+	// Room decides whether an engine that this box owns has enough free memory for a stream. It must not block.
 	Room func(Room) bool
-	// Limits holds the parts of account limits that this box grants from as owner of client accounts.
+	// Limits holds the shares of account limits that were lent to this box, and grants units from them.
 	Limits *quota.Pool
-	// OnMessage receives the gossip messages of other boxes, and must not block.
+	// OnMessage is called with each gossip message of another box, and must not block.
 	OnMessage func(Message)
-	// OnStateChange reports changes of the observed state of other boxes, and must not block.
+	// OnStateChange is called when this box observes a change in the state of another box, and must not block.
 	OnStateChange func(change string, fields ...zap.Field)
 	Metrics       *metrics.Set
 }
 
-// Node is one box's part of the overlay. All fields are set by New.
+// Node is the overlay's part of one box. New sets all fields.
 type Node struct {
 	o       Options
 	hc      *http.Client
 	members members
 	count   counters
-	// membersChanged is signalled when the list of members changes.
+	// membersChanged has an element when the list of members has changed.
 	membersChanged chan struct{}
-	// stopped is cancelled when the box begins a planned stop: its followers select another upstream.
+	// stopped is cancelled when this box begins a planned stop. Then its followers select another upstream.
 	stopped      context.Context
 	stop         context.CancelFunc
 	seedLimiter  bucket
 	unresponsive unresponsiveOwners
 	ownerOrder   ownerRankings
 	lender       quota.Lender
-	// interests tracks the engines that this box deals with, as the upstream knows them.
+	// interests holds the engines that this box has a use for messages about, and those that its upstream knows.
 	interests interestState
 	packer    packer
 	startedAt time.Time
-	// keyMissingSince is when the list was first seen without a key. Only register uses it.
+	// keyMissingSince is when this box first found that the members table has no shared key. Only register
+	// uses it.
 	keyMissingSince time.Time
 	// lastPut is when this box last registered itself. Only register uses it.
 	lastPut time.Time
@@ -147,10 +154,11 @@
 	mu        sync.Mutex
 	followers map[*follower]struct{}
 	upstream  *link // nil if this box follows none.
-	// upstreamPath names the boxes that this box's tables pass through; empty if it reads the store.
+	// upstreamPath names the boxes that the tables pass through on their way from the store to this box; empty
+	// if this box reads the store itself.
 	upstreamPath []string
 	seq          uint64
-	// lastReceived is the position of the last gossip message received from each box.
+	// lastReceived is the incarnation and sequence number of the last gossip message from each box.
 	lastReceived map[string]messagePosition
 }
 
@@ -205,8 +213,8 @@
 	}
 }
 
-// MembersRestored announces that the next table of members comes from a restored, older copy. The
-// table must be set once more after MissingRetention.
+// MembersRestored announces that the next table of members was restored from an older copy. SetMembers must
+// be called once more after MissingRetention, so that members that have not registered again are removed.
 func (n *Node) MembersRestored() { n.members.setRestored() }
 
 // Followers returns the number of boxes that follow this one.
@@ -216,7 +224,7 @@
 	return len(n.followers)
 }
 
-// Connected reports whether gossip messages of others reach this box: it follows one or is followed.
+// Connected reports whether gossip messages of other boxes reach this one: it has an upstream or a follower.
 func (n *Node) Connected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -230,7 +238,7 @@
 	return n.upstream != nil
 }
 
-// IsOldest reports whether this box is the oldest one listed of its region, and so follows nobody.
+// IsOldest reports whether this box is the oldest listed box of its region, and so has no upstream.
 func (n *Node) IsOldest() bool {
 	all := n.members.list(n.o.Self.Region)
 	return len(all) > 0 && !slices.ContainsFunc(all, func(m Member) bool {
@@ -241,11 +249,11 @@
 // MemberCount returns how many boxes are listed, this one included.
 func (n *Node) MemberCount() int { return n.members.size() }
 
-// RegionSize returns how many boxes of this one's region are listed, this one included. They
+// RegionSize returns how many boxes of this box's region are listed, this box included. The boxes of a region
 // exchange gossip messages.
 func (n *Node) RegionSize() int { return len(n.members.list(n.o.Self.Region)) }
 
-// Boxes lists the names of the boxes of a region, with a number that changes with the list.
+// Boxes lists the names of the boxes of a region. Version is a number that changes whenever the list changes.
 func (n *Node) Boxes(region string) (names []string, version int64) {
 	version = n.members.changes.Load()
 	for _, m := range n.members.list(region) {
@@ -264,10 +272,10 @@
 	n.follow(ctx)
 }
 
-// Leave prepares a planned stop: it disconnects the followers and removes this box from the list.
+// Leave prepares a planned stop: it disconnects the followers and removes this box from the members table.
 func (n *Node) Leave(ctx context.Context) {
 	n.stop()
-	_ = n.o.Register.Remove(ctx, n.o.Self.Name) // Otherwise the next start replaces the row.
+	_ = n.o.Register.Remove(ctx, n.o.Self.Name) // If this fails, the next start of the box replaces the row.
 }
 
 // watchTable wakes the followers when a table changes.
@@ -290,7 +298,7 @@
 	}
 }
 
-// register keeps this box listed, and creates the shared key where that is up to this box.
+// register keeps this box in the members table, and creates the shared key if that is this box's task.
 func (n *Node) register(ctx context.Context) {
 	sleep(ctx, time.Duration(mrand.Int64N(int64(registerJitter))))
 	for ctx.Err() == nil && n.stopped.Err() == nil {
@@ -312,7 +320,7 @@
 	defer cancel()
 	m, listed := n.members.get(n.o.Self.Name)
 	if listed = listed && m == n.o.Self; !listed && clock.Since(n.lastPut) > registerInterval {
-		n.lastPut = clock.Now() // The list shows the row with some delay.
+		n.lastPut = clock.Now() // The list shows the new row only after some delay.
 		_ = n.o.Register.Put(ctx, n.o.Self.Name, n.o.Self.encode())
 	}
 	key, missing := n.members.keyMissing()
@@ -321,13 +329,13 @@
 		return
 	}
 	if n.shouldCreateKey(listed, clock.Now()) {
-		_ = n.o.Register.Create(ctx, keyRow, []byte(cmp.Or(key, rand.Text()))) // If two boxes create it, the table shows which row was stored.
+		_ = n.o.Register.Create(ctx, keyRow, []byte(cmp.Or(key, rand.Text()))) // If two boxes create the key at once, the table shows which one was stored.
 	}
 }
 
-// shouldCreateKey reports whether this box creates the shared key: the oldest listed box does so at
-// once, and any other one if the key is still missing after keyCreationTimeout. If every box
-// tried, that would cost a large fleet as much as all that it asks the store for in a minute.
+// shouldCreateKey reports whether this box is to create the shared key. The oldest listed box creates it at
+// once; any other box does so if the key is still missing after keyCreationTimeout. If every box tried at once,
+// the attempts would cost a large fleet as many calls as all its calls to the store in a minute.
 func (n *Node) shouldCreateKey(listed bool, now time.Time) bool {
 	if n.keyMissingSince.IsZero() {
 		n.keyMissingSince = now
@@ -346,7 +354,7 @@
 	}
 }
 
-// follow follows the selected upstream, and selects again when that ends.
+// follow selects an upstream and follows it, again and again until ctx ends or this box stops.
 func (n *Node) follow(ctx context.Context) {
 	for ctx.Err() == nil && n.stopped.Err() == nil {
 		if m, ok := n.selectUpstream(); ok {
@@ -361,9 +369,9 @@
 	}
 }
 
-// selectUpstream returns the member to follow now: one of the hall, or, if this box is the oldest
-// there, the oldest of all. A box that the store does not answer follows any other; a cycle that
-// results is detected by the path of the updates.
+// selectUpstream returns the member that this box should follow now. That is an older member of the hall or, if
+// this box is the oldest there, the oldest member of the region. A box whose calls the store does not answer
+// follows any other member. A cycle that results is detected, since each update names the boxes that it passed.
 func (n *Node) selectUpstream() (Member, bool) {
 	if n.members.sharedKey() == "" {
 		return Member{}, false
@@ -381,7 +389,7 @@
 	return Member{}, false
 }
 
-// storeLost reports whether a table is unavailable: neither the store nor an upstream provides it.
+// storeLost reports whether a table is unavailable: neither the store nor another box provides it.
 func (n *Node) storeLost() bool {
 	for _, t := range n.o.Tables {
 		if t.Unavailable() {
@@ -391,7 +399,7 @@
 	return false
 }
 
-// followMember follows a member until that fails or another upstream should be used instead.
+// followMember follows a member until that fails or this box should follow another one.
 func (n *Node) followMember(ctx context.Context, m Member) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -401,7 +409,7 @@
 	}
 	l := newLink(n, m)
 	err := l.follow(ctx, func() bool {
-		// The member's row may have been that of an earlier start: then no box is older than this one.
+		// If the member's row was that of an earlier start, this box may now be the oldest itself.
 		best, ok := n.selectUpstream()
 		return (!ok || best != m) && clock.Since(began) > minTime
 	})
@@ -414,7 +422,7 @@
 		n.members.recordSuccess(m)
 		return
 	case errors.Is(err, errUpstreamStoreLost), errors.Is(err, errCycle):
-		n.members.recordSuccess(m) // It may work again in a moment.
+		n.members.recordSuccess(m) // The member answers, and its store or the path of its updates may be in order again soon.
 	}
 	if l.established {
 		n.members.recordSuccess(m)
@@ -435,15 +443,16 @@
 	n.upstream, n.upstreamPath = l, nil
 }
 
-// setUpstreamPath sets the boxes that the tables pass through.
+// setUpstreamPath sets the boxes that the tables pass through before they reach this box.
 func (n *Node) setUpstreamPath(path []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.upstreamPath = path
 }
 
-// fetchFromSeeds fetches the open tables of other boxes for a box that starts while the store is
-// unavailable: it serves callers better with old tables than with none.
+// fetchFromSeeds fetches the tables that need no key from the seed boxes, for as long as this box does not know
+// the shared key. A box that starts while the store is unavailable serves callers better with old tables
+// than with none.
 func (n *Node) fetchFromSeeds(ctx context.Context) {
 	sleep(ctx, silenceTimeout)
 	for ctx.Err() == nil && n.members.sharedKey() == "" {
@@ -478,10 +487,11 @@
 	}
 }
 
-// tableVersion is the version of a table in a message. Boxes that know no eras leave theirs at 0.
+// tableVersion returns the version of a table in a message. An era is the time between two restores of the store;
+// boxes of an older release that know no eras send 0.
 func tableVersion(p *v1.Table) follow.Version { return follow.Version{Era: p.Era, Number: p.Version} }
 
-// decodePart decodes a part of a table.
+// decodePart decodes a part of a table: its changes since a version, or all its rows.
 func decodePart(p *v1.Table) (follow.Part, error) {
 	out := follow.Part{Version: tableVersion(p), Since: follow.Version{Era: p.SinceEra, Number: p.Since}, OmitsReverted: p.Skips, Age: time.Duration(p.AgeMs) * time.Millisecond, Lost: p.AgeMs < 0}
 	rows := p.Rows
@@ -497,7 +507,7 @@
 	return out, nil
 }
 
-// encodePart encodes a part of a table, with long rows packed if the receiver can read that.
+// encodePart encodes a part of a table. The rows of a long part are compressed if the receiver can read that.
 func (n *Node) encodePart(name string, p follow.Part, packed bool) *v1.Table {
 	out := &v1.Table{
 		Name: name, Version: p.Version.Number, Era: p.Version.Era, Since: p.Since.Number, SinceEra: p.Since.Era, Skips: p.OmitsReverted, AgeMs: p.Age.Milliseconds(),
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -21,15 +21,15 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// fakeStore is the platform's store with a table of members and one of the operator's.
+// fakeStore is the platform's store with two tables: the members, and the operator's configuration.
 type fakeStore struct {
 	mu         sync.Mutex
 	down       bool
 	ver        int64
-	rows       map[string]map[string]follow.Row // By table and key.
-	vers       map[string]int64                 // Of the rows, by table and key.
+	rows       map[string]map[string]follow.Row // By table and row key.
+	vers       map[string]int64                 // The version at which each row last changed, by table and row key.
 	changed    chan struct{}
-	calls      map[string]int // By box.
+	calls      map[string]int // The number of reads by each box.
 	blockedRow string         // The row whose writes fail; empty if none.
 }
 
@@ -55,7 +55,7 @@
 	s.down = down
 }
 
-// source is one box's access to a table.
+// source is the access of one box to one table of the store.
 type source struct {
 	s     *fakeStore
 	table string
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// box is a box with its node of the overlay.
+// box is a box that the test runs, with its node of the overlay.
 type box struct {
 	*Node
 	srv    *httptest.Server
@@ -150,12 +150,12 @@
 	cancel context.CancelFunc
 
 	mu       sync.Mutex
-	received map[string]int // Messages received, by the engine that they are about.
-	// omitted counts the streams whose messages were left out, by service.
+	received map[string]int // The number of messages received about each engine.
+	// omitted counts, for each service, the streams whose messages were not sent to this box.
 	omitted map[string]int
 }
 
-// start starts a box; older ones have lower incarnations.
+// start starts a box. The incarnation is its start time: the lower it is, the older is the box.
 func (s *fakeStore) start(t *testing.T, name, hall string, incarnation int64, seeds ...string) *box {
 	t.Helper()
 	b := &box{received: map[string]int{}, omitted: map[string]int{}}
@@ -205,7 +205,7 @@
 	b.srv.Close()
 }
 
-// value is the configuration in the box's copy.
+// value returns the configuration that the box has; empty if it has none.
 func (b *box) value() string {
 	for _, r := range b.config.PartSince(follow.Version{}).Rows {
 		return string(r.Value)
@@ -234,8 +234,8 @@
 	return b.upstream != nil && b.upstream.member.Name == name
 }
 
-// fleet starts boxes a to e in two halls, the oldest first, and waits for the tree:
-// a ─► b, c and a ─► d ─► e.
+// fleet starts boxes a, b and c in one hall and d and e in another, the oldest first. It waits until b, c and d
+// follow a, and e follows d.
 func (s *fakeStore) fleet(t *testing.T) (all []*box) {
 	for i, name := range []string{"a", "b", "c", "d", "e"} {
 		all = append(all, s.start(t, name, []string{"h1", "h1", "h1", "h2", "h2"}[i], int64(i+1)))
@@ -255,7 +255,7 @@
 	}
 }
 
-// One box reads the store for all, and each change reaches all.
+// Of five boxes only the oldest reads the store, and each change of the configuration reaches all five.
 func TestOneBoxReadsStore(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -285,8 +285,8 @@
 	}
 }
 
-// When a box with followers is gone, they follow the next oldest, and read the store
-// themselves meanwhile.
+// When a box that others follow is gone, the others follow the next oldest box. They still receive each change of the
+// configuration.
 func TestUpstreamGone(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -300,8 +300,8 @@
 	eventually(t, "the last one has the change", allHave(all[4:], "again"))
 }
 
-// A box that restarts is the youngest, although the list may still show its previous start, and
-// no cycle forms.
+// A box that restarts counts as the youngest and follows an older box. No cycle forms, although the list may still
+// show the box's earlier start.
 func TestRestart(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -312,9 +312,9 @@
 	eventually(t, "all have the change", allHave(all, "after"))
 }
 
-// A box that follows another by the row of its earlier start drops it when the list shows that it
-// is itself the older one. Otherwise the two would try to follow each other: all boxes get the same
-// updates, and one of the two fails to connect each second.
+// Box x follows box y by a row of y's earlier start, which was older than x. When the list shows the present start
+// of y, which is younger than x, x stops to follow y. Otherwise both would try to follow each other: all boxes
+// would still get the updates, but one of the two would fail to connect each second.
 func TestStaleMemberRow(t *testing.T) {
 	s := newStore()
 	s.set("members", follow.Row{Key: keyRow, Value: []byte("of the start before")})
@@ -336,7 +336,7 @@
 	})
 }
 
-// A box that stops as planned is removed from the list, and has no followers any more.
+// A box that stops as planned is removed from the list of members, and the others no longer follow it.
 func TestLeave(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -345,8 +345,8 @@
 	eventually(t, "the list has lost it", func() bool { _, listed := all[1].members.get("a"); return !listed })
 }
 
-// A message of one box reaches all others, wherever it is in the tree, and none twice. A message
-// may be lost, so another with a new engine name is published until all have received one.
+// A gossip message of any box reaches all other boxes, wherever they are in the tree, and none of them twice. A single
+// message may be lost, so each box publishes further ones, each about a new engine, until all have received one.
 func TestMessagesReachAll(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -375,8 +375,9 @@
 	}
 }
 
-// A box that starts while the store is unavailable fetches the configuration from a seed, but not
-// the tables that require the key.
+// A box that starts while the store is unavailable fetches the configuration from another box, whose address it was
+// given as a seed. It does not get the members table, which holds the key that all boxes share: boxes send that
+// table only to a box that has the key.
 func TestStartDuringOutage(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -409,7 +410,8 @@
 	}
 }
 
-// Boxes that know no eras send and read plain versions.
+// The era of a table's version grows when the store is restored from an older copy. A follower of an older release
+// knows no eras: it is sent the whole table once, and then only changes. What it sends itself changes nothing.
 func TestFollowerWithoutErasIsSentTableOnce(t *testing.T) {
 	table := follow.New(nil, follow.Options{}, func(map[string][]byte) {})
 	now := follow.Version{Era: 2, Number: 5}
@@ -423,14 +425,15 @@
 	if second.Since != now.Number || len(second.Rows) != 0 {
 		t.Errorf("expected nothing more, got %v", second)
 	}
-	old := &v1.Table{Version: 90, Since: 80} // As such a box sends it of the state before the restore.
+	old := &v1.Table{Version: 90, Since: 80} // A box without eras sends this part, of the state before the restore.
 	part, err := decodePart(old)
 	if err != nil || table.Receive(part, time.Minute) || table.Version() != now {
 		t.Errorf("expected the part of a box without eras to change nothing, got %s, %v", table.Version(), err)
 	}
 }
 
-// Calls without the key or with another protocol version are refused and counted, and have no effect.
+// A box refuses to be followed without the shared key or with another version of the protocol, and refuses messages
+// without the key. It counts these refusals. It drops messages of boxes that are not listed.
 func TestStrangers(t *testing.T) {
 	s := newStore()
 	b := s.start(t, "a", "h1", 1)
@@ -471,7 +474,8 @@
 	}
 }
 
-// The number of followers is bounded, and so is the rate of calls for tables without a key.
+// A box bounds the number of its followers, the messages queued for each of them, and the rate of calls that fetch
+// tables without the shared key.
 func TestBounds(t *testing.T) {
 	n := New(Options{Metrics: metrics.NewSet(), OnStateChange: func(string, ...zap.Field) {}})
 	for i := range maxFollowers {
@@ -501,7 +505,8 @@
 	}
 }
 
-// Whatever another box sends, no message with values out of bounds is accepted, and the process does not crash.
+// No message of another box crashes the process, whatever its bytes are. A message that is accepted is of an allowed
+// age, and encodes and decodes to the same message again.
 func FuzzFact(f *testing.F) {
 	seed := Message{At: time.Now(), Load: &Load{Engine: "e", KVUsed: 1, KVTotal: 2, Runs: []StreamLoad{{1, 2}}}}
 	b, _ := proto.Marshal(seed.encode(time.Now()))
--- a/internal/overlay/owner.go
+++ b/internal/overlay/owner.go
@@ -13,33 +13,36 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// Each engine that decodes has an owner: one box, which all others ask before they place a stream
-// there, and which therefore knows at once what all of them placed. Every box determines the owner
-// by itself, by rendezvous hashing over the members of the engine's hall. Two owners at once, an
-// owner that is gone or one that knows little cost goodput only: a box that gets no answer in
-// time decides by what it knows.
+// Each engine that decodes has an owner: one box that all other boxes ask before they place a stream at the
+// engine. So the owner knows at once which streams all of them placed. Every box determines the owner by itself,
+// by rendezvous hashing over the boxes of the engine's hall.
+//
+// Two owners at once, an owner that is gone or an owner that knows little cost only some goodput, the requests
+// served in time. A box that gets no answer in time decides by what it knows itself.
 
-// Room is a stream that asks for room at an engine. Sizes are in tokens.
+// Room is a request to an engine's owner for room: KV cache of the engine for one stream. Sizes are in tokens.
 type Room struct {
 	Engine       string
 	PromptTokens int
-	// ExpectedTokens is the expected length of the answer, and MaxTokens the longest one that is reserved for.
+	// ExpectedTokens is the expected length of the answer. MaxTokens is the length up to which room is reserved
+	// for the answer.
 	ExpectedTokens int
 	MaxTokens      int
-	// OutputReserve must be free beside the prompt for the answer to begin.
+	// OutputReserve is the room that must be free in addition to the prompt before the answer can begin.
 	OutputReserve int
 }
 
 const (
-	// roomTimeout bounds a request to an owner. A call within a hall takes 0.3 ms and one between
-	// halls 4 ms with its connection; a box that is short of processor time answers some tens of
+	// roomTimeout bounds a request to an engine's owner. A call within a hall takes 0.3 ms. A call between
+	// halls takes 4 ms, connecting included. A box that is short of processor time answers some tens of
 	// milliseconds late, and callers wait 900 ms for the first event.
 	roomTimeout = 40 * time.Millisecond
-	// ownerRetryDelay is for how long an owner that did not answer is skipped.
+	// ownerRetryDelay is for how long a box that did not answer as owner is not asked again.
 	ownerRetryDelay = 2 * time.Second
 )
 
-// unresponsiveOwners are the boxes that recently did not answer as owners, with the time of the next attempt.
+// unresponsiveOwners holds the boxes that recently did not answer as owners, with the time from which each may be
+// asked again.
 type unresponsiveOwners struct {
 	mu      sync.Mutex
 	retryAt map[string]time.Time
@@ -54,7 +57,7 @@
 	h.retryAt[name] = now.Add(ownerRetryDelay)
 }
 
-// usable reports whether a box may be asked now.
+// usable reports whether a box may be asked as owner now.
 func (h *unresponsiveOwners) usable(name string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,7 +69,7 @@
 	return true
 }
 
-// ownerOf returns the owner of an engine: a box of its hall if any there is usable.
+// ownerOf returns the owner of an engine: a usable box of the engine's hall, or of the region if the hall has none.
 func (n *Node) ownerOf(hall, engine string, now time.Time) (owner Member, ok bool) {
 	list := n.members.list(n.o.Self.Region)
 	list = slices.DeleteFunc(list, func(m Member) bool { return !n.unresponsive.usable(m.Name, now) })
@@ -77,9 +80,9 @@
 	return rendezvous(list, engine), len(list) > 0
 }
 
-// AskRoom asks the owner of an engine in a hall whether it has room for a stream. By is the box
-// that answered; it is empty if this box is the owner itself or the owner did not answer. Then the
-// stream is granted, as this box has already found room by what it knows.
+// AskRoom asks the owner of an engine in a hall whether the engine has room for a stream. By is the box that
+// answered. If this box is the owner itself or gets no answer, by is empty and granted is true: this box has
+// already found room by what it knows.
 func (n *Node) AskRoom(ctx context.Context, hall string, r Room) (granted bool, by string) {
 	owner, ok := n.ownerOf(hall, r.Engine, clock.Now())
 	if !ok || owner.Name == n.o.Self.Name || !n.Connected() {
@@ -95,7 +98,7 @@
 	resp, err := n.client(owner.Address).Room(ctx, req)
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.Canceled):
-		return true, "" // The caller has left, which says nothing about the owner.
+		return true, "" // The client has left, which says nothing about the owner.
 	case err != nil:
 		n.count.roomUnanswered.Inc()
 		n.unresponsive.failed(owner.Name, clock.Now())
@@ -108,7 +111,7 @@
 	return resp.Msg.Granted, owner.Name
 }
 
-// Room answers for an engine that this box owns.
+// Room serves another box's request for room at an engine that this box owns.
 func (s *server) Room(_ context.Context, r *connect.Request[v1.RoomRequest]) (*connect.Response[v1.RoomResponse], error) {
 	if err := s.n.authenticate(r.Header()); err != nil {
 		return nil, err
--- a/internal/overlay/owner_test.go
+++ b/internal/overlay/owner_test.go
@@ -11,14 +11,14 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// ownerAt returns the box that a box considers the owner of an engine; empty if none.
+// ownerAt returns the box that box b considers the owner of an engine in a hall; empty if there is none.
 func (b *box) ownerAt(hall, engine string) string {
 	m, _ := b.ownerOf(hall, engine, time.Now())
 	return m.Name
 }
 
-// resetUnresponsive has the box ask owners again that did not answer it in time, and returns how many
-// it skipped. The timeout is 40 ms, which a machine that is too busy exceeds.
+// resetUnresponsive has the box ask those owners again that recently did not answer it, and returns how many there
+// were. An owner has 40 ms to answer, which a machine that is too busy exceeds.
 func (b *box) resetUnresponsive() int {
 	b.unresponsive.mu.Lock()
 	defer b.unresponsive.mu.Unlock()
@@ -27,8 +27,8 @@
 	return n
 }
 
-// All boxes agree on the owner of an engine, a box of its hall; and when it is gone they
-// agree on another as soon as a request to it has failed.
+// All boxes agree on the owner of an engine, a box of the engine's hall that decides whether the engine has room for
+// a stream. When the owner is gone, the other box of the hall becomes the owner as soon as a request has failed.
 func TestEngineOwner(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -73,7 +73,7 @@
 	}
 }
 
-// Requests for room without the key are refused, and so are sizes out of bounds.
+// A box refuses requests for room at an engine that come without the shared key or with sizes out of bounds.
 func TestRoomStrangers(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
@@ -92,7 +92,8 @@
 	expect(all[0].members.sharedKey(), maxTokens, connect.CodeInvalidArgument)
 }
 
-// Losing a box reassigns the engines that it owned, and no others.
+// When a box is gone, the engines that it owned get new owners, and all other engines keep theirs. No box owns many
+// more engines than the mean.
 func TestOwnerReassignsFew(t *testing.T) {
 	n := &Node{o: Options{Self: Member{Name: "box-0", Region: "r"}}}
 	n.members.all = map[string]Member{}
--- a/internal/overlay/pack.go
+++ b/internal/overlay/pack.go
@@ -12,29 +12,29 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// This file compresses the rows of long parts of tables, once for all followers that are sent the same.
-// Rows of the list are 230 B of repetitive text: 10,000 of them are 2.3 MB for each follower, and
-// a box with a link of 20 Mbit/s has fourteen.
+// This file compresses the rows of long parts of tables. A part is compressed once for all followers that are
+// sent the same part. A row of the list of endpoints is 230 B of repetitive text: 10,000 rows are 2.3 MB for
+// each follower, and a box with a link of 20 Mbit/s has fourteen followers.
 
-// minPackBytes is the size from which rows are compressed. Heartbeats and single changes are
-// shorter, and not worth the time.
+// minPackBytes is the size of keys and values from which rows are compressed. Heartbeats and single changes are
+// shorter, and not worth the processor time.
 const minPackBytes = 8 << 10
 
-// packedPart is a compressed part of a table.
+// packedPart holds the compressed rows of a part of a table: the changes from version since to version.
 type packedPart struct {
 	since, version int64
 	bytes          []byte
 }
 
-// packer caches the last compressed part of each table. The zero value is ready to use.
+// packer caches the compressed rows of the last part of each table. The zero value is ready to use.
 type packer struct {
 	mu   sync.Mutex
 	last map[string]packedPart
-	// w is reused for the next part: a compressor takes more than half a megabyte.
+	// w is kept for the next part: a compressor takes more than half a megabyte.
 	w *flate.Writer
 }
 
-// pack returns the rows of a part, compressed; nil if they are too short for it.
+// pack returns the compressed rows of a part; nil if the rows are too short to be worth it.
 func (p *packer) pack(t *v1.Table) []byte {
 	size := 0
 	for _, r := range t.Rows {
--- a/internal/overlay/pack_test.go
+++ b/internal/overlay/pack_test.go
@@ -12,7 +12,7 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// listPart returns a part of a list of endpoints, in the format of the platform's entries.
+// listPart returns a part of a table of endpoints, with rows as the platform writes them.
 func listPart(rows int) *v1.Table {
 	t := &v1.Table{Name: "endpoints", Version: 7}
 	for i := range rows {
@@ -23,7 +23,8 @@
 	return t
 }
 
-// A long part is compressed once for all followers that are sent the same, and decodes to the same rows.
+// The rows of a long part are compressed once for all followers that are sent the same part, and decompress to the
+// same rows. A short part is not compressed.
 func TestPackCachesPart(t *testing.T) {
 	var p packer
 	part := listPart(500)
@@ -44,7 +45,7 @@
 	}
 }
 
-// Rows that cannot be decoded are an error: a box must not take them for an empty table.
+// Compressed rows that are corrupt are an error: a box must not take them for an empty table.
 func TestUnpackCorrupt(t *testing.T) {
 	packed := (&packer{}).pack(listPart(500))
 	for name, b := range map[string][]byte{"cut short": packed[:len(packed)/2], "not packed": []byte("rows")} {
@@ -54,7 +55,7 @@
 	}
 }
 
-// A box of the previous version, which does not read packed rows, is sent plain ones.
+// A box of the previous version cannot read compressed rows, and is sent uncompressed ones.
 func TestTablesUnpacked(t *testing.T) {
 	s := newStore()
 	a := s.start(t, "a", "h1", 1)
@@ -77,8 +78,8 @@
 	}
 }
 
-// BenchmarkPack measures the time to pack 500 rows of the list, and their packed size. 14 followers were
-// sent 97 KB each without packing, and are sent 9.5 KB with it (one run).
+// BenchmarkPack measures the time to compress 500 rows of the table of endpoints, and their size. Each of 14
+// followers was sent 97 KB without compression, and is sent 9.5 KB with it (one run).
 func BenchmarkPack(b *testing.B) {
 	part := listPart(500)
 	b.ReportAllocs()
--- a/internal/overlay/serve.go
+++ b/internal/overlay/serve.go
@@ -22,12 +22,12 @@
 type follower struct {
 	name  string
 	queue messageQueue
-	// versions are the versions of the tables that it has.
+	// versions are the versions of the tables that the follower has.
 	versions map[string]follow.Version
-	// packed means that it reads packed rows.
+	// packed means that the follower can read compressed rows.
 	packed bool
-	// interest selects the engines whose messages it is sent, and omittedPlaced counts the streams of
-	// each service whose messages were left out since the last update. The node's lock guards both.
+	// interest selects the engines whose messages the follower is sent. omittedPlaced counts, for each service,
+	// the placed streams whose messages were left out since the last update. The node's lock guards both.
 	interest      interest
 	omittedPlaced map[string]int32
 }
@@ -39,14 +39,14 @@
 	maxRequestBytes = 256 << 10
 	// writeTimeout bounds the sending of an update to a follower that does not read.
 	writeTimeout = time.Second
-	// seedCallsPerSecond bounds the calls that fetch tables without a key.
+	// seedCallsPerSecond bounds the calls of boxes that fetch tables without the shared key.
 	seedCallsPerSecond = 20
 	bearer             = "Bearer "
 )
 
 func authorize(h http.Header, key string) { h.Set("Authorization", bearer+key) }
 
-// authenticate returns an error unless a call comes from a box that knows the key of the platform's store.
+// authenticate returns an error unless a call has the key that all boxes of the platform share.
 func (n *Node) authenticate(h http.Header) error {
 	key := n.members.sharedKey()
 	if key == "" || subtle.ConstantTimeCompare([]byte(h.Get("Authorization")), []byte(bearer+key)) != 1 {
@@ -56,13 +56,13 @@
 	return nil
 }
 
-// withoutCompression disables the library's compression; packer decides which messages are compressed.
-// The library allocates compressors of about a megabyte faster than a box that is short of processor time
-// collects them: boxes with many followers grew from 20 MB to 118 MB while heartbeats and gossip messages
-// were compressed too.
+// withoutCompression disables the compression of the RPC library. Instead packer compresses long rows alone.
+// The library compressed heartbeats and gossip messages too, and allocated a compressor of about a megabyte for
+// each. A box that is short of processor time does not free these as fast: boxes with many followers grew from
+// 20 MB to 118 MB.
 var withoutCompression = connect.WithCompression("gzip", nil, nil)
 
-// Handler serves the other boxes.
+// Handler returns the handler of the calls of other boxes.
 func (n *Node) Handler() http.Handler {
 	mux := http.NewServeMux()
 	path, h := stoatrampv1connect.NewOverlayHandler(&server{n}, connect.WithReadMaxBytes(maxRequestBytes), withoutCompression)
@@ -72,14 +72,14 @@
 	return mux
 }
 
-// controllerKey is the key of a call's response controller in its context.
+// controllerKey is the key under which the context of a call holds the call's response controller.
 type controllerKey struct{}
 
 type server struct{ n *Node }
 
 var _ stoatrampv1connect.OverlayHandler = (*server)(nil)
 
-// Follow sends a follower the tables as they change and the gossip messages.
+// Follow sends a follower the gossip messages, and the tables as they change.
 func (s *server) Follow(ctx context.Context, r *connect.Request[v1.FollowRequest], stream *connect.ServerStream[v1.Update]) error {
 	if err := s.n.authenticate(r.Header()); err != nil {
 		return err
@@ -102,13 +102,13 @@
 	return s.n.sendUpdates(ctx, f, stream)
 }
 
-// admit adds a follower if there is room.
+// admit adds a follower unless this box has maxFollowers or is about to stop.
 func (n *Node) admit(f *follower) bool {
 	if !n.addFollower(f) {
 		return false
 	}
 	n.reportFollowed()
-	n.signalInterest() // A box with followers forwards all messages.
+	n.signalInterest() // The upstream is told that this box now needs all messages, to forward them.
 	return true
 }
 
@@ -130,9 +130,9 @@
 	n.signalInterest()
 }
 
-// reportFollowed tells the tables whether other boxes depend on them. The node's lock is not held
-// meanwhile: a table applies its rows with its own lock held, and the callback that receives them calls
-// the node.
+// reportFollowed tells each table whether other boxes receive it from this box. The node's lock is not held
+// during these calls, or they could deadlock: a table holds its own lock while it calls back with changed rows,
+// and that callback calls the node.
 func (n *Node) reportFollowed() {
 	n.followedMu.Lock()
 	defer n.followedMu.Unlock()
@@ -142,7 +142,7 @@
 	}
 }
 
-// sendUpdates sends updates until the follower is gone or this box stops.
+// sendUpdates sends updates to a follower until the follower is gone or this box stops.
 func (n *Node) sendUpdates(ctx context.Context, f *follower, stream *connect.ServerStream[v1.Update]) error {
 	rc, _ := ctx.Value(controllerKey{}).(*http.ResponseController)
 	beat := time.NewTicker(heartbeatInterval)
@@ -167,12 +167,13 @@
 	}
 }
 
-// sendIntervalAfter is the minimum time between an update of a size in bytes and the next one to the same
-// follower. The first update of a long change is sent at once; further pieces are batched. When 10,000
-// endpoints started within 3 s, a box sent each of 14 followers some 50 rows every 60 ms, each of which the
-// follower applied to the whole list: the box had no time for heartbeats, and was assumed dead.
+// sendIntervalAfter returns the minimum time between an update of a size in bytes and the next update to the
+// same follower. The first update of a long change is sent at once; later changes are batched. When 10,000
+// endpoints started within 3 s, a box sent each of 14 followers some 50 rows every 60 ms. The follower applied
+// each of these updates to the whole list. The box had no time left for heartbeats, and was assumed dead.
 //
-// Example: after an update of 10 KB, 500 packed rows of the list, the next one is sent 200 ms later.
+// Example: after an update of 10 KB, which is 500 compressed rows of the list of endpoints, the next update is
+// sent 200 ms later.
 func sendIntervalAfter(bytes int) time.Duration {
 	byRate := time.Duration(float64(bytes) / followerBytesPerSecond * float64(time.Second))
 	return max(minSendInterval, min(byRate, maxSendInterval))
@@ -199,7 +200,7 @@
 	return msg
 }
 
-// Tell receives the messages of a follower.
+// Tell receives the gossip messages and the interest of a follower.
 func (s *server) Tell(_ context.Context, r *connect.Request[v1.TellRequest]) (*connect.Response[v1.TellResponse], error) {
 	if err := s.n.authenticate(r.Header()); err != nil {
 		return nil, err
@@ -225,7 +226,7 @@
 	return nil
 }
 
-// Tables returns the open tables to a box that cannot read the store, at a limited rate.
+// Tables returns the tables that need no key to a box that cannot read the store. The rate of calls is limited.
 func (s *server) Tables(_ context.Context, r *connect.Request[v1.TablesRequest]) (*connect.Response[v1.Update], error) {
 	if !s.n.seedLimiter.take(clock.Now()) {
 		s.n.count.refused.Inc()
@@ -240,7 +241,7 @@
 
 // bucket is a token bucket.
 type bucket struct {
-	rate, burst float64 // Tokens a second, and the most at once.
+	rate, burst float64 // Tokens added per second, and the maximum number of tokens.
 
 	mu        sync.Mutex
 	tokens    float64
--- a/internal/overlay/spacing_test.go
+++ b/internal/overlay/spacing_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Messages and heartbeats are not delayed; pieces of a long change are batched, but never for so long
-// that a follower assumes the box is dead.
+// The next update follows a short one, such as a heartbeat, after the minimum interval. After a long update it is
+// delayed, so that changes are batched, but never for so long that the follower assumes the box to be dead.
 func TestSpacing(t *testing.T) {
 	for _, c := range []struct {
 		bytes int
--- a/internal/overlay/tree.go
+++ b/internal/overlay/tree.go
@@ -6,25 +6,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// This file determines which box a box follows. In a small hall all others follow its oldest. In a
-// larger one the next oldest form a middle level:
+// This file determines which box each box follows. In a small hall all boxes follow the oldest one. In a
+// larger hall the next oldest boxes form a middle level, so that no box sends to too many others:
 //
 //	oldest of the hall ─┬► next oldest ─┬► younger
 //	                    │               └► younger
 //	                    └► next oldest ──► …
 //
-// so that no box sends to many. Each box decides by its own list of members. Lists may
-// differ; a box follows only an older one of its hall, so no cycle can form.
+// Each box decides by its own list of members. These lists may differ. Still no cycle can form, since a box
+// follows only an older box of its hall.
 
-// maxFlatHall is the size of a hall up to which all follow its oldest box. In a simulated day of 295
-// boxes in 5 halls, with all 58 others of each hall behind one, the oldest of all used 0.183 of a
-// core, of the 0.192 that it had, where the mean was 0.012.
+// maxFlatHall is the number of boxes up to which all boxes of a hall follow its oldest box. A larger hall needs the
+// middle level. In a simulated day of 295 boxes in 5 halls without it, 58 boxes of each hall followed the
+// oldest box of the hall. Then the oldest box of all used 0.183 of a processor core, of the 0.192 that it had,
+// while the mean of all boxes was 0.012.
 const maxFlatHall = 16
 
-// parent returns the member of the hall that self follows; ok is false for the oldest. The hall is
-// sorted by age and does not contain self.
+// parent returns the member of the hall that the box self follows; ok is false if self is the oldest box. The
+// hall is sorted by age and does not contain self.
 //
-// Example: in a hall of 59 the eight after the oldest follow the oldest, and each of the other
+// Example: in a hall of 59 boxes, the eight boxes after the oldest one follow the oldest one. Each of the other
 // fifty follows one of those eight.
 func parent(hall []Member, self Member) (m Member, ok bool) {
 	olderCount := 0
@@ -42,11 +43,11 @@
 	return rendezvous(hall[1:middle+1], self.Name), true
 }
 
-// rendezvousScore is the score of a member for a key in rendezvous hashing.
+// rendezvousScore is the hash of a member and a key by which rendezvous hashing ranks members.
 func rendezvousScore(m Member, key string) uint64 { return xxhash.Sum64String(key + " " + m.Name) }
 
-// rendezvous returns the member with the highest score for a key: this spreads keys evenly, and
-// reassigns few when a member appears or leaves.
+// rendezvous returns the member with the highest rendezvousScore for a key. This spreads keys evenly over the
+// members, and few keys move to another member when a member appears or leaves.
 func rendezvous(list []Member, key string) (best Member) {
 	highest := uint64(0)
 	for _, m := range list {
--- a/internal/overlay/tree_test.go
+++ b/internal/overlay/tree_test.go
@@ -18,7 +18,7 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// hallOf returns the members of a hall, the oldest first.
+// hallOf returns the n members of a hall, the oldest first.
 func hallOf(n int) (out []Member) {
 	for i := range n {
 		out = append(out, Member{Name: fmt.Sprintf("box-%d", i), Hall: "h", Incarnation: int64(i + 1)})
@@ -26,7 +26,7 @@
 	return out
 }
 
-// upstreams returns whom each box of a hall follows, by name.
+// upstreams returns the name of the box that each box of a hall follows, by the name of the follower.
 func upstreams(hall []Member) map[string]string {
 	out := map[string]string{}
 	for i, self := range hall {
@@ -37,8 +37,8 @@
 	return out
 }
 
-// expectTree checks the maximum number of followers of one box, and the maximum distance from the
-// oldest.
+// expectTree checks a hall of a size: how many followers one box has at most, and by how many steps a box is at most
+// away from the oldest.
 func expectTree(t *testing.T, size, maxFollowers, maxDepth int) {
 	t.Helper()
 	hall := hallOf(size)
@@ -69,7 +69,7 @@
 func TestTreeLarge(t *testing.T)   { expectTree(t, 59, 14, 2); expectTree(t, 80, 16, 2) }
 func TestTreeLargest(t *testing.T) { expectTree(t, 400, 36, 2) }
 
-// The oldest listed box creates the key, and any box does if the oldest has not in time.
+// The oldest listed box creates the shared key. Any other box does so if the oldest has not done it in time.
 func TestOldestCreatesKey(t *testing.T) {
 	now := time.Now()
 	hall := hallOf(3)
@@ -91,7 +91,7 @@
 	}
 }
 
-// countingTransport counts the bytes of the responses to a box.
+// countingTransport counts the bytes of all responses.
 type countingTransport struct{ bytes atomic.Int64 }
 
 func (w *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -113,16 +113,18 @@
 	return n, err
 }
 
-// Guards against slow distribution of a large configuration. Users saw a route refused with 404 on one box
-// of 58, 3.2 s after a configuration with 1,928 more routes was accepted; 3 s are allowed. The oldest box reads the
-// configuration and sends it whole to each follower, over a link of 10 Mbit/s, and those to theirs. In a
-// rerun of the same day it was in force on half of the boxes after 1.6 s and on the last after 2.3 s; with
-// large messages compressed after 0.4 s and 0.6 s. Small ones are not compressed.
+// These tests guard against slow distribution of a large configuration. Users saw a route refused with 404 on one
+// box of 58, 3.2 s after a configuration with 1,928 more routes was accepted; 3 s are allowed. The oldest box reads
+// the configuration and sends it whole to each of its followers, over a link of 10 Mbit/s. These send it to their
+// own followers. In a rerun of the same day without compression, the configuration was in force on half of the boxes
+// after 1.6 s, and on the last box after 2.3 s. With large messages compressed it was so after 0.4 s and 0.6 s.
+// Small messages are not compressed.
 func TestSmallNotCompressed(t *testing.T) { expectCompressed(t, minPackBytes/2, false) }
 func TestLargeCompressed(t *testing.T)    { expectCompressed(t, 2*minPackBytes, true) }
 func TestLargestCompressed(t *testing.T)  { expectCompressed(t, 1<<20, true) }
 
-// expectCompressed has a box send another one a configuration of a size in bytes that compresses well.
+// expectCompressed has a box send a follower a configuration of a size in bytes, which compresses well, and checks
+// whether it is compressed.
 func expectCompressed(t *testing.T, size int, want bool) {
 	t.Helper()
 	s := newStore()
@@ -147,8 +149,8 @@
 	}
 }
 
-// When a box of the middle level is gone, only its followers follow another, and the one that takes its
-// place.
+// When a box of the middle level is gone, its followers select another box. Few others change the box that they
+// follow, such as the box that takes its place: the test allows 15 of the 58 boxes that are left.
 func TestTreeReassignsFew(t *testing.T) {
 	hall := hallOf(59)
 	before := upstreams(hall)
@@ -164,7 +166,7 @@
 	}
 }
 
-// Boxes whose lists differ never form a cycle: each follows an older one.
+// No cycle can form among boxes whose lists of members differ: each box follows an older one.
 func TestTreeOlderOnly(t *testing.T) {
 	hall := hallOf(59)
 	for i, self := range hall {
@@ -177,8 +179,8 @@
 	}
 }
 
-// A box knows that it is the oldest of its region only once the list is not empty and has no older
-// one.
+// A box considers itself the oldest of its region if the list of members is not empty and has no older box of that
+// region.
 func TestOldest(t *testing.T) {
 	n := &Node{o: Options{Self: Member{Name: "b", Region: "r", Incarnation: 5}}}
 	expect := func(what string, want bool, list ...Member) {
