--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// fleetSim simulates many boxes, in virtual time, that enforce the limit of one account. Partitions and
-// frozen boxes determine which boxes reach each other.
+// fleetSim simulates, in virtual time, many boxes that enforce the limit of one account. Network partitions and frozen
+// boxes determine which boxes can reach each other.
 type fleetSim struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -19,12 +19,13 @@
 	limit    Limit
 	bounds   Bounds
 	boxes    []*simBox
-	// ownerOrder is the order in which boxes are candidates for the ownership of the account.
+	// ownerOrder is the order in which boxes are asked as owner of the account, by their indexes.
 	ownerOrder []int
 	start      time.Time
-	// orderRotation gives each box another view of ownerOrder; 0 while all agree.
+	// orderRotation is not 0 while the boxes disagree on the owner: then each box starts at another place of
+	// ownerOrder.
 	orderRotation int
-	// requests has all requests and whether they were admitted.
+	// requests has all requests so far, and whether they were admitted.
 	requests []simRequest
 }
 
@@ -34,7 +35,7 @@
 	admitted bool
 }
 
-// strategy is how the boxes enforce the limit together.
+// strategy is one of the ways in which the boxes can enforce the limit together.
 type strategy uint8
 
 const (
@@ -55,10 +56,11 @@
 	lender           *Lender
 	cache            *GrantCache
 	unreachableUntil map[int]time.Time
-	// partition is the network partition of the box: only boxes of the same one reach each other.
+	// partition is the network partition of the box: only boxes of the same partition can reach each other.
 	partition int
 	frozen    bool
-	// remoteUsage is what the other boxes admitted, and level what is left of this box's own bucket.
+	// remoteUsage is how many units other boxes admitted, and level how many units are left in this box's own
+	// bucket. Only the strategies without lending use them.
 	remoteUsage float64
 	level       float64
 	refilledAt  time.Time
@@ -79,7 +81,7 @@
 	return f
 }
 
-// restart begins a new process of the box.
+// restart starts a new process of the box, which knows nothing of the old one.
 func (b *simBox) restart() {
 	b.pool, b.lender, b.unreachableUntil = NewPool(), &Lender{}, map[int]time.Time{}
 	b.cache = NewGrantCache(b)
@@ -99,7 +101,7 @@
 
 func (b *simBox) usable(i int) bool { return i == b.index || !time.Now().Before(b.unreachableUntil[i]) }
 
-// ownerOrder is the order of owners in this box's view.
+// ownerOrder is the order in which this box asks the boxes as owner.
 func (b *simBox) ownerOrder() []int {
 	if b.fleet.orderRotation == 0 {
 		return b.fleet.ownerOrder
@@ -108,7 +110,7 @@
 	return slices.Concat(b.fleet.ownerOrder[n:], b.fleet.ownerOrder[:n])
 }
 
-// tick renews the box's loans, as package overlay does.
+// tick lends the box's share to the owner again, as package overlay does at each renewal interval.
 func (b *simBox) tick() {
 	if b.frozen {
 		return
@@ -147,7 +149,7 @@
 	}
 }
 
-// Allow asks owners, as package overlay does.
+// Allow requests units from the owners in turn, as package overlay does.
 func (b *simBox) Allow(_ context.Context, account string, units, ahead float64) (Answer, bool) {
 	unreachable := 0
 	for _, i := range b.ownerOrder() {
@@ -167,7 +169,7 @@
 	return b.pool.Grant(time.Now(), account, units, ahead)
 }
 
-// admit asks for a request's units with the simulated strategy.
+// admit decides by the simulated strategy whether a request of some units is admitted.
 func (b *simBox) admit(units float64) bool {
 	n := float64(len(b.fleet.boxes))
 	switch b.fleet.strategy {
@@ -197,7 +199,7 @@
 	return false
 }
 
-// publishUsage subtracts, a second later, what another box admitted.
+// publishUsage tells the box how many units another box admitted. The box subtracts them one second later.
 func (b *simBox) publishUsage(units float64) {
 	time.AfterFunc(time.Second, func() { b.level -= units })
 }
@@ -218,8 +220,8 @@
 	return true
 }
 
-// The load: plain calls of 200 units and streams of 14,000, in the proportion of the shifted workload. Each
-// caller uses one box.
+// The simulated load consists of plain calls of 200 units and streams of 14,000 units; 12 of 100 requests are streams,
+// as in the shifted workload. All requests come through a fifth of the boxes, since each caller uses one box.
 const (
 	simPlainUnits       = 200.0
 	simStreamUnits      = 14_000.0
@@ -237,7 +239,7 @@
 	simRotationInterval = 400 * time.Millisecond
 )
 
-// run sends load to a fifth of the boxes, at least two, while fault disturbs the fleet.
+// run sends the load to a fifth of the boxes, at least two, while fault disturbs the boxes.
 func (f *fleetSim) run(loadFactor float64, fault func(f *fleetSim, at time.Duration)) {
 	entryBoxes := f.rng.Perm(len(f.boxes))[:max(2, len(f.boxes)/5)]
 	due := 0.0
@@ -266,7 +268,7 @@
 	}
 }
 
-// worstWindow is the largest sum in any window, as a share of what is allowed.
+// worstWindow is the largest number of units admitted in any window, as a share of what the platform allows.
 func (f *fleetSim) worstWindow() float64 {
 	maxSum, sum, from := 0.0, 0.0, 0
 	for _, u := range f.requests {
@@ -357,7 +359,7 @@
 	}
 }
 
-// runSim simulates one case.
+// runSim simulates one strategy for n boxes under one fault.
 func runSim(t *testing.T, s strategy, n int, rate, loadFactor float64, fault func(f *fleetSim, at time.Duration)) (worst, refused float64) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleetSim(t, s, n, rate)
@@ -367,10 +369,10 @@
 	return worst, refused
 }
 
-// An account that asks for more than four times its limit never gets more units from all boxes together than
-// the platform allows, whatever fails between the boxes. The rejected strategies did not achieve this: boxes
-// that only exchange usage counts admitted twice the bound while boxes were cut off, and so did an owner
-// with the whole limit while there were two owners.
+// An account that asks for more than four times its limit gets no more units from all boxes together than the platform
+// allows, whatever fails between the boxes. The rejected strategies did not achieve this. Boxes that only exchange
+// counts of the usage admitted twice the bound while some were cut off. So did an owner that holds the whole limit
+// while there were two owners.
 func TestSumOfAllBoxes(t *testing.T) {
 	for _, n := range []int{8, 60, 400} {
 		for _, rate := range []float64{29_000, 141_000} {
@@ -386,7 +388,7 @@
 	}
 }
 
-// An account within its limit is refused nothing while the boxes reach each other.
+// While the boxes reach each other, an account within its limit is refused less than 0.5% of its units.
 func TestWithinTheLimit(t *testing.T) {
 	for _, n := range []int{8, 60, 400} {
 		for _, rate := range []float64{29_000, 141_000} {
@@ -400,7 +402,7 @@
 	}
 }
 
-// TestWays prints the worst windows and the units wrongly refused for each strategy.
+// TestWays prints, for each strategy and fault, the units admitted in the worst window and the units wrongly refused.
 func TestWays(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("prints a table with -v")
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Lender keeps track of the boxes to which this box has lent its shares. It is safe for concurrent use.
-// The zero value has lent nothing.
+// Lender keeps track of the boxes that this box has lent its shares to, one share for each group of accounts. It is
+// safe for concurrent use. The zero value has lent nothing.
 type Lender struct {
 	mu   sync.Mutex
 	lent [Groups]loan
 }
 
-// loan records which box has a share; no other box may get it before until.
+// loan records which box this box's share of a group is lent to. Until the time until, no other box may get it.
 type loan struct {
 	to    string
 	until time.Time
 }
 
-// Call is a lend or return call that this box should make to another one.
+// Call is a call that this box should make to another one, to lend it shares or to ask for their return.
 type Call struct {
 	To     string
 	Groups []int
-	// Return asks for the return of the shares.
+	// Return means that the call asks for the return of the shares.
 	Return bool
-	// Duration is the duration of the loan.
+	// Duration is how long the loan lasts from the call on.
 	Duration time.Duration
 }
 
@@ -34,20 +34,20 @@
 type Result uint8
 
 const (
-	// Delivered calls were answered.
+	// Delivered means that the call was answered.
 	Delivered Result = iota
-	// Lost calls may have been carried out, or may still be.
+	// Lost means that the call was not answered: it may have been carried out, or may still be.
 	Lost
 	// Gone means that the called process no longer exists, and so holds no shares.
 	Gone
 )
 
-// maxCallDelay bounds how long a lost call may still be in transit.
+// maxCallDelay bounds how long after its start a lost call may still be carried out.
 const maxCallDelay = 300 * time.Millisecond
 
-// Plan returns the calls that lend each group's share to its wanted owner for a time. A share that another
-// box has is first requested back; while that box does not answer, the share stays there until the loan
-// expires.
+// Plan returns the calls that are needed to lend the share of each group to the box that want names for it. A share
+// that is lent to another box is first requested back. If that box does not answer, the share stays lent to it until
+// the loan expires.
 func (l *Lender) Plan(now time.Time, want [Groups]string, lentFor time.Duration) []Call {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +73,7 @@
 	return out
 }
 
-// Borrower returns the box that has the share of a group; empty if none has.
+// Borrower returns the box that this box's share of a group is lent to; empty if the share is not lent.
 func (l *Lender) Borrower(now time.Time, group int) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 	return ""
 }
 
-// CallDone records the result of a call. It reports whether shares became free to be lent elsewhere at once.
+// CallDone records the result of a call. It reports whether shares became free that can be lent again at once.
 func (l *Lender) CallDone(now time.Time, c Call, r Result) (again bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quota/pool.go
+++ b/internal/quota/pool.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Pool grants units as the owner of accounts. It is safe for concurrent use.
+// Pool grants units of accounts, from the shares of their limits that boxes have lent to this one. It is safe for
+// concurrent use.
 type Pool struct {
 	mu       sync.Mutex
 	bounds   Bounds
@@ -15,15 +16,16 @@
 	accounts map[string]*bucket
 }
 
-// group is the state of one group of accounts on this box.
+// group is this box's state of one group of accounts.
 type group struct {
 	place Place
-	// loanExpiry has the boxes that have lent their shares, and when each loan expires.
+	// loanExpiry names the boxes that have lent their shares to this one, and when each loan expires.
 	loanExpiry map[string]time.Time
 	members    []*bucket
 }
 
-// bucket is the token bucket of an account. Its level never exceeds its capacity.
+// bucket is the token bucket of an account: units are taken from level, which is refilled over time. The level never
+// exceeds the bucket's capacity.
 type bucket struct {
 	limit      Limit
 	groupIndex int
@@ -31,7 +33,7 @@
 	updatedAt  time.Time
 }
 
-// NewPool returns a pool without loans.
+// NewPool returns a pool to which no box has lent its shares yet.
 func NewPool() *Pool {
 	p := &Pool{accounts: map[string]*bucket{}}
 	for i := range p.groups {
@@ -40,7 +42,7 @@
 	return p
 }
 
-// SetBounds sets what the platform allows beyond the limits.
+// SetBounds sets what the platform allows accounts beyond their limits.
 func (p *Pool) SetBounds(now time.Time, b Bounds) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,9 +50,9 @@
 	p.bounds = b
 }
 
-// SetLimits applies the limits of a configuration. A new account starts with a full bucket, since no box
-// has granted it anything; but with the first configuration after a start all buckets start empty, since
-// this box may have granted anything before it restarted.
+// SetLimits applies the limits of a configuration. The bucket of a new account is full, since no box has granted units
+// of it yet. With the first configuration after a start all buckets are empty instead: this box may have granted any
+// number of units before it restarted.
 func (p *Pool) SetLimits(now time.Time, limits map[string]Limit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +86,7 @@
 	return len(p.accounts) > 0
 }
 
-// SetPlace sets the place of this box in a group.
+// SetPlace sets the place of this box among the candidates for the owner of a group.
 func (p *Pool) SetPlace(now time.Time, group int, place Place) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +98,8 @@
 	p.clampGroup(group)
 }
 
-// Lend accepts the shares of a box in groups for a time, or returns them to it.
+// Lend records that a box has lent its shares of groups to this one for a time. If back is set, it returns the shares
+// to that box instead.
 func (p *Pool) Lend(now time.Time, box string, groups []int, back bool, lentFor time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,8 +122,8 @@
 	}
 }
 
-// Grant grants units of an account, and up to ahead more as long as more than half of the bucket's capacity
-// is left. Known is false for an account without a limit here.
+// Grant grants units of an account, or none if the bucket has fewer. It grants up to ahead units more, in advance,
+// from the part of the bucket above half of its capacity. Known is false if this box knows no limit of the account.
 func (p *Pool) Grant(now time.Time, account string, units, ahead float64) (a Answer, known bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,8 +146,8 @@
 	return a, true
 }
 
-// waitFor returns when a bucket will have enough units. It assumes the shares of all boxes: those that
-// are lent to another owner now serve the account there.
+// waitFor returns how long it takes until a bucket has enough units; -1 if it never will. It assumes that the shares of
+// all boxes are lent to this one. Shares that are now lent to another owner serve the account there.
 func (p *Pool) waitFor(b *bucket, units float64) time.Duration {
 	ownerPlace := Place{Boxes: p.groups[b.groupIndex].place.Boxes, Rank: 0}
 	burst, rate := p.burstAndRate(b, 1, ownerPlace)
@@ -154,7 +157,7 @@
 	return time.Duration((units - b.level) / rate * float64(time.Second))
 }
 
-// expire ends the expired loans of a group, each as of its own expiry. p.mu must be held.
+// expire ends the expired loans of a group. Each ends at the time of its own expiry. p.mu must be held.
 func (p *Pool) expire(now time.Time, group int) {
 	g := &p.groups[group]
 	type expiry struct {
@@ -175,7 +178,7 @@
 	}
 }
 
-// lentShare is the share of all boxes that have lent to this one. p.mu must be held.
+// lentShare is the share of all boxes that have lent their shares of a group to this box. p.mu must be held.
 func (p *Pool) lentShare(group int) float64 {
 	g := &p.groups[group]
 	if g.place.Boxes <= 0 {
@@ -184,9 +187,10 @@
 	return min(1, float64(len(g.loanExpiry))/float64(g.place.Boxes))
 }
 
-// burstAndRate returns the capacity and the refill rate of an account's bucket at a place to which a share
-// of all boxes has lent. Half of the overage is added to the capacity and half is refilled over a window,
-// so that a window never gets more than the whole overage.
+// burstAndRate returns the capacity and the refill rate of an account's bucket. They depend on the share of all boxes
+// that have lent to this one, and on this box's place among the candidates. Half of the overage, the units allowed
+// beyond the limit, is added to the capacity, and the other half is refilled over a window. So the account never gets
+// more than the whole overage in a window.
 func (p *Pool) burstAndRate(b *bucket, share float64, place Place) (burst, rate float64) {
 	overage := place.overageShare() * p.bounds.overage(b.limit)
 	burst = share*b.limit.Burst + overage/2
@@ -206,7 +210,7 @@
 	return burst
 }
 
-// refill brings a bucket up to date. p.mu must be held.
+// refill adds the units to a bucket that have accrued since its last refill. p.mu must be held.
 func (p *Pool) refill(b *bucket, now time.Time) {
 	burst, rate := p.currentBurstAndRate(b)
 	if elapsed := now.Sub(b.updatedAt).Seconds(); elapsed > 0 {
@@ -216,8 +220,8 @@
 	b.level = min(b.level, burst)
 }
 
-// refillGroup brings the buckets of a group up to date, before their capacity or rate changes, and
-// clampGroup limits them to their capacity after that. p.mu must be held.
+// refillGroup refills the buckets of a group before their capacity or rate changes. clampGroup limits them to their
+// capacity after the change. p.mu must be held.
 func (p *Pool) refillGroup(now time.Time, group int) {
 	for _, b := range p.groups[group].members {
 		p.refill(b, now)
@@ -237,8 +241,8 @@
 	}
 }
 
-// LowAccounts returns the accounts that this box owns whose bucket is filled to less than the share below, with
-// that share.
+// LowAccounts returns the accounts whose bucket is filled to less than a share, below, of its capacity, with the share
+// to which it is filled. It leaves out groups of accounts for which no box has lent to this one.
 func (p *Pool) LowAccounts(now time.Time, below float64) map[string]float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/quota/purse.go
+++ b/internal/quota/purse.go
@@ -9,8 +9,8 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// Owners asks the owner of an account for units, or this box itself where no owner answers. Known is
-// false where neither knows a limit of the account.
+// Owners requests units of an account from the account's owner, the box that grants them for all boxes. If no owner
+// answers, this box grants from its own pool. Known is false if neither knows a limit of the account.
 type Owners interface {
 	Allow(ctx context.Context, account string, units, ahead float64) (a Answer, known bool)
 }
@@ -18,32 +18,35 @@
 // Verdict reports whether a request is within its account's limit.
 type Verdict struct {
 	OK bool
-	// Uncertain says that a refusal may not be due to the limit: no owner could be asked to which most boxes
-	// have lent.
+	// Uncertain means that a refusal may not be due to the limit: the box that refused had been lent the shares of
+	// fewer boxes than minLentShare, or did not know the limit.
 	Uncertain bool
-	// Wait is when to retry; negative if the request can never be within the limit.
+	// Wait is how long to wait before a retry; negative if the request can never be within the limit.
 	Wait time.Duration
-	// LentShare is the share of all boxes that had lent to the owner that was asked, and Owner that owner; empty
-	// where the box answered itself or had enough cached units.
+	// Each box has an equal share of an account's limit and lends that share to the account's owner. LentShare is
+	// the share of all boxes that had lent to the box that decided; 0 if this box had enough cached units.
 	LentShare float64
-	Owner     string
+	// Owner is the owner that decided; empty if this box decided itself or had enough cached units.
+	Owner string
 }
 
 const (
-	// minLentShare is the share of all boxes that must have lent to an owner for its refusal to be
-	// attributed to the limit.
+	// minLentShare is the share of all boxes that must have lent their shares of the limit to an owner. With a
+	// smaller share a refusal is not attributed to the limit, since the owner grants only what was lent to it.
 	minLentShare = 0.75
 	// usageHalfLife is the half-life of the moving averages of an account's usage.
 	usageHalfLife = 4 * time.Second
-	// minPrefetchRequests is how many requests of an account must be expected within grantTTL for units
-	// to be requested ahead. Unused units are lost: when 80 of 400 boxes each prefetched for the one
-	// stream that they had seen, an account at half of its limit had 4% refused (TestWithinTheLimit).
+	// minPrefetchRequests is how many requests of an account must be expected within grantTTL. If fewer are
+	// expected, no units are requested in advance, since units that are not used are lost. When 80 of 400 boxes each
+	// requested units in advance after a single stream, an account at half of its limit had 4% of its units
+	// refused (TestWithinTheLimit).
 	minPrefetchRequests = 2.0
-	// maxCachedAccounts bounds the accounts whose grants are cached.
+	// maxCachedAccounts bounds the number of accounts with cached units.
 	maxCachedAccounts = 16384
 )
 
-// GrantCache caches the units that were granted to a box and not used yet. It is safe for concurrent use.
+// GrantCache caches the units of accounts that owners granted to this box and that are not used yet. It is safe for
+// concurrent use.
 type GrantCache struct {
 	owners Owners
 
@@ -54,7 +57,7 @@
 type cachedGrant struct {
 	units   float64
 	expires time.Time
-	// unitsPerSecond and requestsPerSecond are moving averages of the account's usage, as of updatedAt.
+	// unitsPerSecond and requestsPerSecond are moving averages of the account's usage at this box, as of updatedAt.
 	unitsPerSecond, requestsPerSecond float64
 	updatedAt                         time.Time
 }
@@ -64,7 +67,8 @@
 	return &GrantCache{owners: h, cached: map[string]*cachedGrant{}}
 }
 
-// Take takes units of an account, from the cache or else from the account's owner.
+// Take takes units for a request of an account. It uses cached units first, and requests those that are missing from the
+// account's owner.
 func (p *GrantCache) Take(ctx context.Context, account string, units float64) Verdict {
 	fromCache, ahead := p.takeCached(clock.Now(), account, units)
 	if fromCache >= units {
@@ -79,15 +83,15 @@
 	return Verdict{Uncertain: a.Wait >= 0 && (!known || a.LentShare < minLentShare), Wait: a.Wait, LentShare: a.LentShare, Owner: a.Owner}
 }
 
-// takeCached takes up to so many units from the cache. If these are not enough, ahead is how many units to
-// request in advance: the expected usage within grantTTL, if that is several requests.
+// takeCached takes up to units from the cache. If these are not enough, ahead is how many units to request in advance
+// from the owner: the expected usage within grantTTL, if that is minPrefetchRequests requests or more, and otherwise 0.
 func (p *GrantCache) takeCached(now time.Time, account string, units float64) (fromCache, ahead float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	k := p.cached[account]
 	if k == nil {
 		if len(p.cached) >= maxCachedAccounts {
-			clear(p.cached) // The granted units are lost and requested again.
+			clear(p.cached) // The cached units of all accounts are lost, and new ones will be requested.
 		}
 		k = &cachedGrant{updatedAt: now}
 		p.cached[account] = k
@@ -107,7 +111,7 @@
 	return fromCache, k.unitsPerSecond * grantTTL.Seconds()
 }
 
-// storeGrant replaces the cached units of an account by those just granted ahead.
+// storeGrant replaces the cached units of an account by units that were just granted in advance.
 func (p *GrantCache) storeGrant(now time.Time, account string, units float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,8 +120,8 @@
 	}
 }
 
-// Refund returns the units of a request that did not run to the cache. It does not extend the time for
-// which the cached units are valid.
+// Refund returns the units of a request that was not run to the cache. It does not extend the time for which units that
+// are still cached are valid.
 func (p *GrantCache) Refund(account string, units float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,16 +1,15 @@
 // Package quota enforces the limits of client accounts across all boxes together.
 //
-// Each box has an equal share of each limit, which it lends for a short time to the owner of the account.
-// The owner grants units from the shares that were lent to it, to whichever box received a request. A
-// share is lent to one owner at a time, and returns to its box only once the owner has given it back or
-// the loan has expired. So the granted units never add up to more than the limit, whatever messages are
-// lost, and two boxes that both act as owner share one limit. Package overlay finds the owners and
-// calls them; this package decides.
+// Each box has an equal share of each limit. The boxes lend their shares, for a short time, to one box: the owner of
+// the account. The owner grants units from the shares that were lent to it, to whichever box received a request.
+// A share is lent to one owner at a time. It returns to its box only when the owner has given it back or the loan
+// has expired. So the granted units never add up to more than the limit, whatever messages are lost, and two boxes
+// that both act as owner share one limit. Package overlay finds the owners and calls them; this package decides.
 //
-// Alternatives (figures in docs/design/accounts.md): fixed shares without lending refuse most streams,
-// since the callers of an account use few boxes; an owner that holds the whole limit doubles it while
-// there are two owners; usage counts that boxes exchange exceed the limit by what is used before they
-// arrive.
+// The alternatives were rejected (figures in docs/design/accounts.md). Fixed shares without lending refuse most
+// streams, since the callers of an account use few boxes. An owner that holds the whole limit doubles it while there
+// are two owners. If boxes only exchange counts of the usage, they exceed the limit by what is used before the
+// counts arrive.
 package quota
 
 import (
@@ -19,11 +18,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds are what the platform allows beyond the limits, so that boxes need not agree at every moment.
+// Bounds are what the platform allows accounts beyond their limits, so that boxes need not agree at every moment.
 type Bounds struct {
 	// Window is the time over which an account's usage is summed.
 	Window time.Duration
-	// The sum may exceed what the limit gives in a window by the share Overage of that, plus Slack units.
+	// The usage in a window may exceed what the limit gives in that time by a share of it, Overage, and by Slack
+	// units.
 	Overage float64
 	Slack   float64
 }
@@ -42,40 +42,40 @@
 
 // Answer is an owner's response to a request for units.
 type Answer struct {
-	// Granted is 0, or the units asked for and some of those wanted ahead.
+	// Granted is 0, or the units that were requested and some of the units that were wanted in advance.
 	Granted float64
-	// Wait is when the account will have enough units, if nothing was granted; negative if never.
+	// Wait is how long until the account has enough units, if none were granted; negative if it never will.
 	Wait time.Duration
-	// LentShare is the share of all boxes that have lent to the owner, and Owner the owner's name; empty where
-	// the asking box answered itself.
+	// LentShare is the share of all boxes that have lent their shares to the box that answered.
 	LentShare float64
-	Owner     string
+	// Owner is the name of the owner that answered; empty if the asking box answered from its own pool.
+	Owner string
 }
 
-// Groups is the number of groups that the accounts are divided into; each group has one owner. More
-// groups spread the work over more boxes, but each box lends to every owner: with four groups at 60 boxes,
-// each box makes 8 lend calls per second on top of the calls for requests.
+// Groups is the number of groups that the accounts are divided into. All accounts of a group have the same owner.
+// More groups spread the work over more boxes, but each box makes lend calls to every owner. With four groups and 60
+// boxes, each box makes 8 lend calls per second in addition to the calls for requests.
 const Groups = 4
 
 // GroupOf returns the group of an account.
 func GroupOf(account string) int { return int(xxhash.Sum64String(account) % Groups) }
 
 const (
-	// minRenewInterval is how often a box renews its loans in a small fleet, and maxLendsPerSecond bounds
-	// the lend calls that an owner receives: 600 per second, at 300 boxes, would take a third of a box with
-	// 0.192 of a core at an estimated 0.1 ms each.
+	// minRenewInterval is how often a box renews its loans to owners in a small fleet. maxLendsPerSecond bounds
+	// the lend calls that an owner receives in a larger fleet. Without that bound 300 boxes would make 600 calls
+	// per second. At an estimated 0.1 ms each, these would take a third of a box with 0.192 of a core.
 	minRenewInterval  = 500 * time.Millisecond
 	maxLendsPerSecond = 150
 	// renewalsPerLoan is how many renewal intervals a loan lasts, so that two lost renewals do no harm.
 	renewalsPerLoan = 3
 	// MaxLoan bounds the duration of a loan that an owner accepts.
 	MaxLoan = 30 * time.Second
-	// grantTTL is how long a box may use units that were granted ahead.
+	// grantTTL is how long a box may use units that were granted to it in advance.
 	grantTTL = time.Second
 )
 
-// RenewalInterval returns how often each of so many boxes renews its loans, and how long a loan lasts. An owner
-// that is frozen or cut off keeps the shares of its boxes for that long.
+// RenewalInterval returns how often each box of a fleet renews its loans, and how long a loan lasts. While an owner
+// is frozen or cut off, the shares lent to it cannot be used for as long as the loans last.
 //
 // Example: each of 60 boxes lends every 0.5 s for 1.5 s, each of 300 boxes every 2 s for 6 s.
 func RenewalInterval(boxes int) (renew, lentFor time.Duration) {
@@ -83,12 +83,13 @@
 	return renew, renewalsPerLoan * renew
 }
 
-// How the overage of an account in a window is divided. The owner gets only ownerOverageShare, which leaves
-// room for units that are granted ahead but used in a later window, and for requests that arrive closer
-// together than they were granted. The second and third candidates, which boxes ask when the owner does not
-// answer, get secondOverageShare and thirdOverageShare on top of the shares lent to them, until the shares
-// of other boxes are lent to them too. All boxes together get isolatedOverageShare, for those that reach no
-// other box.
+// These constants divide the overage: the units that an account may use in a window beyond its limit. The owner gets
+// only ownerOverageShare of it. That leaves room for units that are granted in advance but used in a later window, and
+// for requests that arrive closer together than they were granted.
+//
+// If the owner does not answer, boxes ask the second and then the third candidate. These get secondOverageShare and
+// thirdOverageShare in addition to the shares lent to them, to grant from until the shares of other boxes are lent to
+// them too. All boxes together get isolatedOverageShare in equal parts, for boxes that reach no other box.
 const (
 	ownerOverageShare    = 0.30
 	secondOverageShare   = 0.30
@@ -98,15 +99,15 @@
 
 var overageShareByRank = [...]float64{ownerOverageShare, secondOverageShare, thirdOverageShare}
 
-// Place is the position of a box among those that may own a group.
+// Place is the position of a box among the candidates for the owner of a group of accounts.
 type Place struct {
 	// Boxes is the number of boxes; 0 if it is not known.
 	Boxes int
-	// Rank is 0 for the box that all ask first. Ranks beyond the third make no difference.
+	// Rank is 0 for the candidate that all boxes ask first. Ranks beyond the third make no difference.
 	Rank int
 }
 
-// overageShare is the share of an account's overage that the box at this place may grant.
+// overageShare is the share of an account's overage that the box at this place may grant; see ownerOverageShare.
 func (p Place) overageShare() float64 {
 	if p.Boxes <= 0 {
 		return 0
--- a/internal/quota/suspended_test.go
+++ b/internal/quota/suspended_test.go
@@ -8,7 +8,7 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// grantingOwner grants whatever is asked for and 100 units ahead, and counts the calls.
+// grantingOwner is an owner that grants what is requested and 100 units in advance, and counts the calls.
 type grantingOwner struct{ calls int }
 
 func (g *grantingOwner) Allow(_ context.Context, _ string, units, _ float64) (Answer, bool) {
@@ -16,8 +16,8 @@
 	return Answer{Granted: units + 100, LentShare: 1}, true
 }
 
-// Units granted before a suspension have expired when the box resumes: the owner has granted the same units
-// to other boxes since.
+// Units that were granted to a box in advance have expired when the box resumes after a suspension: the owner may have
+// granted the same units to other boxes meanwhile.
 func TestCachedGrantExpiresDuringSuspension(t *testing.T) {
 	var suspended time.Duration
 	defer clock.SetSuspendedForTest(func() time.Duration { return suspended })()
@@ -35,7 +35,8 @@
 	}
 }
 
-// Shares that were lent to a suspended box belong to their lenders again when it resumes.
+// While a box was suspended, the loans of other boxes' shares to it have expired. When it resumes it no longer grants
+// units from them.
 func TestLoanExpiresDuringSuspension(t *testing.T) {
 	var suspended time.Duration
 	defer clock.SetSuspendedForTest(func() time.Duration { return suspended })()
