--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,15 +1,16 @@
-// Package lease lets one box at a time send orders. A lease is a row of the platform's table that is
-// replaced only on condition that no other box has replaced it. The store's era and the row's version
-// within that era form an ever-growing fence, which is sent with each order.
+// Package lease lets one box at a time send orders, commands to an engine. A lease is the right to send orders for some
+// time. It is a row of a table of the platform's store, which a box replaces only if no other box has replaced it in the
+// meantime. The row's version and the store's era, which grows with each restore of the store, form the fence: a
+// number that is greater for each later lease. It is sent with each order.
 //
-// Expiry is judged by two clocks. Whether another box's lease has expired is judged by the store's clock
-// alone. Whether a box's own lease may still be used is judged by that box's steady clock, counted from
-// before the write was sent, and for a much shorter time: a holder that was paused finds its lease
-// unusable long before another box can acquire the next one.
+// Expiry is judged by two clocks. The store's clock alone decides whether another box's lease has expired. The box's own
+// steady clock decides whether its own lease may still be used. That time is counted from before the write was sent,
+// and is much shorter. So a box that was paused finds its lease unusable long before another box can acquire the next
+// one.
 //
-// When the store is restored from an older copy, leases acquired since that copy are missing. No box
-// acquires a lease then until the longest lease that may have been lost has expired, by the box's own clock
-// from when it observed the new era. A lease of the old era stays usable meanwhile.
+// When the store is restored from an older copy, the leases acquired since that copy are missing. Then no box acquires a
+// lease until the longest lease that may be missing has expired. Each box measures that time by its own clock, from when
+// it first observed the new era. A lease of the old era stays usable meanwhile.
 package lease
 
 import (
@@ -24,60 +25,63 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// Row is a row of the table.
+// Row is the row of the store's table that holds a lease.
 type Row struct {
 	Value   []byte
 	Version int64 // 0 means that there is no row.
-	// Era is the store's era when the row was read or written. Versions of different eras are not comparable.
+	// Era is the store's era when the row was read or written; it grows by one when the store is restored from an
+	// older copy. Versions of different eras cannot be compared.
 	Era int64
 }
 
-// versionBits is the width of the version in a fence, below the era: at 400 writes per second it lasts 87 years.
+// versionBits is the number of bits of a fence that hold the row's version; the era is above them. At 400 writes per
+// second they last for 87 years.
 const versionBits = 40
 
 func (r Row) fence() int64 { return r.Era<<versionBits | r.Version }
 
-// Rows is the part of the platform's table that leases need.
+// Rows reads and writes the rows of the store's table that hold leases.
 type Rows interface {
-	// Get reads a row, and the store's clock at that moment.
+	// Get reads a row, and the time of the store's clock at that moment.
 	Get(ctx context.Context, key string) (Row, time.Duration, error)
-	// Put replaces a row if it is still the old one, and returns the new one. After any error but
-	// ErrConflict the write may have taken effect, or may still do so.
+	// Put replaces the row old by one with a new value, if its version is still that of old, and returns the new
+	// row. After any error but ErrConflict the write may have taken effect, or may still do so.
 	Put(ctx context.Context, key string, old Row, value []byte) (Row, error)
 }
 
-// ErrConflict means that a write did not take effect: the row has another version.
+// ErrConflict means that a write did not take effect, because the row has another version than expected.
 var ErrConflict = errors.New("lease: the row has another version")
 
-// ErrRestored means that the store was restored from an older copy between the read and the write of a row: the
-// version that was to be replaced may denote another row.
+// ErrRestored means that the store was restored from an older copy between the read and the write of a row. The same
+// version may now belong to another row than the row that was to be replaced.
 var ErrRestored = errors.New("lease: the store was restored from an older copy since the row was read")
 
-// ErrHeld means that another lease has not expired yet.
+// ErrHeld means that a lease that was acquired before has not expired yet, or may not have.
 var ErrHeld = errors.New("lease: held by another box")
 
-// Lease is the right to send orders until a time.
+// Lease is the right to send orders for some time.
 type Lease struct {
-	// Fence is greater than that of every earlier lease.
+	// Fence is greater than the fence of every earlier lease. An engine that has seen it refuses orders of earlier
+	// leases.
 	Fence int64
-	// Until is when the right expires, by this box's steady clock.
+	// Until is when the right to send orders ends, by this box's steady clock.
 	Until time.Time
 }
 
-// Valid reports whether an order may still be sent.
+// Valid reports whether an order may still be sent at the time now.
 func (l Lease) Valid(now time.Time) bool { return now.Before(l.Until) }
 
-// Acquirer acquires the leases of one key for one box.
+// Acquirer acquires leases of the row with one key, for one box.
 type Acquirer struct {
 	Rows   Rows
 	Key    string
 	Holder string
-	// Length is how long no other box can acquire the lease, and UsableFor the part of that time, from the
-	// start, in which orders may be sent. Use is well below Length.
+	// Length is how long no other lease can be acquired. UsableFor is how long, from the start of the lease, orders
+	// may be sent. UsableFor is well below Length.
 	Length    time.Duration
 	UsableFor time.Duration
-	// Observed returns when this box first observed the store's era, and whether it knew an earlier one. It
-	// may be nil if the store has no eras.
+	// Observed returns when this box first observed an era of the store, and whether it had observed an earlier era
+	// before. It may be nil if the store has no eras.
 	Observed func(era int64) (at time.Time, rose bool)
 }
 
@@ -85,12 +89,12 @@
 	Holder  string `json:"holder"`
 	Token   string `json:"token"`
 	UntilMS int64  `json:"until_ms"` // By the store's clock.
-	// Era is the store's era in which the lease was acquired; 0 from a box without support for eras.
+	// Era is the store's era in which the lease was acquired. A box of a version that knows no eras leaves it 0.
 	Era int64 `json:"era"`
 }
 
-// Acquire takes the lease if none is in force, not even one of this box: a lease also enforces a minimum
-// time between orders.
+// Acquire acquires a lease unless an earlier one is still in force. That holds for this box's own leases too, so
+// that there is a minimum time between orders.
 func (k *Acquirer) Acquire(ctx context.Context) (Lease, error) {
 	start := clock.Now()
 	row, now, err := k.Rows.Get(ctx, k.Key)
@@ -115,7 +119,8 @@
 	return Lease{Fence: written.fence(), Until: start.Add(k.UsableFor)}, err
 }
 
-// inForce reports whether the row holds an unexpired lease, or a restored store may lack one.
+// inForce reports whether the row holds a lease that has not expired, or a restored store may lack such a lease. The
+// time now is that of the store's clock.
 func (k *Acquirer) inForce(row Row, now time.Duration) (bool, error) {
 	doc := leaseDoc{Era: row.Era}
 	if row.Version != 0 {
@@ -133,7 +138,7 @@
 	return doc.Era == row.Era && now < time.Duration(doc.UntilMS)*time.Millisecond, nil
 }
 
-// readBack finds out whether a write without a reply took effect. If it takes effect only later, this box
+// readBack finds out whether a write without a reply took effect. If the write takes effect only after this, the box
 // holds a lease that it does not use.
 func (k *Acquirer) readBack(ctx context.Context, own leaseDoc, cause error) (Row, error) {
 	row, _, err := k.Rows.Get(ctx, k.Key)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -13,15 +13,15 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// rowStore is a table of one row with its own clock. Writes may fail, take effect without a reply, or take
-// effect late if their condition still holds.
+// rowStore is a store with one row and its own clock. Writes may fail, take effect without a reply, or take effect late
+// if the row's version has not changed until then.
 type rowStore struct {
 	mu                                        sync.Mutex
 	rng                                       *rand.Rand
 	row                                       Row
 	start                                     time.Time
 	lostReplyRate, lateWriteRate, failureRate float64
-	// history has all written rows; restore returns to one of them.
+	// history has all rows that were written. restore returns to one of them.
 	history []writtenRow
 }
 
@@ -30,7 +30,8 @@
 	writtenAt time.Time
 }
 
-// restore resets the store to the row of some time ago, and its clock as well if rewindClock is set.
+// restore resets the store to its row of a time ago. If rewindClock is set, it also sets the store's clock back by that
+// time.
 func (s *rowStore) restore(age time.Duration, rewindClock bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,19 +100,19 @@
 	return s.put(old, value)
 }
 
-// orderOp is one order sent to an engine, at the time of its arrival.
+// orderOp is one order that arrives at an engine.
 type orderOp struct {
 	holder string
 	fence  int64
 }
 
-// orderState is what the engine has seen: the newest fence and its holder.
+// orderState is what the engine has seen: the fence of the last order, and the box that sent it.
 type orderState struct {
 	fence  int64
 	holder string
 }
 
-// fenceModel accepts orders whose fences never decrease, and never belong to two holders.
+// fenceModel is the rule that a history of orders must keep: fences never decrease, and no two boxes have the same one.
 var fenceModel = porcupine.Model{
 	Init: func() any { return orderState{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -122,17 +123,17 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// acquireFunc acquires a lease: as the package does, or with a deliberate bug.
+// acquireFunc acquires a lease, either correctly or with a deliberate bug.
 type acquireFunc func(*Acquirer) (Lease, error)
 
-// badHistories counts the runs of racing holders, some of them paused between acquiring the lease and
-// sending the order, in which the orders break a rule.
+// badHistories runs four boxes that compete for the lease, once for each seed. Some boxes are paused between acquiring
+// the lease and sending the order. It counts the runs in which the orders break a rule, and the orders sent.
 func badHistories(t *testing.T, seeds uint64, acquire acquireFunc) (bad, sent int) {
 	t.Helper()
 	return badHistoriesWith(t, seeds, false, acquire)
 }
 
-// eraObserver records what one process of a box observed of the store's eras.
+// eraObserver records which eras of the store one process of a box has observed.
 type eraObserver struct {
 	*rowStore
 	era     int64
@@ -150,7 +151,8 @@
 
 func (e *eraObserver) observed(int64) (time.Time, bool) { return e.at, e.eraRose }
 
-// badHistoriesWith is badHistories; with restores, the store is restored from older copies and boxes restart.
+// badHistoriesWith is badHistories with one more choice: if restores is set, the store is restored from older copies and
+// boxes restart.
 func badHistoriesWith(t *testing.T, seeds uint64, restores bool, acquire acquireFunc) (bad, sent int) {
 	t.Helper()
 	const length, use = 2 * time.Second, 300 * time.Millisecond
@@ -158,7 +160,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := &rowStore{rng: rand.New(rand.NewPCG(seed, 7)), start: time.Now(), lostReplyRate: 0.2, lateWriteRate: 0.2, failureRate: 0.1}
 			if restores {
-				// A lease was acquired before: a box that starts cannot tell a lost row from a missing one.
+				// A lease was acquired before. Otherwise a box that starts could not tell that a restored store has lost the // row.
 				s.row = Row{Value: []byte(`{"era":1}`), Version: 10, Era: 1}
 				s.history = []writtenRow{{s.row, time.Now().Add(-time.Minute)}}
 				rng := rand.New(rand.NewPCG(seed, 8))
@@ -190,7 +192,7 @@
 						if err != nil {
 							continue
 						}
-						if rng.IntN(3) == 0 { // The holder is paused.
+						if rng.IntN(3) == 0 { // The box is paused.
 							time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 						}
 						if !l.Valid(time.Now()) {
@@ -204,7 +206,7 @@
 				})
 			}
 			wg.Wait()
-			time.Sleep(5 * time.Second) // Wait for late writes.
+			time.Sleep(5 * time.Second) // By then late writes have taken effect.
 			sent += len(ops)
 			if !porcupine.CheckOperations(fenceModel, ops) || tooClose(ops, length-use) {
 				bad++
@@ -214,7 +216,7 @@
 	return bad, sent
 }
 
-// tooClose reports whether two holders sent orders within minGap of each other.
+// tooClose reports whether two different boxes sent orders within minGap of each other.
 func tooClose(ops []porcupine.Operation, minGap time.Duration) bool {
 	for _, a := range ops {
 		for _, b := range ops {
@@ -241,8 +243,8 @@
 	}
 }
 
-// The checks detect a holder that assumes a write without a reply took effect, and one that does not check
-// the clock again before it sends the order.
+// The checks of a history detect two bugs: a box that assumes that a write without a reply took effect, and a box that
+// does not check whether its lease is still valid before it sends the order.
 func TestLeaseModelDetectsBugs(t *testing.T) {
 	trustsLostReply := func(k *Acquirer) (Lease, error) {
 		l, err := k.Acquire(context.Background())
@@ -264,7 +266,8 @@
 	}
 }
 
-// The checks detect a holder that ignores eras, and one whose fences do not contain the era.
+// The checks of a history detect two bugs with restored stores: a box that ignores eras, and fences that do not contain
+// the era.
 func TestLeaseModelDetectsEraBugs(t *testing.T) {
 	ignoresEras := func(k *Acquirer) (Lease, error) {
 		k.Observed = nil
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,7 +1,8 @@
-// Package quarantine records the requests under which endpoints crashed and decides which requests
-// must not be sent to another endpoint. A request that crashes endpoints is sent again under other
-// request ids and through other boxes, so it is identified by what an endpoint would run
-// (Fingerprint), and all boxes share the crashes through a table of the platform's store.
+// Package quarantine records the requests under which endpoints crashed, and decides which requests must not be sent
+// to another endpoint. A request that crashes endpoints is sent again under other request ids and through other boxes.
+// So a request is identified by what an endpoint would run (Fingerprint). All boxes share the crashes through a table
+// of the platform's store, with one row for each crash. That table may be restored from an older copy, which lacks
+// the latest crashes.
 package quarantine
 
 import (
@@ -10,29 +11,29 @@
 	"encoding/hex"
 )
 
-// Fingerprint identifies a request across its tries and across boxes.
+// Fingerprint identifies a request, whichever box it is sent to and however often it is tried.
 type Fingerprint [16]byte
 
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Identity is the part of a request that its fingerprint covers. A body that differs in one byte, or
-// the same body from another client account, makes another request.
+// Identity is the part of a request that its fingerprint covers. A body that differs in one byte is another request,
+// and so is the same body from another client account.
 type Identity struct {
 	// Account is the client account; empty for a request without one. The caller's address is left out:
 	// the same request may come from another address, through another load balancer or in another hall.
 	Account string
 	Method  string
 	Host    string // Without a port.
-	Target  string // Path and query as sent.
+	Target  string // Path and query, as in the request.
 	Model   string
 	Body    []byte
 }
 
-// Fingerprint hashes the identity. The cost is that of SHA-256 over the body: about 5 µs for 5 KB
+// Fingerprint returns the hash of the identity. It takes the time of SHA-256 over the body: about 5 µs for 5 KB
 // (BenchmarkFingerprint).
 func (i *Identity) Fingerprint() (f Fingerprint) {
 	h := sha256.New()
-	writePart := func(b []byte) { // Length-prefixed, so that no byte can move into the next part.
+	writePart := func(b []byte) { // The length comes first, so that no byte can move into the next part.
 		_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(b))))
 		_, _ = h.Write(b)
 	}
@@ -44,8 +45,8 @@
 	return f
 }
 
-// Tag shortens a caller's name or a try's id to a hash that tells them apart in logs and table rows
-// without naming them.
+// Tag shortens the name of a caller or the id of a try to a hash. It tells them apart in logs and table rows without
+// naming them.
 func Tag(text string) string {
 	h := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(h[:4])
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -8,40 +8,40 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// Table is the table of the platform's store that all boxes share.
+// Table is the table of crashes in the platform's store, which all boxes share.
 type Table interface {
-	// Write sets rows, replacing existing ones, and removes others, atomically. A call may change at
-	// most MaxRowsPerWrite rows.
+	// Write sets the rows in put, replacing existing rows, and removes the rows with the keys in remove. It does all
+	// of this or nothing. A call may change at most MaxRowsPerWrite rows.
 	Write(ctx context.Context, put map[string][]byte, remove []string) error
 }
 
-// MaxRowsPerWrite is the most rows that the platform's store accepts in one call.
+// MaxRowsPerWrite is the maximum number of rows that the platform's store accepts in one call.
 const MaxRowsPerWrite = 100
 
 const (
-	// batchDelay is how long crashes are collected before they are written, so that all streams of a
-	// crashed engine need one call to the store. A request is retried after 100 ms at the earliest.
+	// batchDelay is how long crashes are collected before they are written to the table. So one call to the store
+	// writes the crashes of all streams of an engine. A request is retried after 100 ms at the earliest.
 	batchDelay = 50 * time.Millisecond
-	// writeTimeout bounds one call. minRetryDelay is the delay after the first failed call; it doubles
-	// up to maxRetryDelay.
+	// writeTimeout bounds one call to the store. minRetryDelay is the mean delay after the first failed call; it
+	// doubles with each further failure, up to maxRetryDelay.
 	writeTimeout  = 700 * time.Millisecond
 	minRetryDelay = 200 * time.Millisecond
 	maxRetryDelay = 5 * time.Second
-	// expireInterval is how often expired crashes are removed, and expireJitter keeps boxes from
-	// removing the same row at the same time.
+	// expireInterval is how often this box looks for expired crashes. A random part of expireJitter is added to
+	// the time for which a crash counts, so that boxes do not remove the same row at the same time.
 	expireInterval = 15 * time.Second
 	expireJitter   = time.Minute
 )
 
-// TableWriter writes the crashes that its box observed to the table.
+// TableWriter writes the changes of a box's List to the shared table of crashes.
 type TableWriter struct {
 	List  *List
 	Table Table
-	// Failed is called with the error of each failed write; the write is retried.
+	// Failed is called with the error of each failed write. The write is then retried.
 	Failed func(error)
 }
 
-// Run writes until ctx is done.
+// Run writes changes to the table until ctx is done.
 func (k *TableWriter) Run(ctx context.Context) {
 	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
@@ -57,7 +57,7 @@
 	}
 }
 
-// flush writes all pending changes, retrying until the store has accepted them.
+// flush writes all pending changes to the table. It retries until the store has accepted all of them.
 func (k *TableWriter) flush(ctx context.Context) {
 	delay := batchDelay
 	for failures := 0; ; {
@@ -87,7 +87,7 @@
 	}
 }
 
-// nextBatch returns the rows that the next call writes and removes.
+// nextBatch returns the rows that the next call to the store writes, and the keys of those that it removes.
 func (l *List) nextBatch() (put map[string][]byte, remove []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,7 @@
 	return put, remove
 }
 
-// markWritten records that the table has accepted a batch.
+// markWritten records that the store has accepted a batch of changes.
 func (l *List) markWritten(put map[string][]byte, remove []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -18,8 +18,8 @@
 	return time.Duration(rng.Int64N(int64(limit)))
 }
 
-// fakeTable is the table that the boxes share. Writes may fail or take effect without a reply; while it
-// is unavailable nothing takes effect. Boxes see changes after propagationDelay.
+// fakeTable is the table of crashes that the boxes of a test share. Writes may fail, or take effect without a reply.
+// While the table is unavailable, no write takes effect. Boxes see changes after propagationDelay.
 type fakeTable struct {
 	mu               sync.Mutex
 	rng              *rand.Rand
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// newFleet starts boxes that share a table, in virtual time.
+// newFleet starts boxes that share a table.
 func newFleet(ctx context.Context, boxes int, seed uint64) *fakeTable {
 	s := &fakeTable{rng: newRNG(seed), rows: map[string][]byte{}, propagationDelay: 300 * time.Millisecond}
 	for range boxes {
@@ -71,21 +71,22 @@
 	return s
 }
 
-// counts returns the number of calls to the table and of its rows.
+// counts returns the number of calls to the table and the number of its rows.
 func (s *fakeTable) counts() (calls, rows int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls, len(s.rows)
 }
 
-// runStats counts the runs of requests that crash endpoints.
+// runStats counts how often requests that crash endpoints were run.
 type runStats struct {
-	maxRuns  int // Runs of the request that ran most often.
-	lateRuns int // Runs of any request more than 3 s after its third run.
-	runs     int
+	maxRuns  int // The runs of the request that ran most often.
+	lateRuns int // The runs that began more than 3 s after the third run of the same request.
+	runs     int // The runs of all requests.
 }
 
-// runCrashingRequests retries each request for a minute, at a random box 0.2 to 3 s after its last run.
+// runCrashingRequests has a number of requests each crash an endpoint with every run, for a minute. Each request is sent
+// to a random box again 0.2 to 3 s after its last run or refusal.
 func (s *fakeTable) runCrashingRequests(requests int) (stats runStats) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -102,7 +103,7 @@
 						late++
 					}
 					ranFor := 60*time.Millisecond + randDuration(rng, 200*time.Millisecond)
-					time.Sleep(ranFor + 30*time.Millisecond) // The run and the time to detect the crash.
+					time.Sleep(ranFor + 30*time.Millisecond) // The run, and the time until the box notices the crash.
 					l.RecordCrash(Crash{Request: f, Endpoint: fmt.Sprintf("e%d-%d", n, runs), Caller: fmt.Sprint(n), RunTime: ranFor})
 					if runs == 3 {
 						thirdRun = time.Now()
@@ -119,9 +120,9 @@
 	return stats
 }
 
-// Boxes share what none of them observes alone, however many there are: a request runs three times, and
-// once more for each retry that arrives before the other boxes have received the crashes. None runs
-// later than 3 s after its third run.
+// Each box observes only some of the crashes under a request, and quarantines the request by the crashes of all boxes.
+// However many boxes there are, the request runs three times, and again for each retry that arrives before the other
+// boxes have received the crashes: six times at most. It does not run later than 3 s after its third run.
 func TestBoxesKnowTogether(t *testing.T) {
 	for _, boxes := range []int{8, 60, 400} {
 		synctest.Test(t, func(t *testing.T) {
@@ -140,7 +141,7 @@
 	}
 }
 
-// While the store is unavailable each box acts on its own observations; afterwards all boxes agree.
+// While the store is unavailable, each box decides by the crashes that it observed itself. Afterwards all boxes agree.
 func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -166,13 +167,14 @@
 	})
 }
 
-// A crash that a box removes disappears everywhere, even if its write was still in progress.
+// When a box removes a crash because its request was answered, the crash disappears from the table and from all boxes.
+// This holds even if the write of the crash was still in progress.
 func TestRemovalDuringWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newFleet(ctx, 3, 1)
 		recordCrashes(s.boxes[0], "a", "c", 0, "e1")
-		time.Sleep(batchDelay + time.Millisecond) // The write has begun.
+		time.Sleep(batchDelay + time.Millisecond) // By then the write is in progress.
 		s.boxes[0].RecordServed(fingerprintOf("a"))
 		time.Sleep(time.Minute)
 		if _, rows := s.counts(); rows != 0 || !s.boxes[0].Empty() || !s.boxes[1].Empty() {
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -17,40 +17,40 @@
 )
 
 const (
-	// crashTTL is how long a crash counts: a quarantine ends this long after the last crash. Operators
-	// replace engines and callers give up within minutes; a request that still crashes endpoints then
-	// crashes three more.
+	// crashTTL is how long a crash counts. A quarantine ends this long after the last crash. Operators replace
+	// engines and callers give up within minutes. A request that still crashes endpoints after that crashes three
+	// more before it is quarantined again.
 	crashTTL = 10 * time.Minute
-	// maxCrashesPerCaller and maxCrashes bound the recorded crashes of one caller and of all. A caller
-	// above its bound loses its own oldest crash, and above the total bound the caller with the most
-	// crashes does, so that a caller that fills the table cannot displace others. A crash takes 590 bytes
-	// of memory (4,096 crashes of 64 callers) and 118 bytes in the table.
+	// maxCrashesPerCaller bounds the recorded crashes of one caller, and maxCrashes those of all callers. A
+	// caller at its bound loses its own oldest crash. At the total bound the caller with the most crashes loses
+	// its oldest crash. So a caller that fills the table cannot displace the crashes of others. A crash takes 590
+	// bytes of memory (measured with 4,096 crashes of 64 callers) and 118 bytes in the table.
 	maxCrashesPerCaller = 128
 	maxCrashes          = 4096
 )
 
-// Crash records that an endpoint crashed under a request.
+// Crash is a crash of an endpoint while it ran a request.
 type Crash struct {
 	Request  Fingerprint
-	Endpoint string // Names one start of the endpoint.
-	Caller   string // The caller whose bound it counts towards; see Tag.
-	RunTime  time.Duration
-	// SentAt is when the request was sent there, by this box's clock; zero for a crash that another box observed.
+	Endpoint string        // Names one start of an endpoint: a restarted endpoint has another name.
+	Caller   string        // The Tag of the caller, whose bound maxCrashesPerCaller the crash counts towards.
+	RunTime  time.Duration // How long the request had run at the crash.
+	// SentAt is when this box sent the request to the endpoint; zero for a crash that another box observed.
 	SentAt time.Time
-	// Doubtful says that the endpoint may have crashed before the request reached it: the connection was
-	// lost at once and without a response, which happens when several endpoints crash together and a
-	// request moves from one to the next.
+	// Doubtful means that the endpoint may have crashed before the request reached it: the connection was lost at
+	// once and without a response. This happens when several endpoints crash together and a request moves from
+	// one of them to the next.
 	Doubtful bool
-	// Try tells the tries of a request apart; see Tag.
+	// Try is the Tag of the try of the request, which tells its tries apart.
 	Try string
 }
 
-// Verdict is the evidence against a request.
+// Verdict is the evidence against a request, and whether it suffices to quarantine the request.
 type Verdict struct {
-	// Quarantined says that the request is quarantined: it must not be sent to an endpoint any more.
+	// Quarantined means that the request must not be sent to an endpoint any more.
 	Quarantined bool
-	Bits        float64
-	Crashes     []Crash // The shortest run first.
+	Bits        float64 // The evidence; see ThresholdBits.
+	Crashes     []Crash // The crashes that the evidence comes from, the shortest run first.
 }
 
 // String describes the verdict for operators.
@@ -62,40 +62,43 @@
 	return fmt.Sprintf("%d endpoints ended under it: %s", len(v.Crashes), strings.Join(parts, ", "))
 }
 
-// crashRecord is a crash and its state in the table.
+// crashRecord is a crash that this box knows, and what it knows about the crash's row in the table.
 type crashRecord struct {
 	Crash
 	observedAt time.Time
-	// writeAttempted says that a write to the table was attempted, writeAcked that the table has
-	// accepted it, and seenInTable that the row was read from the table.
+	// writeAttempted means that this box has tried to write the row, writeAcked that the store has accepted the
+	// row, and seenInTable that this box has read the row from the table. All three are set for a row that was
+	// read.
 	writeAttempted, writeAcked, seenInTable bool
-	// writeAfter is the earliest time to write it; zero for at once.
+	// writeAfter is the earliest time at which this box may write the row; zero for at once.
 	writeAfter time.Time
 }
 
-// List holds the crashes that one box knows of: its own and those in the table. It is safe for
-// concurrent use; the zero value is not usable.
+// List holds the crashes that one box knows: those that it observed and those in the shared table. It is safe for
+// concurrent use. NewList must be used to create it.
 type List struct {
-	// OnQuarantine is called once when a request becomes quarantined; it must not block, and may be nil.
+	// OnQuarantine is called once when a request becomes quarantined. It must not block, and may be nil.
 	OnQuarantine func(Fingerprint, Verdict)
 
-	// count is the number of crashes, readable without the lock, so that most requests need no fingerprint.
+	// count is the number of crashes. It can be read without the lock, so that no fingerprint of a request needs to
+	// be computed while no crash is recorded.
 	count atomic.Int64
 
 	mu        sync.Mutex
-	crashes   map[string]*crashRecord // By key.
+	crashes   map[string]*crashRecord // By the keys of their rows.
 	byRequest map[Fingerprint]map[string]*crashRecord
-	// perCaller counts the crashes of each caller.
+	// perCaller is the number of crashes of each caller.
 	perCaller map[string]int
-	// removing has the keys that are being removed from the table; true once the table has done so.
+	// removing has the keys of the rows that are to be removed from the table. The value is true once the store has
+	// accepted the removal.
 	removing       map[string]bool
 	quarantined    map[Fingerprint]bool
 	recentlyServed servedSet
-	// restorePending says that the next SetRows comes from a restored older copy of the table, and
-	// rewriteSpread is the time over which boxes write again the crashes that the copy lacks.
+	// restorePending means that the next call of SetRows brings a table that was restored from an older copy.
+	// rewriteSpread is the time over which the boxes then write those crashes to the table again that it lacks.
 	restorePending bool
 	rewriteSpread  time.Duration
-	// pendingWrites wakes the TableWriter.
+	// pendingWrites wakes the TableWriter. It has an element when there are new changes to write.
 	pendingWrites chan struct{}
 }
 
@@ -107,13 +110,13 @@
 	}
 }
 
-// key is the row key of a crash: the same on every box, and different for each start of an endpoint.
+// key returns the key of the crash's row: the same on every box, and different for each start of an endpoint.
 func (e *Crash) key() string {
 	h := sha256.Sum256([]byte(e.Endpoint))
 	return e.Request.String() + "." + hex.EncodeToString(h[:8])
 }
 
-// rowDoc is the JSON value of a row.
+// rowDoc is the JSON value of a crash's row.
 type rowDoc struct {
 	Endpoint string `json:"endpoint"`
 	Caller   string `json:"caller"`
@@ -122,10 +125,10 @@
 	Try      string `json:"try,omitempty"`
 }
 
-// maxRan bounds the run time that a row may claim.
+// maxRan bounds the run time in a row.
 const maxRan = time.Hour
 
-// parseRow decodes a row; ok is false for one that no box can have written.
+// parseRow decodes a row of the table; ok is false for a row that no box can have written.
 func parseRow(key string, text []byte) (e Crash, ok bool) {
 	fingerprint, _, found := strings.Cut(key, ".")
 	raw, err := hex.DecodeString(fingerprint)
@@ -153,7 +156,7 @@
 	return l.verdict(f)
 }
 
-// verdict adds up the crashes of a request. l.mu must be held.
+// verdict adds up the evidence of the crashes of a request. l.mu must be held.
 func (l *List) verdict(f Fingerprint) (v Verdict) {
 	for _, k := range l.byRequest[f] {
 		v.Crashes = append(v.Crashes, k.Crash)
@@ -166,7 +169,8 @@
 	return v
 }
 
-// RecordCrash records that an endpoint crashed under a request of this box.
+// RecordCrash records that an endpoint crashed under a request that this box had sent to it. It ignores the crash if
+// the evidence is too small, the request was just answered, or the crash is already recorded.
 func (l *List) RecordCrash(e Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,14 +182,13 @@
 	l.wakeWriter()
 }
 
-// isNew reports whether a crash differs from the recorded ones, and renames its endpoint if so. Each
-// start crashes once; but a worker may be back under its id before the endpoint list shows that, and a
-// crash of the new start is then attributed to the old one. A request that was sent after the old start
-// crashed has run on another start.
+// isNew reports whether a crash is not recorded yet. Each start of an endpoint crashes once. But a worker may be back
+// under its id before the list of endpoints shows its new start. Then a crash of the new start is reported with the name
+// of the old one, whose crash is recorded. A request that was sent after that crash must have run on another start: its
+// crash is new, and isNew gives the endpoint another name.
 //
-// Example: the start i-5@a crashed under a request, which is retried a second later at a box whose list
-// still shows i-5@a. The engine runs it and crashes: that is recorded as a crash of i-5@a+2.
-// l.mu must be held.
+// Example: the start i-5@a crashed under a request. The request is retried a second later at a box whose list still
+// shows i-5@a. The engine runs the request and crashes. That is recorded as a crash of i-5@a+2. l.mu must be held.
 func (l *List) isNew(e *Crash) bool {
 	start := e.Endpoint
 	for n := 2; ; n++ {
@@ -200,7 +203,7 @@
 	}
 }
 
-// RecordServed records that a request was answered completely, which clears all evidence against it.
+// RecordServed records that a request was answered completely. This clears all evidence against the request.
 func (l *List) RecordServed(f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,8 +213,8 @@
 	}
 }
 
-// SetRows takes the content of the whole table. A row that is gone from the table is forgotten here,
-// unless it is still to be written.
+// SetRows takes all rows of the shared table. A crash whose row has gone from the table is forgotten here, unless the
+// row is still to be written.
 func (l *List) SetRows(rows map[string][]byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -244,21 +247,21 @@
 	}
 }
 
-// observerHeadStart is how long other boxes wait before they write a crash that a restored older copy of
-// the table lacks: the box that observed it writes it at once.
+// observerHeadStart is a time in which only the box that observed a crash writes it to the table again, after the table
+// was restored from an older copy that lacks the crash. The other boxes wait for at least this long.
 const observerHeadStart = 2 * time.Second
 
-// ExpectRestoredRows announces that the next SetRows comes from a restored older copy of the table. Crashes that it
-// lacks still count and are written again; boxes that did not observe a crash themselves do so at a
-// random time within spread.
+// ExpectRestoredRows announces that the next call of SetRows brings a table that was restored from an older copy.
+// Crashes that it lacks still count, and their rows are written to it again. A box that did not observe a crash itself
+// does so only after observerHeadStart and a random part of spread, if the row is still missing then.
 func (l *List) ExpectRestoredRows(spread time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.restorePending, l.rewriteSpread = true, spread
 }
 
-// scheduleRewrites schedules the writes of crashes that a restored table lacks, and the removals of rows
-// that it should not have. l.mu must be held.
+// scheduleRewrites has the crashes written again whose rows a restored table lacks, and rows removed again that it
+// should not have. l.mu must be held.
 func (l *List) scheduleRewrites(rows map[string][]byte, now time.Time) {
 	rewriteDelay := observerHeadStart + rand.N(l.rewriteSpread+1)
 	for key, k := range l.crashes {
@@ -266,7 +269,7 @@
 			continue
 		}
 		k.writeAcked, k.seenInTable = false, false
-		if k.SentAt.IsZero() { // Another box observed it.
+		if k.SentAt.IsZero() { // Another box observed the crash.
 			k.writeAfter = now.Add(rewriteDelay)
 		}
 	}
@@ -282,7 +285,7 @@
 	return ok
 }
 
-// add records a crash, within the bounds. l.mu must be held.
+// add records a crash, and drops another one if a bound is reached. l.mu must be held.
 func (l *List) add(k *crashRecord) {
 	l.evictIfFull(k.Caller)
 	key := k.key()
@@ -301,8 +304,8 @@
 	}
 }
 
-// evictIfFull drops the oldest crash of the caller if that is at its bound, or of the caller with the most
-// crashes if the total bound is reached. l.mu must be held.
+// evictIfFull drops the oldest crash of the caller if the caller is at its bound. If the total bound is reached, it drops
+// the oldest crash of the caller with the most crashes. l.mu must be held.
 func (l *List) evictIfFull(caller string) {
 	switch {
 	case l.perCaller[caller] >= maxCrashesPerCaller:
@@ -326,7 +329,7 @@
 	}
 }
 
-// drop forgets a crash, and removes it from the table if removeFromTable is set. l.mu must be held.
+// drop forgets a crash. If removeFromTable is set, it also has the row removed from the table. l.mu must be held.
 func (l *List) drop(key string, removeFromTable bool) {
 	k := l.crashes[key]
 	delete(l.crashes, key)
@@ -347,7 +350,7 @@
 	}
 }
 
-// expire drops the crashes that are older than ttl.
+// expire drops the crashes that are older than ttl, also from the table.
 func (l *List) expire(ttl time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -359,7 +362,7 @@
 	}
 }
 
-// Sizes returns the number of recorded crashes and of quarantined requests.
+// Sizes returns the number of recorded crashes and the number of quarantined requests.
 func (l *List) Sizes() (crashes, quarantined int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -11,10 +11,10 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// fingerprintOf returns the fingerprint of the request of that name.
+// fingerprintOf returns the fingerprint of a request that only its name identifies.
 func fingerprintOf(name string) Fingerprint { return (&Identity{Target: name}).Fingerprint() }
 
-// recordCrashes records a crash of each endpoint under a request of a caller.
+// recordCrashes records a crash of each of the endpoints under a caller's request, which had run for a time.
 func recordCrashes(l *List, request, caller string, ran time.Duration, endpoints ...string) {
 	for _, e := range endpoints {
 		l.RecordCrash(Crash{Request: fingerprintOf(request), Endpoint: e, Caller: caller, RunTime: ran})
@@ -28,7 +28,8 @@
 	}
 }
 
-// Three crashes soon after a request began quarantine it, two never do, and a repeated report counts once.
+// A request is quarantined after three crashes soon after it began, and not after two. A crash that is reported again
+// counts only once.
 func TestQuarantineAfterThreeCrashes(t *testing.T) {
 	l := NewList()
 	callbacks := 0
@@ -46,11 +47,11 @@
 	}
 }
 
-// Guards against counting one crash too few, so that a request crashes four endpoints before it is
-// quarantined. A worker returned under its id before the endpoint list showed that, ran the request again
-// and crashed; the box took that for the already recorded crash of the listed start. Seen in
-// TestRequestThatEndsEndpoints with engines that come back under their ids: 4 crashes instead of 3 in one
-// of three runs.
+// These checks guard against counting one crash too few, so that a request crashes four endpoints before it is
+// quarantined. A worker that had crashed was back under its id before the list of endpoints showed its new start. It ran
+// the request again and crashed. The box took that for the crash of the old start, which was already recorded. This was
+// seen in TestRequestThatEndsEndpoints with engines that come back under their ids: 4 crashes instead of 3 in one of
+// three runs.
 func TestCrashOfStartNotYetListed(t *testing.T) {
 	l := NewList()
 	e := Crash{Request: fingerprintOf("deadly"), Endpoint: "i-5@a", Caller: "c", RunTime: 50 * time.Millisecond}
@@ -72,16 +73,16 @@
 	expectQuarantined(t, l, "deadly", true)
 }
 
-// Guards against quarantining a harmless stream. It migrated from engine to engine within one try while
-// another request crashed these one after the other, a third of a second each. Seen in a soak test (seed
-// 673278674497): crashes after 100, 192 and 433 ms under one request id.
+// A harmless stream is not quarantined when it is at several crashes within one try. It migrated from engine to engine
+// while another request crashed these one after the other, after a third of a second each. This was seen in a soak
+// test (seed 673278674497): crashes after 100, 192 and 433 ms under one request id.
 func TestCrashesWithinOneTry(t *testing.T) {
 	l := NewList()
 	for n, ran := range []time.Duration{192 * time.Millisecond, 100 * time.Millisecond, 433 * time.Millisecond} {
 		l.RecordCrash(Crash{Request: fingerprintOf("long"), Endpoint: fmt.Sprint("e", n), Caller: "c", RunTime: ran, Try: Tag("id-1")})
 	}
 	expectQuarantined(t, l, "long", false)
-	for n := range 4 { // Two tries of two engines each.
+	for n := range 4 { // Two tries, each at two engines.
 		l.RecordCrash(Crash{Request: fingerprintOf("deadly"), Endpoint: fmt.Sprint("e", n), Caller: "c", RunTime: 50 * time.Millisecond, Try: Tag(fmt.Sprint("id", n/2))})
 		if n < 3 {
 			expectQuarantined(t, l, "deadly", false)
@@ -90,10 +91,10 @@
 	expectQuarantined(t, l, "deadly", true)
 }
 
-// Guards against quarantining a harmless request. Its prompt was at an engine that crashed with its rack; it
-// was retried on another engine of that rack, over a connection that was lost after 0.7 ms, and four
-// seconds later it was present at a third crash. Seen in a recorded day of crashes, on which one request
-// was quarantined for crashes after 39 ms, 0.7 ms and 220 ms.
+// A harmless request is not quarantined for the crash of an endpoint that it did not reach. Its prompt was at an engine
+// that crashed with its whole rack. It was retried on another engine of the rack, over a connection that was lost after
+// 0.7 ms. Four seconds later it was running at a third crash. This was seen in a recorded day of crashes, on which one
+// request was quarantined for crashes after 39 ms, 0.7 ms and 220 ms.
 func TestEndpointCrashedBeforeRequest(t *testing.T) {
 	l := NewList()
 	recordCrashes(l, "a", "c", 39*time.Millisecond, "e1")
@@ -106,7 +107,7 @@
 	expectQuarantined(t, l, "at once", true)
 }
 
-// A long stream that migrates is present at several crashes that other requests cause.
+// A long stream that migrates is running at several crashes that other requests cause, and is not quarantined for them.
 func TestLongStreamIsNotBlamed(t *testing.T) {
 	l := NewList()
 	recordCrashes(l, "long", "a", 3*time.Second, "e1", "e2", "e3")
@@ -115,8 +116,8 @@
 	expectQuarantined(t, l, "shorter", false)
 }
 
-// Measures how often a harmless request is quarantined if it is retried after each crash and endpoints
-// crash at a given rate per second. It takes three runs of at most half a second each.
+// This test measures how often a harmless request of 3 s is quarantined. It is retried after each crash, and endpoints
+// crash at a given rate per second. The request is quarantined if it runs three times for at most half a second each.
 func TestWrongQuarantineRate(t *testing.T) {
 	const tries = 200_000
 	rng := newRNG(1)
@@ -124,7 +125,7 @@
 		quarantined := 0
 		for range tries {
 			sum := 0.0
-			for range 3 { // It meets three crashes at most, each at a random point of a 3 s run.
+			for range 3 { // The request meets at most three crashes, each at a random time of its run.
 				crashedAfter := rng.ExpFloat64() / crashesPerSecond
 				if crashedAfter > 3 {
 					break // The run completes.
@@ -143,7 +144,7 @@
 	}
 }
 
-// A completed answer clears the evidence, and a request that was just answered is not suspected.
+// A complete answer clears the evidence against the request. Shortly after it, no crash is recorded against the request.
 func TestServedClearsEvidence(t *testing.T) {
 	l := NewList()
 	recordCrashes(l, "a", "c", 0, "e1", "e2")
@@ -155,7 +156,7 @@
 	}
 }
 
-// A caller that fills the table on purpose displaces nobody else's crashes.
+// A caller that fills the table on purpose does not displace the crashes of other callers.
 func TestFullTableDisplacesNoOtherCaller(t *testing.T) {
 	l := NewList()
 	recordCrashes(l, "deadly", "victim", 0, "e1", "e2", "e3")
@@ -177,7 +178,8 @@
 	}
 }
 
-// Rows of other boxes count, rows that no box can have written do not, and a removed row is forgotten.
+// A box counts the crashes in rows that other boxes wrote, and ignores rows that no box can have written. It forgets a
+// crash whose row was removed.
 func TestRows(t *testing.T) {
 	writer, l := NewList(), NewList()
 	recordCrashes(writer, "deadly", "a", 0, "e1", "e2", "e3")
@@ -185,10 +187,10 @@
 	l.SetRows(rows)
 	expectQuarantined(t, l, "deadly", true)
 	for key, text := range rows {
-		rows["x"+key[1:]] = text                                             // The fingerprint is not hexadecimal, or another one.
-		rows[key[:len(key)-1]+"z"] = text                                    // The key of another endpoint.
-		rows[key+"."] = []byte(`{"endpoint":7}`)                             // A field of the wrong type.
-		rows[fingerprintOf("b").String()+".00"] = []byte(`{"endpoint":"e"}`) // An incomplete key.
+		rows["x"+key[1:]] = text                                             // The fingerprint is not hexadecimal, or that of another request.
+		rows[key[:len(key)-1]+"z"] = text                                    // The key is that of another endpoint.
+		rows[key+"."] = []byte(`{"endpoint":7}`)                             // A field has the wrong type.
+		rows[fingerprintOf("b").String()+".00"] = []byte(`{"endpoint":"e"}`) // The key is incomplete.
 		break
 	}
 	rows[""] = nil
@@ -218,7 +220,7 @@
 	})
 }
 
-// A quarantine expires after crashTTL, also if the box was suspended for a part of that time.
+// A quarantine ends crashTTL after the last crash, even if the box was suspended for a part of that time.
 func TestQuarantineExpires(t *testing.T) {
 	var suspended time.Duration
 	defer clock.SetSuspendedForTest(func() time.Duration { return suspended })()
@@ -235,7 +237,7 @@
 	}
 }
 
-// tableRows returns the table rows for the crashes of a list.
+// tableRows returns the rows that the table has for the crashes of a list.
 func tableRows(l *List) map[string][]byte {
 	rows := map[string][]byte{}
 	for key, k := range l.crashes {
@@ -257,7 +259,7 @@
 		box.ExpectRestoredRows(0)
 		box.SetRows(nil)
 		expectQuarantined(t, box, "deadly", true)
-		box.SetRows(nil) // A later change of another row.
+		box.SetRows(nil) // This stands for a later change of another row.
 		expectQuarantined(t, box, "deadly", true)
 	}
 	if put, _ := other.nextBatch(); len(put) != 0 {
@@ -286,7 +288,8 @@
 	}
 }
 
-// After a restore, crashes observed by a box that is gone are rewritten by only a few of the others.
+// The table of crashes is restored from an older copy that lacks three crashes, and the box that observed them is gone.
+// Only few of the other 400 boxes write the missing rows to the table again, and the request stays quarantined.
 func TestCrashesOfRemovedBoxAreRewrittenByFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/quarantine/served.go
+++ b/internal/quarantine/served.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// servedTTL is how long a completely answered request is not suspected, and maxServed bounds how many
-	// such requests are remembered. A request that is sent continually runs on every endpoint that
-	// crashes, and is answered by the others.
+	// servedTTL is how long no crash is recorded against a request after it was answered completely. A harmless
+	// request that clients send continually runs on every endpoint that crashes, and is answered by the others.
+	// maxServed bounds how many answered requests are remembered.
 	servedTTL = 10 * time.Second
 	maxServed = 1024
 )
 
-// servedSet remembers the requests that were answered recently. The zero value is empty.
+// servedSet holds the requests that were answered recently. The zero value is empty.
 type servedSet struct {
-	// current has the newest requests, up to half of the bound, and previous those before them.
+	// current has the newest requests, up to half of maxServed, and previous the requests before them.
 	current, previous map[Fingerprint]time.Time
 }
 
