--- a/internal/overlay/gossip.go
+++ b/internal/overlay/gossip.go
@@ -23,17 +23,17 @@
 
 // queuedMessage is a message with the time at which its observation was made.
 type queuedMessage struct {
-	f  *v1.Fact
-	at time.Time
+	fact *v1.Fact
+	at   time.Time
 }
 
 func newMessageQueue() messageQueue {
 	return messageQueue{wake: make(chan struct{}, 1), mu: &sync.Mutex{}}
 }
 
-func (q *messageQueue) add(f queuedMessage) (dropped int) {
+func (q *messageQueue) add(message queuedMessage) (dropped int) {
 	q.mu.Lock()
-	q.messages = append(q.messages, f)
+	q.messages = append(q.messages, message)
 	if dropped = len(q.messages) - maxQueuedMessages; dropped > 0 {
 		q.messages = append([]queuedMessage(nil), q.messages[dropped:]...)
 	}
@@ -56,9 +56,9 @@
 	q.messages = nil
 	q.mu.Unlock()
 	out := make([]*v1.Fact, len(list))
-	for i, f := range list {
+	for i, message := range list {
 		// Copied, because the same message is queued for other boxes too.
-		out[i] = &v1.Fact{Box: f.f.Box, Incarnation: f.f.Incarnation, Seq: f.f.Seq, Kind: f.f.Kind, AgeMs: max(0, now.Sub(f.at).Milliseconds())}
+		out[i] = &v1.Fact{Box: message.fact.Box, Incarnation: message.fact.Incarnation, Seq: message.fact.Seq, Kind: message.fact.Kind, AgeMs: max(0, now.Sub(message.at).Milliseconds())}
 	}
 	return out
 }
@@ -76,9 +76,9 @@
 }
 
 // receive processes a message from the upstream, by its link, or from a follower; the other one of both is nil.
-func (n *Node) receive(m *v1.Fact, by *link, from *follower) {
+func (n *Node) receive(m *v1.Fact, fromUpstream *link, fromFollower *follower) {
 	now := clock.Now()
-	f, ok := decode(m, now)
+	msg, ok := decode(m, now)
 	if !ok || m.Box == "" || m.Box == n.o.Self.Name {
 		return
 	}
@@ -93,25 +93,25 @@
 		return // So lastReceived stays as small as the list of members.
 	}
 	n.lastReceived[m.Box] = messagePosition{m.Incarnation, m.Seq}
-	n.forward(queuedMessage{m, f.At}, by, from)
+	n.forward(queuedMessage{m, msg.At}, fromUpstream, fromFollower)
 	n.mu.Unlock()
 	n.count.received.Inc()
-	n.o.OnMessage(f)
+	n.o.OnMessage(msg)
 }
 
 // forward queues a message for the upstream and all followers but the box that sent it. The lock is held.
-func (n *Node) forward(f queuedMessage, by *link, from *follower) {
-	if n.upstream != nil && n.upstream != by {
-		n.count.dropped.Add(n.upstream.queue.add(f))
+func (n *Node) forward(message queuedMessage, fromUpstream *link, fromFollower *follower) {
+	if n.upstream != nil && n.upstream != fromUpstream {
+		n.count.dropped.Add(n.upstream.queue.add(message))
 	}
 	for to := range n.followers {
-		if to == from || to.name == f.f.Box {
+		if to == fromFollower || to.name == message.fact.Box {
 			continue
 		}
-		if !to.interest.wants(f.f) {
-			to.countOmitted(f.f)
+		if !to.interest.wants(message.fact) {
+			to.countOmitted(message.fact)
 			continue
 		}
-		n.count.dropped.Add(to.queue.add(f))
+		n.count.dropped.Add(to.queue.add(message))
 	}
 }
--- a/internal/overlay/interest.go
+++ b/internal/overlay/interest.go
@@ -31,11 +31,11 @@
 func engineHash(engine string) uint32 { return uint32(xxhash.Sum64String(engine)) }
 
 func newInterest(engines []string) interest {
-	in := interest{engines: make(map[uint32]bool, len(engines))}
+	wanted := interest{engines: make(map[uint32]bool, len(engines))}
 	for _, e := range engines {
-		in.engines[engineHash(e)] = true
+		wanted.engines[engineHash(e)] = true
 	}
-	return in
+	return wanted
 }
 
 func (in interest) equal(other interest) bool {
@@ -49,15 +49,15 @@
 // maxInterestEngines bounds the engines that a follower may name. A follower that names more is sent all messages.
 const maxInterestEngines = 4096
 
-func decodeInterest(m *v1.Interest) (in interest) {
+func decodeInterest(m *v1.Interest) (wanted interest) {
 	if m.All || len(m.Engines) > maxInterestEngines {
-		return in
+		return wanted
 	}
-	in.engines = make(map[uint32]bool, len(m.Engines))
+	wanted.engines = make(map[uint32]bool, len(m.Engines))
 	for _, e := range m.Engines {
-		in.engines[e] = true
+		wanted.engines[e] = true
 	}
-	return in
+	return wanted
 }
 
 // wants reports whether a box with this interest has a use for a message. A message that is not about an engine
@@ -93,10 +93,10 @@
 }
 
 // set replaces the interest of this box.
-func (i *interestState) set(in interest) {
+func (i *interestState) set(next interest) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.current = in
+	i.current = next
 }
 
 // reset forgets what was sent to a previous upstream: the new upstream knows nothing of it.
@@ -131,11 +131,11 @@
 
 // SetInterest sets the engines whose messages this box has a use for; nil stands for all engines.
 func (n *Node) SetInterest(engines []string) {
-	in := interest{}
+	next := interest{}
 	if engines != nil {
-		in = newInterest(engines)
+		next = newInterest(engines)
 	}
-	n.interests.set(in)
+	n.interests.set(next)
 	n.signalInterest()
 }
 
@@ -150,10 +150,10 @@
 }
 
 // setInterest sets the engines whose messages a follower is to be sent.
-func (n *Node) setInterest(f *follower, in interest) {
+func (n *Node) setInterest(f *follower, next interest) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	f.interest = in
+	f.interest = next
 }
 
 // countOmitted counts the placed stream of a message that the follower is not sent. Messages of other kinds are
--- a/internal/overlay/link.go
+++ b/internal/overlay/link.go
@@ -38,7 +38,7 @@
 
 // client returns a client for another box.
 func (n *Node) client(address string) stoatrampv1connect.OverlayClient {
-	return stoatrampv1connect.NewOverlayClient(n.hc, "http://"+address,
+	return stoatrampv1connect.NewOverlayClient(n.httpClient, "http://"+address,
 		connect.WithReadMaxBytes(maxMessageBytes))
 }
 
--- a/internal/overlay/members.go
+++ b/internal/overlay/members.go
@@ -153,8 +153,8 @@
 	defer s.mu.Unlock()
 	var out []Member
 	for _, m := range s.all {
-		b := s.failures[m.Name]
-		if m.Region == region && (b.incarnation != m.Incarnation || !now.Before(b.until)) {
+		failure := s.failures[m.Name]
+		if m.Region == region && (failure.incarnation != m.Incarnation || !now.Before(failure.until)) {
 			out = append(out, m)
 		}
 	}
@@ -181,13 +181,13 @@
 	if s.failures == nil {
 		s.failures = map[string]memberFailure{}
 	}
-	b := s.failures[m.Name]
-	if b.incarnation != m.Incarnation {
-		b = memberFailure{incarnation: m.Incarnation}
+	failure := s.failures[m.Name]
+	if failure.incarnation != m.Incarnation {
+		failure = memberFailure{incarnation: m.Incarnation}
 	}
-	b.until = now.Add(min(maxFollowBackoff, minFollowBackoff<<min(b.tries, 6)))
-	b.tries++
-	s.failures[m.Name] = b
+	failure.until = now.Add(min(maxFollowBackoff, minFollowBackoff<<min(failure.tries, 6)))
+	failure.tries++
+	s.failures[m.Name] = failure
 }
 
 // recordSuccess clears the recorded failures of a member that could be followed.
--- a/internal/overlay/node.go
+++ b/internal/overlay/node.go
@@ -125,10 +125,10 @@
 
 // Node is the overlay's part of one box. New sets all fields.
 type Node struct {
-	o       Options
-	hc      *http.Client
-	members members
-	count   counters
+	o          Options
+	httpClient *http.Client
+	members    members
+	count      counters
 	// membersChanged has an element when the list of members has changed.
 	membersChanged chan struct{}
 	// stopped is cancelled when this box begins a planned stop. Then its followers select another upstream.
@@ -181,7 +181,7 @@
 	}
 	n.stopped, n.stop = context.WithCancel(context.Background())
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: 2}}
-	n.hc = &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute, DisableCompression: true}}
+	n.httpClient = &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute, DisableCompression: true}}
 	n.count = counters{
 		published:       o.Metrics.NewCounter("stoatramp_overlay_facts_told_total"),
 		received:        o.Metrics.NewCounter("stoatramp_overlay_facts_heard_total"),
--- a/internal/overlay/tree_test.go
+++ b/internal/overlay/tree_test.go
@@ -133,7 +133,7 @@
 	eventually(t, "there is a key and a configuration", func() bool { return a.members.sharedKey() != "" && a.value() != "" })
 	w := &countingTransport{}
 	b := New(Options{Metrics: metrics.NewSet()})
-	b.hc.Transport = w
+	b.httpClient.Transport = w
 	req := connect.NewRequest(&v1.FollowRequest{Box: "b", Protocol: protocolVersion, Packed: true})
 	authorize(req.Header(), a.members.sharedKey())
 	stream, err := b.client(a.srv.Listener.Addr().String()).Follow(context.Background(), req)
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -34,14 +34,14 @@
 func totalBits(crashes []Crash) (total float64) {
 	strongest := map[string]float64{}
 	for i := range crashes {
-		b := crashBits(&crashes[i])
+		bits := crashBits(&crashes[i])
 		if strongestSoFar, seen := strongest[crashes[i].Try]; seen && crashes[i].Try != "" {
-			total += minCrashBits + max(0, b-strongestSoFar)
-			strongest[crashes[i].Try] = max(b, strongestSoFar)
+			total += minCrashBits + max(0, bits-strongestSoFar)
+			strongest[crashes[i].Try] = max(bits, strongestSoFar)
 			continue
 		}
-		strongest[crashes[i].Try] = b
-		total += b
+		strongest[crashes[i].Try] = bits
+		total += bits
 	}
 	return total
 }
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -93,10 +93,10 @@
 	defer l.mu.Unlock()
 	put = map[string][]byte{}
 	now := clock.Now()
-	for key, k := range l.crashes {
-		if !k.writeAcked && !now.Before(k.writeAfter) && len(put) < MaxRowsPerWrite {
-			k.writeAttempted = true
-			put[key] = k.row()
+	for key, record := range l.crashes {
+		if !record.writeAcked && !now.Before(record.writeAfter) && len(put) < MaxRowsPerWrite {
+			record.writeAttempted = true
+			put[key] = record.row()
 		}
 	}
 	for key, removed := range l.removing {
@@ -112,8 +112,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key := range put {
-		if k := l.crashes[key]; k != nil {
-			k.writeAcked = true
+		if record := l.crashes[key]; record != nil {
+			record.writeAcked = true
 		}
 	}
 	for _, key := range remove {
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -125,8 +125,8 @@
 	Try      string `json:"try,omitempty"`
 }
 
-// maxRan bounds the run time in a row.
-const maxRan = time.Hour
+// maxRunTime bounds the run time in a row.
+const maxRunTime = time.Hour
 
 // parseRow decodes a row of the table; ok is false for a row that no box can have written.
 func parseRow(key string, text []byte) (e Crash, ok bool) {
@@ -138,7 +138,7 @@
 	}
 	copy(e.Request[:], raw)
 	e.Endpoint, e.Caller, e.RunTime, e.Doubtful, e.Try = doc.Endpoint, doc.Caller, time.Duration(doc.RanMS)*time.Millisecond, doc.Doubtful, doc.Try
-	return e, e.Endpoint != "" && e.RunTime >= 0 && e.RunTime <= maxRan && e.key() == key
+	return e, e.Endpoint != "" && e.RunTime >= 0 && e.RunTime <= maxRunTime && e.key() == key
 }
 
 func (e *Crash) row() []byte {
@@ -158,8 +158,8 @@
 
 // verdict adds up the evidence of the crashes of a request. l.mu must be held.
 func (l *List) verdict(f Fingerprint) (v Verdict) {
-	for _, k := range l.byRequest[f] {
-		v.Crashes = append(v.Crashes, k.Crash)
+	for _, record := range l.byRequest[f] {
+		v.Crashes = append(v.Crashes, record.Crash)
 	}
 	v.Bits = totalBits(v.Crashes)
 	slices.SortFunc(v.Crashes, func(a, b Crash) int {
@@ -192,11 +192,11 @@
 func (l *List) isNew(e *Crash) bool {
 	start := e.Endpoint
 	for n := 2; ; n++ {
-		k := l.crashes[e.key()]
+		record := l.crashes[e.key()]
 		switch {
-		case k == nil:
+		case record == nil:
 			return true
-		case e.Doubtful || !k.observedAt.Before(e.SentAt):
+		case e.Doubtful || !record.observedAt.Before(e.SentAt):
 			return false
 		}
 		e.Endpoint = fmt.Sprintf("%s+%d", start, n)
@@ -208,8 +208,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recentlyServed.add(f, clock.Now())
-	for key, k := range l.byRequest[f] {
-		l.drop(key, k.writeAttempted)
+	for key, record := range l.byRequest[f] {
+		l.drop(key, record.writeAttempted)
 	}
 }
 
@@ -223,8 +223,8 @@
 	if l.restorePending = false; restored {
 		l.scheduleRewrites(rows, now)
 	}
-	for key, k := range l.crashes {
-		if _, there := rows[key]; !there && k.seenInTable {
+	for key, record := range l.crashes {
+		if _, there := rows[key]; !there && record.seenInTable {
 			l.drop(key, false)
 		}
 	}
@@ -234,8 +234,8 @@
 		}
 	}
 	for key, text := range rows {
-		if k := l.crashes[key]; k != nil {
-			k.writeAttempted, k.writeAcked, k.seenInTable = true, true, true
+		if record := l.crashes[key]; record != nil {
+			record.writeAttempted, record.writeAcked, record.seenInTable = true, true, true
 			continue
 		}
 		if e, ok := parseRow(key, text); ok && !l.isRemoving(key) {
@@ -264,13 +264,13 @@
 // should not have. l.mu must be held.
 func (l *List) scheduleRewrites(rows map[string][]byte, now time.Time) {
 	rewriteDelay := observerHeadStart + rand.N(l.rewriteSpread+1)
-	for key, k := range l.crashes {
-		if _, there := rows[key]; there || !k.writeAcked {
+	for key, record := range l.crashes {
+		if _, there := rows[key]; there || !record.writeAcked {
 			continue
 		}
-		k.writeAcked, k.seenInTable = false, false
-		if k.SentAt.IsZero() { // Another box observed the crash.
-			k.writeAfter = now.Add(rewriteDelay)
+		record.writeAcked, record.seenInTable = false, false
+		if record.SentAt.IsZero() { // Another box observed the crash.
+			record.writeAfter = now.Add(rewriteDelay)
 		}
 	}
 	time.AfterFunc(rewriteDelay, l.wakeWriter)
@@ -286,20 +286,20 @@
 }
 
 // add records a crash, and drops another one if a bound is reached. l.mu must be held.
-func (l *List) add(k *crashRecord) {
-	l.evictIfFull(k.Caller)
-	key := k.key()
-	l.crashes[key] = k
-	if l.byRequest[k.Request] == nil {
-		l.byRequest[k.Request] = map[string]*crashRecord{}
+func (l *List) add(record *crashRecord) {
+	l.evictIfFull(record.Caller)
+	key := record.key()
+	l.crashes[key] = record
+	if l.byRequest[record.Request] == nil {
+		l.byRequest[record.Request] = map[string]*crashRecord{}
 	}
-	l.byRequest[k.Request][key] = k
-	l.perCaller[k.Caller]++
+	l.byRequest[record.Request][key] = record
+	l.perCaller[record.Caller]++
 	l.count.Store(int64(len(l.crashes)))
-	if v := l.verdict(k.Request); v.Quarantined && !l.quarantined[k.Request] {
-		l.quarantined[k.Request] = true
+	if v := l.verdict(record.Request); v.Quarantined && !l.quarantined[record.Request] {
+		l.quarantined[record.Request] = true
 		if l.OnQuarantine != nil {
-			l.OnQuarantine(k.Request, v)
+			l.OnQuarantine(record.Request, v)
 		}
 	}
 }
@@ -319,9 +319,9 @@
 		return
 	}
 	var oldest *crashRecord
-	for _, k := range l.crashes {
-		if k.Caller == caller && (oldest == nil || k.observedAt.Before(oldest.observedAt)) {
-			oldest = k
+	for _, record := range l.crashes {
+		if record.Caller == caller && (oldest == nil || record.observedAt.Before(oldest.observedAt)) {
+			oldest = record
 		}
 	}
 	if oldest != nil {
@@ -331,18 +331,18 @@
 
 // drop forgets a crash. If removeFromTable is set, it also has the row removed from the table. l.mu must be held.
 func (l *List) drop(key string, removeFromTable bool) {
-	k := l.crashes[key]
+	record := l.crashes[key]
 	delete(l.crashes, key)
-	delete(l.byRequest[k.Request], key)
-	if l.perCaller[k.Caller]--; l.perCaller[k.Caller] == 0 {
-		delete(l.perCaller, k.Caller)
+	delete(l.byRequest[record.Request], key)
+	if l.perCaller[record.Caller]--; l.perCaller[record.Caller] == 0 {
+		delete(l.perCaller, record.Caller)
 	}
-	if len(l.byRequest[k.Request]) == 0 {
-		delete(l.byRequest, k.Request)
+	if len(l.byRequest[record.Request]) == 0 {
+		delete(l.byRequest, record.Request)
 	}
 	l.count.Store(int64(len(l.crashes)))
-	if !l.verdict(k.Request).Quarantined {
-		delete(l.quarantined, k.Request)
+	if !l.verdict(record.Request).Quarantined {
+		delete(l.quarantined, record.Request)
 	}
 	if removeFromTable {
 		l.removing[key] = false
@@ -355,9 +355,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
-	for key, k := range l.crashes {
-		if now.Sub(k.observedAt) > ttl {
-			l.drop(key, k.writeAttempted)
+	for key, record := range l.crashes {
+		if now.Sub(record.observedAt) > ttl {
+			l.drop(key, record.writeAttempted)
 		}
 	}
 }
--- a/internal/quota/purse.go
+++ b/internal/quota/purse.go
@@ -63,8 +63,8 @@
 }
 
 // NewGrantCache returns an empty cache of grants.
-func NewGrantCache(h Owners) *GrantCache {
-	return &GrantCache{owners: h, cached: map[string]*cachedGrant{}}
+func NewGrantCache(owners Owners) *GrantCache {
+	return &GrantCache{owners: owners, cached: map[string]*cachedGrant{}}
 }
 
 // Take takes units for a request of an account. It uses cached units first, and requests those that are missing from the
@@ -88,35 +88,35 @@
 func (p *GrantCache) takeCached(now time.Time, account string, units float64) (fromCache, ahead float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.cached[account]
-	if k == nil {
+	grant := p.cached[account]
+	if grant == nil {
 		if len(p.cached) >= maxCachedAccounts {
 			clear(p.cached) // The cached units of all accounts are lost, and new ones will be requested.
 		}
-		k = &cachedGrant{updatedAt: now}
-		p.cached[account] = k
+		grant = &cachedGrant{updatedAt: now}
+		p.cached[account] = grant
 	}
-	decay := math.Exp2(-now.Sub(k.updatedAt).Seconds() / usageHalfLife.Seconds())
+	decay := math.Exp2(-now.Sub(grant.updatedAt).Seconds() / usageHalfLife.Seconds())
 	weight := math.Ln2 / usageHalfLife.Seconds()
-	k.unitsPerSecond = k.unitsPerSecond*decay + units*weight
-	k.requestsPerSecond = k.requestsPerSecond*decay + weight
-	k.updatedAt = now
-	if now.Before(k.expires) {
-		fromCache = min(units, k.units)
-		k.units -= fromCache
+	grant.unitsPerSecond = grant.unitsPerSecond*decay + units*weight
+	grant.requestsPerSecond = grant.requestsPerSecond*decay + weight
+	grant.updatedAt = now
+	if now.Before(grant.expires) {
+		fromCache = min(units, grant.units)
+		grant.units -= fromCache
 	}
-	if k.requestsPerSecond*grantTTL.Seconds() < minPrefetchRequests {
+	if grant.requestsPerSecond*grantTTL.Seconds() < minPrefetchRequests {
 		return fromCache, 0
 	}
-	return fromCache, k.unitsPerSecond * grantTTL.Seconds()
+	return fromCache, grant.unitsPerSecond * grantTTL.Seconds()
 }
 
 // storeGrant replaces the cached units of an account by units that were just granted in advance.
 func (p *GrantCache) storeGrant(now time.Time, account string, units float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if k := p.cached[account]; k != nil && units > 0 {
-		k.units, k.expires = units, now.Add(grantTTL)
+	if grant := p.cached[account]; grant != nil && units > 0 {
+		grant.units, grant.expires = units, now.Add(grantTTL)
 	}
 }
 
@@ -125,12 +125,12 @@
 func (p *GrantCache) Refund(account string, units float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := p.cached[account]
-	if k == nil || units <= 0 {
+	grant := p.cached[account]
+	if grant == nil || units <= 0 {
 		return
 	}
-	if now := clock.Now(); !now.Before(k.expires) {
-		k.units, k.expires = 0, now.Add(grantTTL)
+	if now := clock.Now(); !now.Before(grant.expires) {
+		grant.units, grant.expires = 0, now.Add(grantTTL)
 	}
-	k.units += units
+	grant.units += units
 }
