--- a/internal/follow/feed.go
+++ b/internal/follow/feed.go
@@ -157,8 +157,8 @@
 			if !since.Before(ver) {
 				continue
 			}
-			value, there := t.rows[key]
-			p.Rows = append(p.Rows, Row{Key: key, Value: value, Gone: !there})
+			value, exists := t.rows[key]
+			p.Rows = append(p.Rows, Row{Key: key, Value: value, Gone: !exists})
 		}
 		return p
 	}
@@ -191,9 +191,9 @@
 		t.merge(p.Rows, p.Since, p.Version, p.OmitsReverted)
 	}
 	// A sender that is behind in the same era will catch up. A sender in an older era sends state that a restore of
-	// the store has undone.
-	has := t.Version()
-	fits := has.Era == p.Version.Era && !has.Before(p.Version)
+	// the store known undone.
+	known := t.Version()
+	fits := known.Era == p.Version.Era && !known.Before(p.Version)
 	if p.Lost {
 		t.o.Link.markShared(clock.Now())
 	}
--- a/internal/follow/feed_test.go
+++ b/internal/follow/feed_test.go
@@ -40,7 +40,7 @@
 	restoredOver map[Version]map[string][]byte
 }
 
-func (s *historyStore) now() Version { return Version{s.era, int64(len(s.states) - 1)} }
+func (s *historyStore) currentVersion() Version { return Version{s.era, int64(len(s.states) - 1)} }
 
 func (s *historyStore) present() map[string][]byte { return s.states[len(s.states)-1] }
 
@@ -79,7 +79,7 @@
 	for k, v := range s.present() {
 		out = append(out, Row{Key: k, Value: v})
 	}
-	return out, s.now(), nil
+	return out, s.currentVersion(), nil
 }
 
 func (s *historyStore) Changed(_ context.Context, since Version, _ time.Duration) (out []Row, ver Version, err error) {
@@ -87,10 +87,10 @@
 		return nil, Version{}, ErrHistoryLost
 	}
 	for _, k := range s.changed[since.Number+1:] {
-		v, there := s.present()[k]
-		out = append(out, Row{Key: k, Value: v, Gone: !there})
+		v, exists := s.present()[k]
+		out = append(out, Row{Key: k, Value: v, Gone: !exists})
 	}
-	return out, s.now(), nil
+	return out, s.currentVersion(), nil
 }
 
 func newHistoryStore() historyStore {
@@ -118,7 +118,7 @@
 			part Part
 		}
 		var inFlight []message
-		seen := []Version{{}, s.now()}
+		seen := []Version{{}, s.currentVersion()}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			i := rapid.IntRange(0, boxes-1).Draw(t, "box")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
@@ -143,10 +143,10 @@
 				case 0:
 					s.restore(rapid.IntRange(0, 6).Draw(t, "by"))
 				case 1:
-					s.historyStart = s.now().Number
+					s.historyStart = s.currentVersion().Number
 				}
 			}
-			seen = append(seen, s.now())
+			seen = append(seen, s.currentVersion())
 			for i, table := range tables {
 				if table.ver.Before(last[i]) {
 					t.Fatalf("box %d stepped back from %s to %s", i, last[i], table.ver)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -229,7 +229,7 @@
 		return 0, errNoCall // The call is repeated at once, with the wait that applies while other boxes follow this one.
 	}
 	if err != nil && p.era.Err() != nil && ctx.Err() == nil {
-		return 0, errNoCall // The store is back. This call began before the loss and was cancelled.
+		return 0, errNoCall // The store is back. This call began before its return and was cancelled.
 	}
 	p.finish(clock.Now(), err == nil || errors.Is(err, ErrHistoryLost) || errors.Is(err, ErrOld))
 	if ctx.Err() != nil {
@@ -414,12 +414,12 @@
 	}
 	t.changes.addGap(gap{t.ver, ver})
 	for key, value := range all {
-		if old, there := t.rows[key]; !there || !bytes.Equal(old, value) {
+		if old, exists := t.rows[key]; !exists || !bytes.Equal(old, value) {
 			t.changes.record(key, ver, len(all))
 		}
 	}
 	for key := range t.rows {
-		if _, there := all[key]; !there {
+		if _, exists := all[key]; !exists {
 			t.changes.record(key, ver, len(all))
 		}
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -195,12 +195,12 @@
 // expectOutage has three tables share a link during an outage of the store. A call of two of the tables waits up to 2 s
 // for a change, and a call of the third up to 8 s. It expects at most a number of calls during the outage, and each
 // table to be answered again within a time after it.
-func expectOutage(t *testing.T, unresponsive bool, lasts time.Duration, calls int, within time.Duration) {
+func expectOutage(t *testing.T, unresponsive bool, duration time.Duration, calls int, within time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		o := &outage{from: start.Add(10 * time.Second), to: start.Add(10*time.Second + lasts), unresponsive: unresponsive}
-		ctx, cancel := context.WithTimeout(context.Background(), lasts+20*time.Second)
+		o := &outage{from: start.Add(10 * time.Second), to: start.Add(10*time.Second + duration), unresponsive: unresponsive}
+		ctx, cancel := context.WithTimeout(context.Background(), duration+20*time.Second)
 		defer cancel()
 		link := &Link{}
 		var fresh [3]Freshness
@@ -213,7 +213,7 @@
 			table.Fresh = &fresh[i]
 			go table.Run(ctx)
 		}
-		time.Sleep(10*time.Second + lasts + within)
+		time.Sleep(10*time.Second + duration + within)
 		for i := range fresh {
 			if fresh[i].Age() > within {
 				t.Errorf("table %d: expected the table to recover within %s of the outage, last answer %s ago", i, within, fresh[i].Age())
--- a/internal/follow/late_test.go
+++ b/internal/follow/late_test.go
@@ -26,15 +26,14 @@
 }
 
 // expectFirstRead has a box delay its first read of the store for two seconds. It expects how often the whole table was
-// read after one second and after three. First means that no other box is expected to send the table, and updated
-// that another box does.
-func expectFirstRead(t *testing.T, first bool, updated bool, afterOne, afterThree int64) {
+// read after one second and after three. If updated is set, another box sends the table at once.
+func expectFirstRead(t *testing.T, noUpstreamExpected bool, updated bool, afterOne, afterThree int64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		src := &oneRowStore{}
 		table := New(src, Options{
 			Wait: time.Second, CallTimeout: time.Second, StaleAfter: 10 * time.Second,
-			FirstReadDelay: 2 * time.Second, NoUpstreamExpected: func() bool { return first },
+			FirstReadDelay: 2 * time.Second, NoUpstreamExpected: func() bool { return noUpstreamExpected },
 		}, func(map[string][]byte) {})
 		ctx, cancel := context.WithCancel(t.Context())
 		go table.Run(ctx)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -76,8 +76,8 @@
 	Rows   Rows
 	Key    string
 	Holder string
-	// Length is how long no other lease can be acquired. UsableFor is how long, from the start of the lease, orders
-	// may be sent. UsableFor is well below Length.
+	// Length is how long no other lease can be acquired. UsableFor is how long orders may be sent, counted from before
+	// the lease was written. UsableFor is well below Length.
 	Length    time.Duration
 	UsableFor time.Duration
 	// Observed returns when this box first observed an era of the store, and whether it had observed an earlier era
--- a/internal/overlay/accounts.go
+++ b/internal/overlay/accounts.go
@@ -33,10 +33,10 @@
 	// maxOwnersAsked is how many boxes are asked as owner of the account for one client request.
 	maxOwnersAsked = 2
 	// unsettledLendInterval is the pause between lending attempts while a share of this box is not yet lent
-	// to the owner of its group. A new owner can then grant units within a tenth of a second. Before, a
-	// share was lent only at the next renewal of the loans, and that took five seconds. In a simulated day
-	// in which all of 60 boxes were killed and restarted, 175 of the 531 requests of those two seconds were
-	// refused. Most of them were refused because no owner had any shares.
+	// to the owner of its group. So after a change of owner the new one can grant units within a tenth of a
+	// second. Before, the shares were lent to the new owner only at the next renewal of the loans, which took
+	// five seconds. In a simulated day in which all of 60 boxes were killed and restarted, 175 of the 531
+	// requests of the two seconds of the restart were refused, most because no owner had any shares.
 	unsettledLendInterval = 100 * time.Millisecond
 	// startupGrace is for how long after its start a box calls other boxes although it follows none yet.
 	startupGrace = 3 * time.Second
@@ -122,7 +122,7 @@
 }
 
 // canReachOthers reports whether calls to other boxes may be answered. A box that has just started counts as
-// able to reach others once it knows the shared key.
+// able to reach others once it knows the shared key, which authenticates calls between boxes.
 func (n *Node) canReachOthers() bool {
 	return n.Connected() || clock.Since(n.startedAt) < startupGrace && n.members.sharedKey() != ""
 }
@@ -161,14 +161,14 @@
 
 // lendOnce makes the lend and return calls that are due. It reports whether shares became free that can be
 // lent again.
-func (n *Node) lendOnce(ctx context.Context, alone bool) (again bool) {
+func (n *Node) lendOnce(ctx context.Context, alone bool) (canLendAgain bool) {
 	now := clock.Now()
 	_, lent := quota.RenewalInterval(n.members.size())
 	return n.runLendCalls(ctx, n.lender.Plan(now, n.desiredOwners(now, alone), lent))
 }
 
 // runLendCalls makes lend and return calls concurrently. It reports whether shares can be lent again.
-func (n *Node) runLendCalls(ctx context.Context, calls []quota.Call) (again bool) {
+func (n *Node) runLendCalls(ctx context.Context, calls []quota.Call) (canLendAgain bool) {
 	var wg sync.WaitGroup
 	results := make([]quota.Result, len(calls))
 	for i, c := range calls {
@@ -181,9 +181,9 @@
 	}
 	wg.Wait()
 	for i, c := range calls {
-		again = n.lender.CallDone(clock.Now(), c, results[i]) || again
+		canLendAgain = n.lender.CallDone(clock.Now(), c, results[i]) || canLendAgain
 	}
-	return again
+	return canLendAgain
 }
 
 // lend makes one call that lends shares of this box to an owner, or asks for their return.
--- a/internal/overlay/accounts_test.go
+++ b/internal/overlay/accounts_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// A box whose other boxes are all gone grants from its own share alone: it reports a lent share above 0 and below
+// When all other boxes are gone, a box grants units from its own share alone: it reports a lent share above 0 and below
 // one half.
 func TestAccountWithoutOtherBoxes(t *testing.T) {
 	s := newStore()
@@ -83,8 +83,8 @@
 	})
 }
 
-// The owner refuses requests for units that are out of bounds, for accounts without a limit or without the shared
-// key. It also refuses to be lent shares by a box that is not listed.
+// A box refuses a request for units if the units are out of bounds, the account has no limit, or the request comes
+// without the shared key. It also refuses shares that a box lends which is not listed.
 func TestAccountInvalidCalls(t *testing.T) {
 	s := newStore()
 	all := s.fleet(t)
--- a/internal/overlay/node.go
+++ b/internal/overlay/node.go
@@ -9,7 +9,8 @@
 // Each box follows an older box of its hall, which is its upstream (see parent), and receives the tables from
 // it. The oldest box of a hall follows the oldest of all. A box without an upstream reads the store itself.
 // So one box reads for all. Electing that box takes no agreement: two boxes that both act as the root only
-// cost some extra calls to the store.
+// cost some extra calls to the store. The members table also holds the shared key, which authenticates the calls
+// between all boxes.
 //
 // Tables flow down the tree, from each box to its followers. Package follow ensures that a table never goes
 // back to an older version and is fresh enough. Gossip messages are observations of single boxes, such as the
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -224,12 +224,12 @@
 		l.scheduleRewrites(rows, now)
 	}
 	for key, record := range l.crashes {
-		if _, there := rows[key]; !there && record.seenInTable {
+		if _, exists := rows[key]; !exists && record.seenInTable {
 			l.drop(key, false)
 		}
 	}
 	for key, removed := range l.removing {
-		if _, there := rows[key]; !there && removed {
+		if _, exists := rows[key]; !exists && removed {
 			delete(l.removing, key)
 		}
 	}
@@ -265,7 +265,7 @@
 func (l *List) scheduleRewrites(rows map[string][]byte, now time.Time) {
 	rewriteDelay := observerHeadStart + rand.N(l.rewriteSpread+1)
 	for key, record := range l.crashes {
-		if _, there := rows[key]; there || !record.writeAcked {
+		if _, exists := rows[key]; exists || !record.writeAcked {
 			continue
 		}
 		record.writeAcked, record.seenInTable = false, false
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -271,11 +271,11 @@
 // worstWindow is the largest number of units admitted in any window, as a share of what the platform allows.
 func (f *fleetSim) worstWindow() float64 {
 	maxSum, sum, from := 0.0, 0.0, 0
-	for _, u := range f.requests {
-		if u.admitted {
-			sum += u.units
+	for _, request := range f.requests {
+		if request.admitted {
+			sum += request.units
 		}
-		for f.requests[from].at <= u.at-f.bounds.Window {
+		for f.requests[from].at <= request.at-f.bounds.Window {
 			if f.requests[from].admitted {
 				sum -= f.requests[from].units
 			}
@@ -290,19 +290,19 @@
 // wronglyRefused is the share of the units within the limit that were refused after the warm-up.
 func (f *fleetSim) wronglyRefused() float64 {
 	level, at, within, refused := f.limit.Burst, time.Duration(0), 0.0, 0.0
-	for _, u := range f.requests {
-		level = min(f.limit.Burst, level+(u.at-at).Seconds()*f.limit.Rate)
-		at = u.at
-		if level < u.units {
+	for _, request := range f.requests {
+		level = min(f.limit.Burst, level+(request.at-at).Seconds()*f.limit.Rate)
+		at = request.at
+		if level < request.units {
 			continue
 		}
-		level -= u.units
-		if u.at < simWarmup {
+		level -= request.units
+		if request.at < simWarmup {
 			continue
 		}
-		within += u.units
-		if !u.admitted {
-			refused += u.units
+		within += request.units
+		if !request.admitted {
+			refused += request.units
 		}
 	}
 	return refused / within
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -84,7 +84,7 @@
 }
 
 // CallDone records the result of a call. It reports whether shares became free that can be lent again at once.
-func (l *Lender) CallDone(now time.Time, c Call, r Result) (again bool) {
+func (l *Lender) CallDone(now time.Time, c Call, r Result) (canLendAgain bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range c.Groups {
@@ -95,10 +95,10 @@
 		switch {
 		case r == Gone || c.Return && r == Delivered:
 			*current = loan{}
-			again = true
+			canLendAgain = true
 		case r == Delivered:
 			current.until = now.Add(c.Duration)
 		}
 	}
-	return again
+	return canLendAgain
 }
