--- a/internal/follow/feed_test.go
+++ b/internal/follow/feed_test.go
@@ -246,7 +246,8 @@
 	})
 }
 
-// A box that starts reads the whole table once. It then requests changes from the store only if no other box sends them.
+// A box that starts reads the whole table once. It then requests changes from the store only if no other box sends
+// them.
 func TestSettleWithUpdates(t *testing.T)    { expectSettleCalls(t, 1500*time.Millisecond, 1) }
 func TestSettleWithoutUpdates(t *testing.T) { expectSettleCalls(t, 5*time.Second, 2) }
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,16 +1,16 @@
-// Package lease lets one box at a time send orders, commands to an engine. A lease is the right to send orders for some
-// time. It is a row of a table of the platform's store, which a box replaces only if no other box has replaced it in the
-// meantime. The row's version and the store's era, which grows with each restore of the store, form the fence: a
-// number that is greater for each later lease. It is sent with each order.
+// Package lease lets one box at a time send orders, commands to an engine. A lease is the right to send orders for
+// some time. It is a row of a table of the platform's store, which a box replaces only if no other box has replaced it
+// in the meantime. The row's version and the store's era, which grows with each restore of the store, form the fence:
+// a number that is greater for each later lease. It is sent with each order.
 //
-// Expiry is judged by two clocks. The store's clock alone decides whether another box's lease has expired. The box's own
-// steady clock decides whether its own lease may still be used. That time is counted from before the write was sent,
-// and is much shorter. So a box that was paused finds its lease unusable long before another box can acquire the next
-// one.
+// Expiry is judged by two clocks. The store's clock alone decides whether another box's lease has expired. The box's
+// own steady clock decides whether its own lease may still be used. That time is counted from before the write was
+// sent, and is much shorter. So a box that was paused finds its lease unusable long before another box can acquire the
+// next one.
 //
-// When the store is restored from an older copy, the leases acquired since that copy are missing. Then no box acquires a
-// lease until the longest lease that may be missing has expired. Each box measures that time by its own clock, from when
-// it first observed the new era. A lease of the old era stays usable meanwhile.
+// When the store is restored from an older copy, the leases acquired since that copy are missing. Then no box acquires
+// a lease until the longest lease that may be missing has expired. Each box measures that time by its own clock, from
+// when it first observed the new era. A lease of the old era stays usable meanwhile.
 package lease
 
 import (
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -151,8 +151,8 @@
 
 func (e *eraObserver) observed(int64) (time.Time, bool) { return e.at, e.eraRose }
 
-// badHistoriesWith is badHistories with one more choice: if restores is set, the store is restored from older copies and
-// boxes restart.
+// badHistoriesWith is badHistories with one more choice: if restores is set, the store is restored from older copies
+// and boxes restart.
 func badHistoriesWith(t *testing.T, seeds uint64, restores bool, acquire acquireFunc) (bad, sent int) {
 	t.Helper()
 	const length, use = 2 * time.Second, 300 * time.Millisecond
@@ -160,7 +160,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := &rowStore{rng: rand.New(rand.NewPCG(seed, 7)), start: time.Now(), lostReplyRate: 0.2, lateWriteRate: 0.2, failureRate: 0.1}
 			if restores {
-				// A lease was acquired before. Otherwise a box that starts could not tell that a restored store has lost the // row.
+				// A lease was acquired before: a box that starts cannot tell a row that was lost in a restore from one that
+				// never was.
 				s.row = Row{Value: []byte(`{"era":1}`), Version: 10, Era: 1}
 				s.history = []writtenRow{{s.row, time.Now().Add(-time.Minute)}}
 				rng := rand.New(rand.NewPCG(seed, 8))
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -85,8 +85,8 @@
 	runs     int // The runs of all requests.
 }
 
-// runCrashingRequests has a number of requests each crash an endpoint with every run, for a minute. Each request is sent
-// to a random box again 0.2 to 3 s after its last run or refusal.
+// runCrashingRequests has a number of requests each crash an endpoint with every run, for a minute. Each request is
+// sent to a random box again 0.2 to 3 s after its last run or refusal.
 func (s *fakeTable) runCrashingRequests(requests int) (stats runStats) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -183,9 +183,9 @@
 }
 
 // isNew reports whether a crash is not recorded yet. Each start of an endpoint crashes once. But a worker may be back
-// under its id before the list of endpoints shows its new start. Then a crash of the new start is reported with the name
-// of the old one, whose crash is recorded. A request that was sent after that crash must have run on another start: its
-// crash is new, and isNew gives the endpoint another name.
+// under its id before the list of endpoints shows its new start. Then a crash of the new start is reported with the
+// name of the old one, whose crash is recorded. A request that was sent after that crash must have run on another
+// start: its crash is new, and isNew gives the endpoint another name.
 //
 // Example: the start i-5@a crashed under a request. The request is retried a second later at a box whose list still
 // shows i-5@a. The engine runs the request and crashes. That is recorded as a crash of i-5@a+2. l.mu must be held.
@@ -304,8 +304,8 @@
 	}
 }
 
-// evictIfFull drops the oldest crash of the caller if the caller is at its bound. If the total bound is reached, it drops
-// the oldest crash of the caller with the most crashes. l.mu must be held.
+// evictIfFull drops the oldest crash of the caller if the caller is at its bound. If the total bound is reached, it
+// drops the oldest crash of the caller with the most crashes. l.mu must be held.
 func (l *List) evictIfFull(caller string) {
 	switch {
 	case l.perCaller[caller] >= maxCrashesPerCaller:
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -48,10 +48,10 @@
 }
 
 // These checks guard against counting one crash too few, so that a request crashes four endpoints before it is
-// quarantined. A worker that had crashed was back under its id before the list of endpoints showed its new start. It ran
-// the request again and crashed. The box took that for the crash of the old start, which was already recorded. This was
-// seen in TestRequestThatEndsEndpoints with engines that come back under their ids: 4 crashes instead of 3 in one of
-// three runs.
+// quarantined. A worker that had crashed was back under its id before the list of endpoints showed its new start. It
+// ran the request again and crashed. The box took that for the crash of the old start, which was already recorded.
+// This was seen in TestRequestThatEndsEndpoints with engines that come back under their ids: 4 crashes instead of 3 in
+// one of three runs.
 func TestCrashOfStartNotYetListed(t *testing.T) {
 	l := NewList()
 	e := Crash{Request: fingerprintOf("deadly"), Endpoint: "i-5@a", Caller: "c", RunTime: 50 * time.Millisecond}
@@ -144,7 +144,8 @@
 	}
 }
 
-// A complete answer clears the evidence against the request. Shortly after it, no crash is recorded against the request.
+// A complete answer clears the evidence against the request. Shortly after it, no crash is recorded against the
+// request.
 func TestServedClearsEvidence(t *testing.T) {
 	l := NewList()
 	recordCrashes(l, "a", "c", 0, "e1", "e2")
--- a/internal/quota/purse.go
+++ b/internal/quota/purse.go
@@ -67,8 +67,8 @@
 	return &GrantCache{owners: owners, cached: map[string]*cachedGrant{}}
 }
 
-// Take takes units for a request of an account. It uses cached units first, and requests those that are missing from the
-// account's owner.
+// Take takes units for a request of an account. It uses cached units first, and requests those that are missing from
+// the account's owner.
 func (p *GrantCache) Take(ctx context.Context, account string, units float64) Verdict {
 	fromCache, ahead := p.takeCached(clock.Now(), account, units)
 	if fromCache >= units {
