--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -1,6 +1,11 @@
-// Package box assembles one box from its parts and runs it: the listeners for
-// callers and operators, the decision ticker, the load probes and the
+// Package box assembles one box (a machine that runs the router) from its parts and runs it: the listeners for
+// callers and operators, the ticker that fires timeouts, the probes that read the load of engines, and the
 // configuration that the box follows.
+//
+// Box runs package gateway. RelayBox runs package relay: it forwards requests by the platform's routes and works with
+// other boxes. It reads its configuration and its lists from tables of a store. A table consists of rows, and a row
+// is a key with a text. The era of the store is a counter that rises each time the store is restored from an older
+// snapshot.
 package box
 
 import (
@@ -39,11 +44,11 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// ErrRequestsCutOff means that the box stopped while requests were still running:
-// a second signal came or the drain timed out.
+// ErrRequestsCutOff means that the box stopped while requests were still running, because a second
+// signal came or the wait for those requests timed out.
 var ErrRequestsCutOff = errors.New("stopped with requests still running")
 
-// Box is one running box.
+// Box is a running box that serves callers through package gateway.
 type Box struct {
 	cfg     *config.Box
 	log     *zap.Logger
@@ -73,7 +78,8 @@
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	countedDial := telemetry.CountBytes(b.Metrics.ControlBytes, (&net.Dialer{}).DialContext)
 	b.engines.WrapProbeDial(func(d engine.Dial) engine.Dial { return telemetry.CountBytes(b.Metrics.ControlBytes, d) })
-	// Idempotency key claims belong to their requests; only the configuration counts as control traffic.
+	// The claims of idempotency keys are counted with their requests, so this client's bytes are not counted as
+	// control traffic. Reading the configuration is.
 	claimClient := platform.NewClient(cfg.Platform, cfg.PlatformKey)
 	records := record.NewRing(ops.RecordCapacity)
 	b.records = records
@@ -115,10 +121,10 @@
 	b.app = kratos.New(
 		kratos.Name("stoatrampd"),
 		kratos.Server(plannedServer{callerServer, &b.stop}, plannedServer{operatorServer, &b.stop}),
-		// kratos drains on the first of these. An empty list would mean every signal,
+		// kratos stops gracefully on any of these signals. An empty list would mean every signal,
 		// and the Go runtime sends itself SIGURG regularly.
 		kratos.Signal(stopSignals...),
-		kratos.StopTimeout(maxStopTimeout), // stopPlan sets an earlier deadline.
+		kratos.StopTimeout(maxStopTimeout), // Only an upper bound: plannedServer closes each listener by an earlier deadline.
 		kratos.BeforeStop(b.drain),
 	)
 	return b, nil
@@ -127,7 +133,7 @@
 // loggedRequestsPerSecond is how many successful requests are logged each second.
 const loggedRequestsPerSecond = 40
 
-// stopSignals start a graceful stop; a second one forces it.
+// stopSignals are the signals that start a graceful stop. A second signal stops the box at once.
 var stopSignals = []os.Signal{syscall.SIGTERM, syscall.SIGINT}
 
 const (
@@ -140,10 +146,9 @@
 // kratosServer is a server that kratos starts and stops.
 type kratosServer = transport.Server
 
-// newHTTPServer serves h on a listener through kratos' HTTP transport. The handler
-// is installed as a filter, so that it runs before kratos' router, which would
-// redirect to cleaned paths. kratos' timeout of one second is off, because it would
-// cut streams; every stage of a request has its own timeout.
+// newHTTPServer serves h on a listener through kratos' HTTP transport. The handler is installed as a filter, so
+// that it runs before kratos' router, which would redirect requests to cleaned paths. kratos' own request timeout
+// of one second is switched off, because it would cut streams. Every stage of a request has its own timeout.
 func newHTTPServer(lis net.Listener, h http.Handler, addr *string, log *zap.Logger, extra ...khttp.ServerOption) *khttp.Server {
 	*addr = lis.Addr().String()
 	opts := append([]khttp.ServerOption{
@@ -159,7 +164,7 @@
 	return srv
 }
 
-// listen opens one of the box's listeners, with TLS if the settings name certificate files.
+// listen opens a listener of the box, with TLS if the settings name certificate files, and stores its address in addr.
 func (b *Box) listen(address string, files config.TLSFiles, h http.Handler, addr *string) (*khttp.Server, error) {
 	var opts []khttp.ServerOption
 	if files.Cert != "" {
@@ -178,7 +183,7 @@
 	return srv, nil
 }
 
-// Run serves until Stop is called or a signal arrives, and returns nil after a clean drain.
+// Run serves until Stop is called or a signal arrives. It returns nil if all running requests have ended by then.
 func (b *Box) Run() error {
 	sigs := make(chan os.Signal, 2)
 	signal.Notify(sigs, stopSignals...)
@@ -209,11 +214,11 @@
 	}
 }
 
-// Stop drains the box and shuts it down.
+// Stop waits for running requests and shuts the box down.
 func (b *Box) Stop() error { return b.app.Stop() }
 
-// forceStop logs the requests that a forced stop cuts off. Their engines notice the closed
-// connections, and callers see streams without an end mark.
+// forceStop logs the requests that a forced stop cuts off, and returns an error with their number. The engines
+// notice the closed connections, and callers see streams without an end mark.
 func (b *Box) forceStop(sig os.Signal) error {
 	ids := b.Gateway.RunningIDs()
 	b.log.Error("stopped by a second signal; these requests are cut off", zap.Stringer("signal", sig), zap.Strings("requests", ids))
@@ -221,7 +226,7 @@
 }
 
 // drain runs before the listeners close: the readiness check fails, new requests are
-// refused, and running ones are waited for.
+// refused, and drain waits until the running requests have ended or the drain times out.
 func (b *Box) drain(context.Context) error {
 	ctx, cancel := context.WithDeadline(context.Background(), b.stop.begin(time.Now(), b.cfg.DrainTimeout))
 	defer cancel()
@@ -233,7 +238,7 @@
 	return nil
 }
 
-// flushTimeout bounds writing the last records before the process exits.
+// flushTimeout bounds how long the box writes the last decision records before the process exits.
 const flushTimeout = 3 * time.Second
 
 // flushWithin calls flush with a timeout.
@@ -243,20 +248,21 @@
 	flush(ctx)
 }
 
-// tickTarget has timeouts to fire while requests run.
+// tickTarget is what runTicker ticks. It counts running requests, and its Tick fires timeouts that are due.
 type tickTarget interface {
 	Running() int64
-	// NotifyBusy returns a channel that receives an entry once the first request runs.
+	// NotifyBusy returns a channel that receives a value when a request starts while no other runs.
 	NotifyBusy() <-chan struct{}
 	Tick()
 }
 
-// minLoggedStall is how late a tick must be to be reported as a stall of this process: during a stall all
-// calls and callers appear silent. It is well above scheduling delays on a busy machine.
+// minLoggedStall is the least delay of a tick that is reported as a stall of this process. During a stall all
+// callers and engines appear silent. The value is well above scheduling delays on a busy machine.
 const minLoggedStall = 250 * time.Millisecond
 
-// runTicker calls Tick at regular intervals so that timeouts fire. While no request runs there is nothing
-// to time out, and the process is not woken. It calls onStall if a tick comes much too late.
+// runTicker calls Tick at regular intervals so that timeouts fire. While no request runs there is nothing to time
+// out, and the ticker is stopped so that it does not wake the process. If a tick comes more than minLoggedStall
+// late, runTicker calls onStall with the delay.
 func runTicker(ctx context.Context, r tickTarget, onStall func(time.Duration)) {
 	busy := r.NotifyBusy()
 	last := time.Now()
@@ -286,7 +292,7 @@
 	}
 }
 
-// logStall reports that the process got no CPU time, or was frozen, for a while.
+// logStall counts and logs a stall: for the time d the process got no CPU time, or was frozen.
 func logStall(log *zap.Logger, m *telemetry.Metrics, d time.Duration) {
 	m.Stalls.Inc()
 	log.Warn("process stalled", zap.Duration("for", d))
@@ -299,7 +305,8 @@
 	})
 }
 
-// configFromPeer asks the peers for a newer version while the platform's table does not answer.
+// configFromPeer asks the other boxes for a configuration newer than the known version. It is called while the
+// platform's configuration table does not answer.
 func (b *Box) configFromPeer(ctx context.Context, known int64) (*control.Version, error) {
 	if b.cfg.PeerKey == "" {
 		return nil, peer.ErrNoPeer
@@ -329,8 +336,8 @@
 	return nil
 }
 
-// UseLog sends the log lines of the libraries to log. Call it once at the start of a
-// process, since the libraries share one global logger.
+// UseLog sends the log lines of kratos to log. Call it once at the start of a process, since kratos has one
+// global logger.
 func UseLog(log *zap.Logger) { klog.SetLogger(kratosLogger{log}) }
 
 // kratosLogger writes kratos' warnings and errors to the box's log.
--- a/internal/box/eras.go
+++ b/internal/box/eras.go
@@ -10,17 +10,18 @@
 )
 
 // This file tracks the store's era, a counter that rises each time the store is restored from an older
-// snapshot, and starts the recovery of the tables that boxes write.
+// snapshot. After a restore, boxes recover the tables that they write themselves: the suspected crashes and the
+// members, which are the boxes registered with the platform.
 
-// storeEra is an era of the store and when this box first observed it.
+// storeEra is an era of the store, with the time when this box first learned of it.
 type storeEra struct {
 	era        int64
 	observedAt time.Time
-	// restored is true if the box knew an earlier era, so the store was restored while it ran.
+	// restored is true if the box knew an earlier era, which means that the store was restored while the box ran.
 	restored bool
 }
 
-// observeEra records an era that the store or another box reported.
+// observeEra records an era that the store or another box reported, unless the box knows the same or a later era.
 func (b *RelayBox) observeEra(era int64) {
 	last := b.storeEra.Load()
 	if last != nil && era <= last.era {
@@ -39,7 +40,8 @@
 	b.recorder.Log.StateChange("store era", zap.Int64("era", era), zap.Int64("before", previous))
 }
 
-// eraObserved returns when this box first observed an era, and whether it knew an earlier one.
+// eraObserved returns when this box first learned of an era, and whether it had known an earlier era. For any
+// era but the newest known one it returns the start of the box, and false.
 func (b *RelayBox) eraObserved(era int64) (observedAt time.Time, restored bool) {
 	if known := b.storeEra.Load(); known != nil && known.era == era {
 		return known.observedAt, known.restored
@@ -54,16 +56,18 @@
 	}
 }
 
-// rewriteSpreadPerBox is what each box adds to the period over which boxes spread rewriting lost rows. One
-// box's write reaches the others within a second, and then they need not write the row again.
+// rewriteSpreadPerBox is what each box adds to the period over which boxes spread the rewriting of rows that a
+// restore lost. When one box writes a row, the other boxes see it within a second and need not write it again.
 const rewriteSpreadPerBox = 25 * time.Millisecond
 
-// crashesRestored has the boxes rewrite the suspected crashes that the restored table lacks.
+// crashesRestored is called when the table of suspected crashes was restored from an older snapshot. The boxes
+// then rewrite the rows that the restored table lacks.
 func (b *RelayBox) crashesRestored() {
 	b.crashes.ExpectRestoredRows(time.Duration(b.node.MemberCount()) * rewriteSpreadPerBox)
 }
 
-// membersRestored keeps the boxes that the restored table lacks for a grace period.
+// membersRestored is called when the table of members was restored from an older snapshot. Boxes that the
+// restored table lacks stay members for a grace period, in which they can register again.
 func (b *RelayBox) membersRestored() {
 	b.node.MembersRestored()
 	time.AfterFunc(overlay.MissingRetention+time.Second, func() { b.tables[tableMembers].Reapply(func() {}) })
--- a/internal/box/fault_test.go
+++ b/internal/box/fault_test.go
@@ -33,7 +33,7 @@
 	standin.InjectFault(f, g.site.Decodes...)
 }
 
-// calls sums up what all engines saw.
+// calls returns the sum of what all engines counted: calls by kind, and reservations freed by reason.
 func (g *rig) calls() (s standin.EngineCounts) {
 	s.Freed = map[string]int{}
 	for _, e := range append(g.site.Prefills, g.site.Decodes...) {
@@ -56,7 +56,8 @@
 		v.status, strings.Count(v.text, " "), v.done, v.broken, v.reason, v.run, n.Prefills, n.Decodes, n.Resumes, n.Aborts, n.Freed)
 }
 
-// expectSurvives sends a request into a fault and expects the whole answer.
+// expectSurvives injects a fault at the prefill or the decode step of a request. It expects the caller to receive
+// the whole answer, and the retry to be counted under the given reason.
 func expectSurvives(t *testing.T, atDecode bool, f standin.Fault, retry outcome.Reason) {
 	t.Helper()
 	t.Parallel()
@@ -75,8 +76,8 @@
 	g.expectIdle()
 }
 
-// expectOnce sends a request that is not repeatable into a fault, and expects a
-// correct refusal and no second run.
+// expectOnce injects a fault into a request that is not repeatable. It expects a refusal with the given status
+// and reason, and no second run on any engine.
 func expectOnce(t *testing.T, atDecode bool, f standin.Fault, status int, reason outcome.Reason) {
 	t.Helper()
 	t.Parallel()
@@ -152,8 +153,8 @@
 	expectOnce(t, true, standin.Fault{Kind: standin.Stall, For: time.Minute}, 504, outcome.TransferStalled)
 }
 
-// A request that is not repeatable is still retried on another engine if the first
-// one reports that it did not run it.
+// A request that is not repeatable is still retried on another engine if the first engine refuses it, because a
+// refusal says that the engine did not run the request.
 func TestOnceRefusedGoesOn(t *testing.T) {
 	t.Parallel()
 	g := newRig(t, smallSite())
@@ -170,14 +171,14 @@
 	g.expectRefused(v, 502, outcome.ConnectFailed, "not_run")
 }
 
-// A stream whose decode engine dies cannot be resumed when no other engine is left. The
-// caller must be able to see that its answer is incomplete.
+// All decode engines die while a stream runs, so no engine is left to resume it. The caller must be able to see
+// that its answer is incomplete.
 func TestDecodeDies(t *testing.T) {
 	t.Parallel()
 	g := newRig(t, smallSite())
 	go func() {
-		// An engine reserves memory before its first token, and a caller that has received
-		// nothing yet is refused, not cut off.
+		// Wait for the first token too: an engine reserves memory before its first token, and a caller that has
+		// received no token yet would be refused instead of cut off.
 		g.eventually("tokens flow", func() bool { return holdMemory(g.site.Decodes) && g.firstTokenSeen() })
 		for _, e := range g.site.Decodes {
 			g.site.Crash(e.Name)
@@ -208,7 +209,7 @@
 func TestManyStreams(t *testing.T) {
 	t.Parallel()
 	o := smallSite()
-	// Late answers count here: a slow machine must not be a reason to refuse.
+	// Long limits, because this test counts late answers as well: a slow machine must not cause refusals.
 	o.Model.Expiry, o.Route = time.Hour, "first_token = 600s\nbetween_tokens = 1s"
 	g := newRig(t, o)
 	var wg sync.WaitGroup
@@ -222,8 +223,8 @@
 	g.expectIdle()
 }
 
-// expectCancelFrees cancels a request at a stage and expects the engines to free all
-// memory long before any reservation expires.
+// expectCancelFrees cancels a request once it has reached a stage, which the function at recognizes. It expects
+// the engines to free all memory although their reservations would last an hour.
 func expectCancelFrees(t *testing.T, o demo.Options, prompt string, fault func(*rig), at func(*rig) bool) {
 	t.Helper()
 	t.Parallel()
@@ -250,7 +251,7 @@
 	g.logReply(reply{})
 }
 
-// firstTokenSeen reports whether the box has received a first token for a caller.
+// firstTokenSeen reports whether the box has received the first token of a caller's answer.
 func (g *rig) firstTokenSeen() bool {
 	var text bytes.Buffer
 	g.box.Metrics.Set.WritePrometheus(&text)
@@ -281,7 +282,7 @@
 
 func TestCancelWhileWaiting(t *testing.T) {
 	o := smallSite()
-	o.Model.KVTokens = 2600 // Room for one request of 2,000 tokens on each engine.
+	o.Model.KVTokens = 2600 // Enough memory for one request of 2,000 tokens on each engine.
 	busy := func(g *rig) {
 		for range 3 {
 			ctx, cancel := context.WithCancel(context.Background())
@@ -347,15 +348,15 @@
 	}
 }
 
-// Go's HTTP client retries some requests by itself when an idle connection breaks. A
-// request that is not repeatable must still reach the service only once.
+// Go's HTTP client retries some requests by itself when an idle connection breaks. A call of a service that
+// is not repeatable must still reach the service only once.
 func TestServiceCalledOnce(t *testing.T) {
 	t.Parallel()
 	g := newRig(t, smallSite())
 	for _, c := range []struct {
 		method, body, key string
 	}{{"POST", "book bench 4", "k1"}, {"POST", "", "k2"}, {"PUT", "book bench 4", ""}, {"DELETE", "", "k3"}} {
-		// The first call leaves an idle connection behind, if any is kept.
+		// The first call leaves an idle connection behind, if the box keeps idle connections at all.
 		g.callService(c.method, "/bookings/warm", c.body, "")
 		g.site.Service.DropNext(1)
 		path := "/bookings/" + c.method + c.key
@@ -406,7 +407,7 @@
 	}
 }
 
-// A request with an idempotency key that was already used is refused with the correct reason and never runs twice.
+// Two requests with the same idempotency key run only once: the second request is refused with the correct reason.
 func TestKeyRunsOnce(t *testing.T) {
 	t.Parallel()
 	g := newRig(t, smallSite())
@@ -455,7 +456,7 @@
 	}
 }
 
-// reconfigure applies a configuration and waits until it is in force.
+// reconfigure stores a configuration as a new version and waits until the box uses it.
 func (g *rig) reconfigure(text string) {
 	g.t.Helper()
 	base := g.box.Gateway.Config().Version
@@ -468,9 +469,8 @@
 
 func versionOf(text string) control.Version { return control.Version{Text: text, Author: "test"} }
 
-// Cache events remove evicted prefixes from what the box assumes to be cached: once the
-// event of an eviction arrives, the box no longer counts that prefix as cached, and after a
-// gap in the events it counts nothing as cached.
+// Engines report prompt prefixes that they evict from their caches. Once the box reads the event of an eviction,
+// it no longer counts that prefix as cached. After a gap in the events it counts nothing as cached.
 func TestCacheEvents(t *testing.T) {
 	t.Parallel()
 	o := smallSite()
@@ -495,8 +495,8 @@
 	g.eventually("the box knows what was evicted", func() bool { return g.cachedTokens(prefix) < before })
 }
 
-// cachedTokens returns how many tokens of a prompt the box assumes to be cached on the
-// first prefill engine, according to the record of a request.
+// cachedTokens sends a request and returns how many tokens of its prompt the box assumed to be cached on the
+// first prefill engine, according to the decision record of the request.
 func (g *rig) cachedTokens(prompt string) int {
 	g.t.Helper()
 	id := g.stream(prompt, 1).id
@@ -509,8 +509,9 @@
 	return 0
 }
 
-// An engine that checks the fencing token refuses an order of an older epoch; one that
-// does not check it carries the order out, which is a remaining risk.
+// Orders to load or unload a model carry an epoch, which serves as a fencing token. An engine that checks the epoch
+// refuses an order of an older epoch than the last order. An engine that does not check it carries the order out,
+// which is a remaining risk.
 func TestOrderFence(t *testing.T) {
 	t.Parallel()
 	for _, fenced := range []bool{true, false} {
@@ -535,7 +536,7 @@
 	}
 }
 
-// A caller that sends or reads too slowly is disconnected, and its engines free their memory.
+// The box disconnects a caller that sends or reads too slowly, and the engines free their memory.
 func TestSlowCallers(t *testing.T) {
 	t.Parallel()
 	o := smallSite()
@@ -545,7 +546,7 @@
 	if b, _ := io.ReadAll(conn); !strings.Contains(string(b), `"slow_body"`) {
 		t.Errorf("expected a slow body to be refused, got %q", b)
 	}
-	// The service echoes more than all buffers on the way can hold.
+	// The service echoes the body, which is larger than all buffers between service and caller together.
 	body := strings.Repeat("x", 32<<20)
 	g.send(fmt.Sprintf("POST /bookings/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", demo.ClientKey, len(body), body))
 	g.eventually("the caller is disconnected", func() bool { return g.box.Metrics.RefusalCount(outcome.CallerSlow) == 1 })
@@ -565,7 +566,7 @@
 	return conn
 }
 
-// Neither logs nor records contain prompt text or keys.
+// Neither the log nor the decision record of a request contains the prompt's text or the client's key.
 func TestNothingSecretIsWritten(t *testing.T) {
 	p := startProcess(t, smallSite())
 	v := p.stream("a very secret payslip", 3)
--- a/internal/box/fleet_test.go
+++ b/internal/box/fleet_test.go
@@ -20,7 +20,7 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// addBox starts another box in front of the rig's stand-ins.
+// addBox starts another box that uses the same stand-in engines and services as the rig's box.
 func (g *rig) addBox(name string) *rig {
 	g.t.Helper()
 	cfg, err := config.ParseBox(name, []byte(g.site.SettingsFor(name)))
@@ -40,7 +40,7 @@
 	return other
 }
 
-// listBoxes lists the boxes on the platform, and has each of them read the list.
+// listBoxes registers the boxes with the platform, and has each of them read the list of boxes.
 func listBoxes(boxes ...*rig) {
 	var infos []platform.BoxInfo
 	for _, g := range boxes {
@@ -94,8 +94,8 @@
 	return file
 }
 
-// A box that starts while the platform's table is down takes the accepted configuration
-// from a peer, and the table's next one once the table is back.
+// A box that starts while the platform's configuration table is down takes the accepted configuration from
+// another box. Once the table is back, the new box takes the next version from the table.
 func TestStartDuringOutage(t *testing.T) {
 	t.Parallel()
 	a := newRig(t, smallSite())
@@ -109,7 +109,7 @@
 	b.eventually("the new box follows", func() bool { return b.box.Gateway.Config().Version == 2 })
 }
 
-// Any box can explain a request, also after the box that served it is gone.
+// Any box can explain how a request was served, also after the box that served the request is gone.
 func TestWhyFromAnyBox(t *testing.T) {
 	t.Parallel()
 	a := newRig(t, smallSite())
@@ -124,7 +124,7 @@
 	a.runCLI(0, "Answered whole", "why", id)
 }
 
-// An idempotency key runs at most once across all boxes.
+// Requests with the same idempotency key run at most once, also if they are sent to different boxes.
 func TestKeyThroughManyBoxes(t *testing.T) {
 	t.Parallel()
 	a := newRig(t, smallSite())
@@ -158,7 +158,8 @@
 	}
 }
 
-// A client's limit applies to all boxes together: each box's share follows its demand.
+// A client account's limit applies to all boxes together, and each box is granted a share of it that follows the
+// requests that the box receives.
 func TestLimitAcrossBoxes(t *testing.T) {
 	t.Parallel()
 	o := smallSite()
@@ -177,7 +178,7 @@
 		}
 		return granted
 	}
-	// One box receives three quarters of the demand, another one a quarter.
+	// Three quarters of the requests arrive at the first box, and one quarter at the second.
 	for range 3 {
 		ask(boxes[0], 90)
 		ask(boxes[1], 30)
--- a/internal/box/list_test.go
+++ b/internal/box/list_test.go
@@ -17,10 +17,11 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// BenchmarkListChange measures the cost of one changed row for lists of several lengths. At 10,000 rows it
-// was 33 ms while the list, the roles and the logged state were rebuilt on each change, and 21 ms with the list
-// changed in place (one run each, beside other load). On another machine it was 11.8 ms and 3.9 MB of garbage
-// while each endpoint was described anew, and 7.4 ms and 1.7 MB with only the endpoints that the box uses.
+// BenchmarkListChange measures the time that a box takes to apply one changed row of the endpoint list, for
+// several list lengths. At 10,000 rows it took 33 ms while the list, the roles and the logged state were rebuilt
+// on each change, and 21 ms with the list changed in place (one run each, beside other load). On another machine
+// it took 11.8 ms and 3.9 MB of garbage while each endpoint was described anew, and 7.4 ms and 1.7 MB when only
+// the endpoints that the box uses were described.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -38,7 +39,7 @@
 	}
 }
 
-// newListBox returns a box that can only apply lists of endpoints.
+// newListBox returns a box without listeners or a store, which can only apply lists of endpoints.
 func newListBox() *RelayBox {
 	recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
 	x := &RelayBox{log: zap.NewNop(), recorder: recorder, site: Site{ParseEndpoint: func(key string, text []byte) (relay.Endpoint, error) {
@@ -50,7 +51,8 @@
 	return x
 }
 
-// handOver has the box apply a list as its table does, without the pause between two lists.
+// handOver has the box apply a list of endpoints as if its table had read it, without the pause that the box
+// otherwise makes between two lists.
 func (b *RelayBox) handOver(rows map[string][]byte) {
 	b.tables[tableEndpoints].Reapply(func() {
 		b.listDueAt = time.Time{}
@@ -58,7 +60,7 @@
 	})
 }
 
-// A list that is changed in place contains no row twice and no removed row.
+// When the box changes its list in place, the list contains no row twice and no removed row.
 func TestListInPlace(t *testing.T) {
 	x := newListBox()
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -85,8 +87,8 @@
 	}
 }
 
-// Frequent changes of a long list are passed on together, with a bounded delay. Each one costs work on the
-// whole list: boxes with a fifth of a core that received 50 new rows every 60 ms did nothing else.
+// If a long list changes often, the box passes several changes on together, after a bounded delay. Passing changes
+// on costs work on the whole list: boxes with a fifth of a core that received 50 new rows every 60 ms did nothing else.
 func TestListNewsGathered(t *testing.T) {
 	for took, want := range map[time.Duration]time.Duration{0: 0, 300 * time.Microsecond: 3 * time.Millisecond, time.Minute: maxListPause} {
 		if got := listPause(took); got != want {
--- a/internal/box/operator.go
+++ b/internal/box/operator.go
@@ -8,18 +8,19 @@
 	"github.com/stoatramp/stoatramp/internal/relay"
 )
 
-// This file decides which of the operator's documents take effect, also when the store was restored from an
-// older snapshot and returns outdated ones.
+// This file decides which of the operator's documents (configuration and evacuations) take effect. After the store
+// is restored from an older snapshot it returns outdated documents, which must not replace newer ones. An
+// evacuation closes a data hall to new requests.
 
-// textHistory tells whether a document is newer than those that have been in force.
+// textHistory tells whether a document is newer than the documents that have been in force before.
 type textHistory struct {
 	version int64
 	seen    map[relay.Digest]bool // Texts already seen under that version.
 }
 
-// recordIfNewer reports whether a text is newer, and if so records it as being in force. An operator whose change was
-// lost in a restore may write a different text under the same version; a text that was already seen under that
-// version is older.
+// recordIfNewer reports whether a text is newer than the recorded texts, and if so records it. A restore may lose
+// an operator's change, and the operator may then write a different text under the same version: that text counts
+// as newer. A text that was already seen under the same version counts as older.
 func (s *textHistory) recordIfNewer(version int64, d relay.Digest) bool {
 	switch {
 	case version < s.version || version == s.version && s.seen[d]:
@@ -34,15 +35,17 @@
 // evacuations are the data halls that the operator's documents close to new requests.
 type evacuations struct {
 	halls map[string]bool
-	// withdrawnAt says when recent evacuations were withdrawn.
+	// withdrawnAt is when the evacuation of each hall was withdrawn, for halls that are not evacuated now.
 	withdrawnAt map[string]time.Time
-	// pinned overrides the documents until pinnedUntil: it says of each hall that a restore changed back whether
-	// it was evacuated before. In that time the operator writes lost documents again and removes outdated ones.
+	// After a restore, pinned overrides the documents until pinnedUntil. For each hall whose evacuation the older
+	// snapshot changes back, pinned says whether the hall was evacuated before the restore. Until pinnedUntil the
+	// operator can write lost documents again and remove outdated ones.
 	pinned      map[string]bool
 	pinnedUntil time.Time
 }
 
-// update returns the evacuated halls. restored means that the documents come from an older snapshot.
+// update takes the halls that the documents list as evacuated, and returns the halls to close to new requests.
+// restored means that the documents come from an older snapshot.
 func (e *evacuations) update(listed []string, restored bool, now time.Time) []string {
 	next := make(map[string]bool, len(listed))
 	for _, hall := range listed {
@@ -67,7 +70,7 @@
 	return out
 }
 
-// pin remembers the state of the halls that the older snapshot changes back.
+// pin fixes, for a time, the state that halls had before the restore, if the older snapshot changes that state.
 func (e *evacuations) pin(listed map[string]bool, now time.Time) {
 	e.pinned, e.pinnedUntil = map[string]bool{}, now.Add(expiredEntryGrace)
 	for hall := range e.halls {
@@ -82,7 +85,7 @@
 	}
 }
 
-// record remembers which halls are evacuated, and when the evacuation of others was withdrawn.
+// record remembers which halls are evacuated, and when the evacuation of the other halls was withdrawn.
 func (e *evacuations) record(next map[string]bool, now time.Time) {
 	if e.withdrawnAt == nil {
 		e.withdrawnAt = map[string]time.Time{}
@@ -101,7 +104,7 @@
 	}
 }
 
-// applyEvacuations applies the evacuations in the operator's documents.
+// applyEvacuations closes the data halls to new requests that the operator's documents list as evacuated.
 func (b *RelayBox) applyEvacuations(rows map[string][]byte) {
 	now := clock.Now()
 	b.Relay.SetEvacuated(b.evacuations.update(b.site.EvacuatedHalls(rows), b.configRestored, now))
--- a/internal/box/path_test.go
+++ b/internal/box/path_test.go
@@ -19,7 +19,7 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// rig is one box in front of stand-in engines and services.
+// rig is a test set-up: one box in front of stand-in engines and services.
 type rig struct {
 	t    *testing.T
 	site *demo.Site
@@ -56,7 +56,7 @@
 	return demo.Options{Prefills: 2, Decodes: 3, Model: demo.DefaultModel(), Route: "first_token = 20s\nbetween_tokens = 1s"}
 }
 
-// eventually waits for a condition; the timeout only ends a broken test.
+// eventually waits until a condition is true, and fails the test after 20 s.
 func (g *rig) eventually(what string, ok func() bool) {
 	g.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -146,7 +146,7 @@
 	}
 }
 
-// wantText is the whole answer that the stand-ins give to a prompt.
+// wantText is the text that the stand-in engines generate for a prompt, max words long.
 func wantText(prompt string, max int) string { return standin.Answer(prompt, max) }
 
 func (g *rig) expectWhole(v reply, prompt string, max int) {
--- a/internal/box/probe.go
+++ b/internal/box/probe.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// probeInterval is the time between probes. One engine is probed at a time, however many there are, so that
+	// probeInterval is the time between two probes of a box. It does not depend on the number of engines, so that
 	// the bytes per second that a box spends on probes do not grow with the fleet.
 	probeInterval = 250 * time.Millisecond
-	// minProbeAge is how old an engine's last report must be before it is probed.
+	// minProbeAge is how old the last load report of an engine must be before the engine is probed.
 	minProbeAge = time.Second
 )
 
-// prober tracks the load of engines. Most reports arrive with answers; the engine with the oldest report is
-// probed.
+// prober keeps the load reports of engines fresh. Most reports arrive with answers. The engine with the oldest
+// report is asked for a new one, which is called a probe.
 type prober struct {
 	engines *engine.Client
 	gw      *gateway.Gateway
@@ -35,7 +35,8 @@
 	addr       string
 	role       config.Role
 	lastReport time.Time // When the last report arrived or the last probe was sent.
-	// nextEvent is the next cache event to request, and eventsAskedAt when events were last requested.
+	// nextEvent is the number of the next cache event to request from the engine, and eventsPolledAt is when events
+	// were last requested. A cache event says which prompt prefixes the engine evicted from its cache.
 	nextEvent      int64
 	eventsPolledAt time.Time
 }
@@ -83,13 +84,13 @@
 	})
 }
 
-// nextProbe returns the engine with the oldest report, if that is old enough, and nil otherwise.
+// nextProbe returns the engine with the oldest load report, or nil if that report is younger than minProbeAge.
 func (p *prober) nextProbe(now time.Time) *probeTarget {
 	return p.takeOldest(now, minProbeAge, func(e *probeTarget) *time.Time { return &e.lastReport })
 }
 
-// takeOldest returns the engine with the earliest time if that is at least minAge ago, and sets that time to
-// now. Engines for which timeOf returns nil are left out.
+// takeOldest returns the engine with the earliest time, as given by timeOf, and sets that time to now. It returns
+// nil if that time is less than minAge ago. Engines for which timeOf returns nil are left out.
 func (p *prober) takeOldest(now time.Time, minAge time.Duration, timeOf func(*probeTarget) *time.Time) *probeTarget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,11 +125,12 @@
 	}
 }
 
-// eventsInterval is how often an engine is asked for cache events. This happens only when no engine needs a
-// probe: then answers bring load reports often enough, and the probe slots are free for it.
+// eventsInterval is the least time between two requests for the cache events of an engine. Events are requested
+// only when no engine needs a probe, because then answers bring load reports often enough.
 const eventsInterval = 2 * time.Second
 
-// nextEventRead returns the prefill engine whose events were requested longest ago.
+// nextEventRead returns the prefill engine whose cache events were requested longest ago, or nil if that was less
+// than eventsInterval ago.
 func (p *prober) nextEventRead(now time.Time) *probeTarget {
 	return p.takeOldest(now, eventsInterval, func(e *probeTarget) *time.Time {
 		if e.role != config.RolePrefill {
@@ -138,8 +140,9 @@
 	})
 }
 
-// readEvents fetches the engine's cache evictions. Late events do no harm: a prefix wrongly assumed to be gone
-// is only computed again, and one wrongly assumed to be cached is corrected by the answer.
+// readEvents fetches the cache evictions of an engine. Late events do no harm: if the box wrongly assumes that a
+// prefix was evicted, the prefix is only computed again; if it wrongly assumes that a prefix is cached, the
+// engine's answer corrects it.
 func (p *prober) readEvents(ctx context.Context, e *probeTarget) {
 	p.mu.Lock()
 	after := e.nextEvent
--- a/internal/box/process_test.go
+++ b/internal/box/process_test.go
@@ -20,8 +20,8 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// boxFileEnv is an environment variable that makes the test program run a box with the settings in the file that it
-// names, so that tests can kill a real process.
+// boxFileEnv is an environment variable that names a settings file. If it is set, the test program runs a box with
+// these settings instead of the tests, so that tests can kill a real process.
 const boxFileEnv = "STOATRAMP_TEST_BOX"
 
 func TestMain(m *testing.M) {
@@ -53,7 +53,7 @@
 	return 0
 }
 
-// process is a box in its own process, with the rig's methods.
+// process is a box that runs in its own process, with the methods of rig to send requests to it.
 type process struct {
 	*rig
 	cmd    *exec.Cmd
@@ -98,7 +98,8 @@
 	return p
 }
 
-// startStream begins a long answer and returns once a decode engine reserves memory for it.
+// startStream begins a long answer and returns once a decode engine has reserved memory for it. The reply follows
+// on the channel.
 func (p *process) startStream(prompt string, max int) chan reply {
 	got := make(chan reply, 1)
 	go func() { got <- p.stream(prompt, max) }()
@@ -127,8 +128,8 @@
 	p.logReply(v)
 }
 
-// SIGTERM finishes running requests and exits 0. Other signals change nothing: the Go
-// runtime sends itself SIGURG regularly.
+// After SIGTERM the box finishes its running requests and exits with code 0. SIGURG does not stop it: the Go
+// runtime sends that signal to itself regularly.
 func TestTermDrains(t *testing.T) {
 	p := startProcess(t, smallSite())
 	p.signal(syscall.SIGURG)
@@ -140,12 +141,12 @@
 	}
 }
 
-// A second SIGTERM logs the requests that it cuts off and exits non-zero.
+// After a second SIGTERM the box logs the requests that it cuts off, and exits with a code other than 0.
 func TestSecondTermCuts(t *testing.T) {
 	p := startProcess(t, smallSite())
 	got := p.startStream("a long story", 5000)
 	p.signal(syscall.SIGTERM)
-	time.Sleep(200 * time.Millisecond) // Pending signals of one kind are merged.
+	time.Sleep(200 * time.Millisecond) // The system merges pending signals of one kind.
 	p.signal(syscall.SIGTERM)
 	v := <-got
 	err := p.cmd.Wait()
--- a/internal/box/relay.go
+++ b/internal/box/relay.go
@@ -39,38 +39,38 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Site connects a relay box to its platform.
+// Site connects a relay box to its platform: it names the tables of the platform's store and parses their rows.
 type Site struct {
 	Protocol relay.Protocol
-	// Operator and Endpoints are the tables of the operator's documents and of the
-	// endpoints. ParseConfig and ParseEndpoint parse their rows, and EvacuatedHalls returns the data halls
-	// that the operator's documents close to new requests.
+	// Operator is the table of the operator's documents, and ParseConfig parses it. EvacuatedHalls returns the
+	// data halls that these documents close to new requests, which is called an evacuation. Endpoints is the
+	// table of endpoints, and ParseEndpoint parses one of its rows.
 	Operator       follow.Source
 	Endpoints      follow.Source
 	ParseConfig    func(rows map[string][]byte) (*relay.Config, error)
 	EvacuatedHalls func(rows map[string][]byte) []string
 	ParseEndpoint  func(key string, text []byte) (relay.Endpoint, error)
-	// Shared is the table of the shared configuration: policies and operators.
-	// SharedChanges follows its changes, and ParseVersioned parses its rows.
+	// Shared reads and writes the table of the shared configuration, which holds policies and operators.
+	// SharedChanges follows the changes of this table, and ParseVersioned parses its rows.
 	Shared         SharedTable
 	SharedChanges  follow.Source
 	ParseVersioned func(key string, text []byte) (platform.Row, error)
-	// Members is the table in which boxes register themselves, and MemberTable writes it.
+	// Members is the table in which boxes register themselves, and MemberTable writes to that table.
 	Members     follow.Source
 	MemberTable overlay.Register
-	// Objects stores the decision records.
+	// Objects stores the decision records of requests.
 	Objects archive.ListableStore
-	// Leases is the table of leases.
+	// Leases is the table of leases. The box that holds a lease may do a task alone for a limited time.
 	Leases lease.Rows
-	// Learned is the table in which boxes share what they learned about engines.
+	// Learned is the table in which boxes share what they learned about the speed of engines.
 	Learned lease.Rows
-	// SuspectedCrashes is the table of requests under which endpoints are suspected to have crashed;
-	// SuspectedCrashChanges follows it.
+	// SuspectedCrashes is the table of requests during which an endpoint seems to have crashed.
+	// SuspectedCrashChanges follows the changes of this table.
 	SuspectedCrashes      quarantine.Table
 	SuspectedCrashChanges follow.Source
-	// WatchEras calls rose with each new era of the store: every era after the first means that the store was
-	// restored from an older snapshot. It calls unread when the store's answers stop naming their era. It may
-	// be nil.
+	// WatchEras calls rose with each new era of the store, a counter that rises each time the store is restored
+	// from an older snapshot. It calls unread when the store's answers no longer state the era. WatchEras may be
+	// nil.
 	WatchEras func(rose func(era int64), unread func(error))
 	// ReadyPath is the path of the platform's readiness check.
 	ReadyPath string
@@ -78,16 +78,16 @@
 
 // RelayBox is one running box that forwards requests according to the platform's routes.
 type RelayBox struct {
-	// settings are replaced on reload.
+	// settings are the settings in force. A reload replaces them.
 	settings atomic.Pointer[config.Relay]
-	// Reload reads the settings again; nil if that is not possible.
+	// Reload reads the settings file again. It is nil if the settings cannot be reloaded.
 	Reload func() (*config.Relay, error)
 	// rules are the policies and operators in force; never nil.
 	rules    atomic.Pointer[config.Rules]
 	store    *control.Store
 	shared   *durableTable
 	recorder *account.Recorder
-	// How fresh each table is that the box follows.
+	// The age of the information in each table that the box follows.
 	configFreshness, listFreshness, rulesFreshness, membersFreshness, crashesFreshness follow.Freshness
 
 	site    Site
@@ -95,40 +95,44 @@
 	Metrics *telemetry.Metrics
 	Relay   *relay.Relay
 	archive *archive.TimeArchive
-	// node is this box's part in the overlay of boxes; never nil, and idle without [peers].
+	// node connects this box to the other boxes (package overlay). It is never nil, and does nothing if the
+	// settings name no address for peers.
 	node *overlay.Node
-	// quotaPool grants quota for the client accounts that this box owns, and quotaGrants is what other owners granted to it.
+	// Each client account is owned by one box, which divides the account's limit among all boxes. quotaPool
+	// grants quota for the accounts that this box owns, and quotaGrants holds what the owners of other accounts
+	// granted to this box.
 	quotaPool   *quota.Pool
 	quotaGrants *quota.GrantCache
-	// crashes are the suspected crashes of endpoints, by request.
+	// crashes are the requests during which endpoints seem to have crashed.
 	crashes *quarantine.List
-	// tables are the tables of the store that the box follows, by the names used between boxes.
+	// tables are the tables of the store that the box follows, by the names that messages between boxes use.
 	tables map[string]*follow.Table
 	// storeLink is the connection state of the store, shared by all tables.
 	storeLink follow.Link
 	// storeEra is the newest known era of the store; nil until one is known.
 	storeEra atomic.Pointer[storeEra]
-	// listed are the endpoints by key; only applyList uses it, and its calls do not overlap.
+	// listed are the endpoints by the key of their row. Only applyList uses it, and its calls do not overlap.
 	listed map[string]listedEndpoint
-	// listChanged means that listed has changes that were not passed on yet, listDueAt is when they may be, and
-	// listTimerSet that a timer will do so.
+	// listChanged means that listed has changes that the relay has not received yet. The box may pass them on
+	// from listDueAt. listTimerSet means that a timer will do so.
 	listChanged, listTimerSet bool
 	listDueAt                 time.Time
-	// rewriting means that rows of the shared configuration are being rewritten.
+	// rewriting means that a goroutine is writing lost rows of the shared configuration back to the store.
 	rewriting atomic.Bool
-	// configRestored means that the next documents of the operator to be applied come from an older snapshot.
+	// configRestored means that the next documents of the operator come from an older snapshot of the store.
 	configRestored bool
 	configTexts    textHistory
 	ruleTexts      textHistory
 	evacuations    evacuations
-	// listRestored means that the next list to be applied comes from an older snapshot, gone are the endpoints
-	// that were recently removed from the list, by key, and hasReplacements that rows have a pending replacement.
+	// listRestored means that the next list of endpoints comes from an older snapshot of the store. gone holds,
+	// by key, the endpoints that were recently removed from the list. hasReplacements means that at least one
+	// row waits for its replacement.
 	listRestored    bool
 	gone            map[string]goneEndpoint
 	hasReplacements bool
-	// keepingExpired means that endpoints are kept whose entries may have expired.
+	// keepingExpired means that the box keeps endpoints whose rows may have expired during an outage of the store.
 	keepingExpired bool
-	// startedAt is when the process started: retries spent before that are unknown.
+	// startedAt is when the process started. The box does not know how many retries were made before that.
 	startedAt time.Time
 	stop      stopPlan
 	app       *kratos.App
@@ -139,8 +143,8 @@
 	Callers, Readiness, Operators, Peers string
 }
 
-// NewRelay assembles a relay box and opens its listeners. It logs to log; busy reports whether the log is
-// falling behind, and may be nil.
+// NewRelay assembles a relay box and opens its listeners. The box writes its log to log. busy reports whether the
+// writer of the log is falling behind; it may be nil.
 func NewRelay(cfg *config.Relay, site Site, log *zap.Logger, busy func() bool) (*RelayBox, error) {
 	b := &RelayBox{site: site, log: log, Metrics: telemetry.NewMetrics(), startedAt: clock.Now()}
 	b.settings.Store(cfg)
@@ -183,14 +187,14 @@
 		kratos.Name("stoatrampd"),
 		kratos.Server(servers...),
 		kratos.Signal(stopSignals...),
-		kratos.StopTimeout(maxStopTimeout), // stopPlan sets an earlier deadline.
+		kratos.StopTimeout(maxStopTimeout), // Only an upper bound: plannedServer closes each listener by an earlier deadline.
 		kratos.BeforeStop(b.drain),
 	)
 	return b, nil
 }
 
-// requestMemoryShare is the share of the process's memory that may be reserved for requests. The rest is for
-// the lists and ledgers, which take about 30 MB at 400 boxes, and for garbage that is not collected yet.
+// requestMemoryShare is the share of the process's memory that may be reserved for requests. The other memory is for
+// the box's lists and ledgers, which take about 30 MB at 400 boxes, and for garbage that is not collected yet.
 const requestMemoryShare = 0.3
 
 func boolToFloat(set bool) float64 {
@@ -224,7 +228,7 @@
 	b.Metrics.Set.NewGauge("stoatramp_running", func() float64 { return float64(b.Relay.Running()) })
 }
 
-// Run serves until Stop is called or a signal arrives, and returns nil after a clean drain.
+// Run serves until Stop is called or a signal arrives. It returns nil if all running requests have ended by then.
 func (b *RelayBox) Run() error {
 	defer b.cancel()
 	cfg := b.settings.Load()
@@ -254,17 +258,19 @@
 }
 
 const (
-	// roleLeaseLength is how long no other box can give orders after this one may have. It is longer
-	// than an engine takes to change roles, and much longer than roleLeaseUse.
+	// The lease for roles allows one box at a time to order engines to change their role. roleLeaseLength is
+	// how long after this box took the lease no other box can take it. That is longer than an engine takes to
+	// change its role, and much longer than roleLeaseUse.
 	roleLeaseLength = 8 * time.Second
-	// roleLeaseUse is how long after taking the lease its order may be sent.
+	// roleLeaseUse is how long after taking the lease the box may still send its order.
 	roleLeaseUse = 1500 * time.Millisecond
-	// A recommendation is followed once it was the same in roleSteadyChecks checks, one each roleCheckInterval.
+	// A recommended role is ordered once roleSteadyChecks checks in a row recommended it. A check is made every
+	// roleCheckInterval.
 	roleCheckInterval = 300 * time.Millisecond
 	roleSteadyChecks  = 3
 )
 
-// roleManager changes the roles of engines to match the traffic.
+// roleManager returns the manager that orders engines to change between prefill and decode as the traffic requires.
 func (b *RelayBox) roleManager() *roles.Manager {
 	return &roles.Manager{
 		Fleet:         b.Relay,
@@ -284,13 +290,13 @@
 	}
 }
 
-// maxExtraRoleChecks bounds the additional checks for which a box lets others give orders first: six seconds,
-// less than a burst of traffic lasts.
+// maxExtraRoleChecks bounds the additional checks that a box makes before it takes the lease for roles. 20 checks
+// take six seconds, which is less than a burst of traffic lasts.
 const maxExtraRoleChecks = 20
 
-// extraRoleChecks is the number of additional checks for which this box lets others give orders first. Each box
-// that asks for the lease costs a call to the store, so the more boxes there are, the longer most of them wait.
-// The box that follows no other does not wait.
+// extraRoleChecks is the number of additional checks that this box makes before it takes the lease for roles, so that
+// another box may give the order first. Each box that asks for the lease makes a call to the store, so with more
+// boxes most of them wait longer. The box without an upstream (the box that sends it the tables) does not wait.
 func (b *RelayBox) extraRoleChecks() int {
 	if !b.node.HasUpstream() {
 		return 0
@@ -298,7 +304,7 @@
 	return 1 + rand.IntN(min(maxExtraRoleChecks, max(1, b.node.MemberCount())))
 }
 
-// estimatesSyncer stores what boxes learn about engines.
+// estimatesSyncer returns the syncer that shares between boxes, through the store, what they learn about engines.
 func (b *RelayBox) estimatesSyncer() *learned.Syncer {
 	return &learned.Syncer{
 		Rows: b.site.Learned, Pools: b.Relay, Boxes: b.node.MemberCount,
@@ -306,7 +312,7 @@
 	}
 }
 
-// crashWriter writes the suspected crashes that this box saw to the store.
+// crashWriter returns the writer that stores the suspected crashes that this box saw.
 func (b *RelayBox) crashWriter() *quarantine.TableWriter {
 	return &quarantine.TableWriter{
 		List: b.crashes, Table: b.site.SuspectedCrashes,
@@ -314,16 +320,16 @@
 	}
 }
 
-// logQuarantined logs that a request is quarantined: it is sent to no endpoint from now on.
+// logQuarantined logs that a request is quarantined. From now on no endpoint receives that request.
 func (b *RelayBox) logQuarantined(f quarantine.Fingerprint, v quarantine.Verdict) {
 	b.recorder.Log.StateChange("request quarantined", zap.Stringer("fingerprint", f), zap.Float64("bits", v.Bits), zap.Stringer("because", v))
 }
 
-// shareInterval is the time between checks of how many other boxes there are.
+// shareInterval is the time between two checks of how many boxes there are.
 const shareInterval = time.Second
 
-// runShare has the box coordinate with the other boxes while it receives their messages, and act alone otherwise. It also
-// sets the box's share of the retries that the platform allows.
+// runShare tells the relay regularly how many boxes there are, and which share of the calls the settings allow for
+// retries. A box without peers counts as one box.
 func (b *RelayBox) runShare() {
 	for b.ctx.Err() == nil {
 		cfg := b.settings.Load()
@@ -339,22 +345,22 @@
 	}
 }
 
-// setQuotaBounds sets by how much accounts may exceed their limits.
+// setQuotaBounds sets by how much client accounts may exceed their limits.
 func (b *RelayBox) setQuotaBounds(cfg *config.Relay) {
 	b.quotaPool.SetBounds(clock.Now(), quota.Bounds{Window: cfg.LimitWindow, Overage: cfg.LimitOverage, Slack: cfg.LimitSlack})
 }
 
-// Stop drains the box and shuts it down.
+// Stop waits for running requests and shuts the box down.
 func (b *RelayBox) Stop() error { return b.app.Stop() }
 
-// reportStall records that the process got no CPU time for a while.
+// reportStall records and logs that the process got no CPU time, or was frozen, for the time d.
 func (b *RelayBox) reportStall(d time.Duration) {
 	b.Relay.RecordStall(d)
 	logStall(b.log, b.Metrics, d)
 }
 
-// drain runs before the listeners close. The readiness check fails at once, requests that still arrive are
-// served during a grace period, until callers have noticed, and then running requests are waited for.
+// drain runs before the listeners close. The readiness check fails at once. During a grace period, in which callers
+// notice this, new requests are still served. Then drain waits until the running requests have ended.
 func (b *RelayBox) drain(context.Context) error {
 	cfg := b.settings.Load()
 	b.log.Info("stopping", zap.Int64("running", b.Relay.Running()), zap.Duration("linger", cfg.GracePeriod), zap.Duration("stop_timeout", cfg.StopTimeout))
@@ -372,7 +378,7 @@
 	return nil
 }
 
-// listeners opens the box's listeners.
+// listeners opens the box's listeners and returns their servers. A listener without an address is left out.
 func (b *RelayBox) listeners() ([]kratosServer, error) {
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+b.site.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -418,7 +424,8 @@
 	return out, nil
 }
 
-// nearLimitShare is the remaining share of a client account's burst below which operators see the account listed.
+// nearLimitShare is the share of a client account's burst (the most that it may use at once). If less than this
+// share remains, operators see the account in the list of accounts near their limit.
 const nearLimitShare = 0.25
 
 var _ kratosServer = (*khttp.Server)(nil)
--- a/internal/box/relay_ages.go
+++ b/internal/box/relay_ages.go
@@ -9,11 +9,12 @@
 	"github.com/stoatramp/stoatramp/internal/follow"
 )
 
-// ageCheckInterval is the time between checks of the tables' ages.
+// ageCheckInterval is the time between two checks of the tables' ages.
 const ageCheckInterval = time.Second
 
-// watchTableAges logs when a table becomes older than its read interval allows, and when it is fresh again.
-// The table itself logs that the store is unreachable; this line also covers a box that fails to ask.
+// watchTableAges logs when the information in a table becomes older than the read interval of the table allows, and
+// when it is fresh again. The table itself logs that the store is unreachable. The log line written here also
+// appears if the box fails to ask the store.
 func (b *RelayBox) watchTableAges() {
 	overdue := map[string]bool{}
 	for b.ctx.Err() == nil {
--- a/internal/box/relay_follow.go
+++ b/internal/box/relay_follow.go
@@ -17,53 +17,60 @@
 	"github.com/stoatramp/stoatramp/internal/relay"
 )
 
-// This file sets up the tables that a relay box follows: the operator's configuration, the list of
-// endpoints, the shared configuration of policies and operators, the boxes and the suspected crashes.
+// This file sets up the tables of the store that a relay box follows: the operator's configuration, the list of
+// endpoints, the shared configuration of policies and operators, the members (the boxes that have registered) and
+// the suspected crashes.
 
-// Read intervals of the tables. Each call to the store is expensive on a large fleet, so a call waits for a
-// change as long as it may: a call that the store has lost must time out before the box is required to have
-// read everything again. The list of endpoints changes often and is read in batches, as rarely as the time
-// allows within which the box must know that an endpoint is leaving.
+// Read intervals of the tables. A call to the store waits until the table changes or the wait time is over. On a
+// large fleet each call is expensive, so the wait is as long as possible. If the store loses a call, the call must
+// still time out before the box is required to have read everything again. The list of endpoints changes often. It
+// is read in batches, and the pause between them is as long as allowed by the time within which the box must know
+// that an endpoint is leaving.
 const (
 	callTimeout = 600 * time.Millisecond
-	// rereadSlack is what a lost call and the one after it take in addition to the wait.
+	// rereadSlack is the time for a lost call and the next call, in addition to the wait.
 	rereadSlack = 800 * time.Millisecond
-	// leavingSlack is what reading the list and finishing requests that have just begun take.
+	// leavingSlack is the time for reading the list and for finishing requests that have just begun.
 	leavingSlack = 900 * time.Millisecond
 	minWait      = 500 * time.Millisecond
 	minListPause = 200 * time.Millisecond
 	changePause  = 50 * time.Millisecond
-	// manualWait is longer, because policies are changed by hand.
+	// manualWait is the wait time for tables that are changed by hand, such as policies. It is longer because these
+	// change rarely.
 	manualWait = 8 * time.Second
 )
 
-// Read intervals of a box that others follow. What it publishes must be fresh: a follower reads the store
-// itself once its information is older than the limit for that table less storeReadTime, and a followed box
-// asks well before that.
+// Read intervals of a box that publishes its tables to other boxes, its followers. What it publishes must be fresh:
+// a follower reads the store itself once its information is older than the limit of that table minus
+// storeReadTime. The publishing box asks the store well before that.
 const (
-	// storeReadTime is the most that reading the store itself takes a follower, including requests under way to engines.
+	// storeReadTime is the most time that a follower needs to read the store itself. It includes the time of requests
+	// that are already under way to engines.
 	storeReadTime = 900 * time.Millisecond
-	// followedWaitShare and followedPauseShare are the shares of the maximum age for which a call of a followed
-	// box waits, and for which it pauses after a call that changed the list. Together they leave some time for
-	// the transfer.
+	// followedWaitShare and followedPauseShare are shares of a table's maximum age. A call of the publishing box
+	// waits for the first, and after a call that changed the list the box pauses for the second. The two add up
+	// to less than 1, which leaves some time for the transfer to the followers.
 	followedWaitShare  = 0.6
 	followedPauseShare = 0.3
-	// settleTime is how long a box that has just started waits for another one to publish changes to it before
-	// it asks the store: it finds that box in the list of members. If all boxes start at once, the list exists
-	// after membersSettleTime, and its key after another membersPause. A box counts as in contact 3 s after its
-	// start, and must know by then what has changed.
+	// settleTime is how long a box that has just started waits for another box to publish a table to it before it
+	// asks the store for changes. It finds that box in the list of members. If all boxes start at once, the list of
+	// members exists after membersSettleTime, and the key that boxes use among each other after another
+	// membersPause. A box counts as in contact with the store 3 s after its start, and must know by then what has
+	// changed.
 	settleTime        = 2200 * time.Millisecond
 	membersSettleTime = 450 * time.Millisecond
 	// manualMaxAge is the maximum age of tables that are changed by hand.
 	manualMaxAge = 12 * time.Second
-	// membersPause lets boxes that start together read the list of members in batches.
+	// membersPause is the pause between reads of the list of members. Boxes that start together are then read in
+	// batches.
 	membersPause = time.Second
 )
 
-// scale multiplies a duration by a factor.
+// scale returns the share p of a duration.
 func scale(d time.Duration, p float64) time.Duration { return time.Duration(p * float64(d)) }
 
-// tableOptions returns the read intervals of the configuration, the list, the policies and the members.
+// tableOptions returns the read intervals of four tables: the operator's configuration, the list of endpoints, the
+// policies (changed by hand) and the members.
 func tableOptions(cfg *config.Relay, link *follow.Link) (operator, list, manual, members follow.Options) {
 	maxWait := max(minWait, cfg.RereadWithin-rereadSlack)
 	maxAge := cfg.ConfigWithin - storeReadTime
@@ -85,22 +92,22 @@
 	return operator, list, manual, members
 }
 
-// crashOptions returns the read intervals of the table of suspected crashes. It changes rarely, like the
-// configuration, and each box must know it within the time in which it has to read everything again after an
-// outage.
+// crashOptions returns the read intervals of the table of suspected crashes. This table changes rarely, like the
+// configuration. After an outage each box must know it by the time at which it must have read everything again.
 func (b *RelayBox) crashOptions(cfg *config.Relay, operator follow.Options) follow.Options {
 	o := operator
 	o.StaleAfter = cfg.RereadWithin - storeReadTime
 	o.FollowedWait = scale(o.StaleAfter, followedWaitShare)
-	o.SettleDelay = 0 // A box that would publish this table does so before it is first read.
+	o.SettleDelay = 0 // Another box that publishes this table does so before this box first reads it.
 	if cfg.Peers != "" {
-		// A box counts as in contact 3 s after its start, and this saves one call per box.
-		o.FirstReadDelay, o.NoUpstreamExpected = settleTime, func() bool { return b.node.IsOldest() } // b.node is set later.
+		// A box counts as in contact with the store 3 s after its start. Until settleTime another box may
+		// publish the table, which saves one call per box.
+		o.FirstReadDelay, o.NoUpstreamExpected = settleTime, func() bool { return b.node.IsOldest() } // makeTables sets b.node later.
 	}
 	return o
 }
 
-// The names of the tables in messages between boxes.
+// The names that messages between boxes use for the tables.
 const (
 	tableConfig    = "configuration"
 	tableEndpoints = "endpoints"
@@ -109,7 +116,7 @@
 	tableCrashes   = "ends"
 )
 
-// makeTables creates the tables that the box follows, and its overlay node.
+// makeTables creates the tables that the box follows, and the node that connects the box to the other boxes.
 func (b *RelayBox) makeTables() {
 	cfg := b.settings.Load()
 	operator, list, manual, members := tableOptions(cfg, &b.storeLink)
@@ -129,7 +136,8 @@
 		Self:     overlay.Member{Name: cfg.Name, Region: cfg.Region, Hall: cfg.Hall, Incarnation: time.Now().UnixNano()},
 		Register: b.site.MemberTable,
 		Tables:   shared,
-		// Policies contain operators and the hashes of their keys, and members the boxes' key, so they are not open.
+		// Only these tables are sent without the key of the boxes. The policies contain the operators with the
+		// hashes of their keys, and the members contain the key of the boxes, so both are not open.
 		KeylessTables: []string{tableConfig, tableEndpoints, tableCrashes},
 		Seeds:         cfg.Seeds,
 		Room:          func(r overlay.Room) bool { return b.Relay.HasRoom(r) },
@@ -140,7 +148,7 @@
 	})
 }
 
-// followTables starts following all tables; members only if there may be other boxes.
+// followTables starts to follow all tables. The members are followed only if the box has an address for peers.
 func (b *RelayBox) followTables() {
 	for name, t := range b.tables {
 		if name != tableMembers || b.settings.Load().Peers != "" {
@@ -186,8 +194,8 @@
 	b.recorder.Log.StateChange("configuration in force", zap.Int64("version", c.Version), zap.Int64("before", old), zap.Int("routes", len(c.Routes)))
 }
 
-// applyRules puts a newer shared configuration in force. The version never decreases here, whatever the store
-// returns; a configuration that does not compile is rejected, and the last one stays in force.
+// applyRules puts a newer shared configuration in force. The version in force never decreases, whatever the store
+// returns. A configuration that does not compile is rejected, and the previous configuration stays in force.
 func (b *RelayBox) applyRules(rows map[string][]byte) {
 	if b.shared.set(rows) {
 		b.rewriteShared()
@@ -214,7 +222,7 @@
 		zap.Int("policies", len(c.Policies)), zap.Int("rules", len(c.Rules)), zap.Int("operators", len(c.Operators)))
 }
 
-// parseRules parses an accepted version. Its test cases passed before it was accepted, so they are not run again.
+// parseRules parses a version that was accepted before. Its test cases passed then, so they are not run again.
 func parseRules(v *control.Version) (*config.Rules, error) {
 	c, err := config.ParseRules(fmt.Sprintf("version %d", v.Number), []byte(v.Text), nil)
 	if err != nil {
@@ -224,13 +232,14 @@
 	return c, nil
 }
 
-// checkRules checks a text before it is accepted, and runs its policies' test cases.
+// checkRules checks the text of a shared configuration before it is accepted, and runs the test cases of its policies.
 func checkRules(text string) error {
 	_, err := config.ParseRules("configuration", []byte(text), policy.Check)
 	return err
 }
 
-// isOperator reports whether a key is the one in the settings or belongs to an operator of the shared configuration.
+// isOperator reports whether a key is the operator key in the settings or the key of an operator in the shared
+// configuration.
 func (b *RelayBox) isOperator(key string) bool {
 	if first := b.settings.Load().OperatorKeySHA256; first != "" && config.KeyMatches(key, first) {
 		return true
@@ -242,9 +251,10 @@
 type listedEndpoint struct {
 	text     []byte
 	endpoint relay.Endpoint
-	// foreign rows name no endpoint to use: another writer wrote them, or they come from an older snapshot.
+	// foreign means that the row names no endpoint to use: a program other than the platform's endpoints wrote
+	// it, or it comes from an older snapshot of the store.
 	foreign bool
-	// replacement replaces the row at a later time, unless it changes before; nil if there is none.
+	// replacement replaces the row at a later time if the row has not changed by then. It is nil if there is none.
 	replacement *rowReplacement
 }
 
@@ -254,12 +264,12 @@
 	at time.Time
 }
 
-// expiredEntryGrace is how long after the store is reachable again a missing endpoint is kept: its entry may have
-// expired during the outage, and a live endpoint writes it again within two seconds.
+// expiredEntryGrace is how long a missing endpoint is kept after the store is reachable again. Its row may have
+// expired during the outage, and a live endpoint writes its row again within two seconds.
 const expiredEntryGrace = 2100 * time.Millisecond
 
-// keepExpired keeps endpoints that are missing since the store is reachable again, and checks again when they
-// should have been written again.
+// keepExpired keeps the endpoints that are missing from the list for expiredEntryGrace after an outage of the store,
+// and sets a timer to check the list again when live endpoints should have written their rows.
 func (b *RelayBox) keepExpired(next map[string]listedEndpoint) {
 	remaining := expiredEntryGrace - b.timeSinceRecovery()
 	if remaining <= 0 {
@@ -279,11 +289,11 @@
 	}
 }
 
-// timeSinceRecovery is the time since the store answered again after an outage.
+// timeSinceRecovery is the time since the store answered again after its last outage.
 func (b *RelayBox) timeSinceRecovery() time.Duration { return b.tables[tableEndpoints].SinceRecovery() }
 
-// applyList takes a new list of endpoints. Most rows are unchanged, and most changed rows say nothing new
-// about their endpoint: only changed text is parsed, and only actual changes are passed on.
+// applyList applies a new list of endpoints. Most rows are unchanged, and most changed rows contain nothing new about
+// their endpoint. So only changed rows are parsed, and the relay receives the list only if an endpoint has changed.
 func (b *RelayBox) applyList(rows map[string][]byte) {
 	next, changed, inPlace := b.readList(rows)
 	b.listRestored = false
@@ -306,21 +316,21 @@
 }
 
 const (
-	// maxListShare is the largest share of its time that a box spends on passing the list on, which costs 7 ms
-	// at 10,000 endpoints and several times that on a fifth of a core. Changes that arrive in between are passed
-	// on together.
+	// maxListShare is the largest share of its time that a box spends on passing the list of endpoints to the
+	// relay. Passing the list on takes 7 ms at 10,000 endpoints, and several times that on a fifth of a core.
+	// Changes that arrive in the meantime are passed on together.
 	maxListShare = 0.1
-	// maxListPause bounds how long changes wait, however long passing on the last ones took: a box that was
-	// frozen must learn quickly which endpoints are leaving.
+	// maxListPause bounds how long changes of the list wait, however long the last passing on took. A box that
+	// was frozen must learn quickly which endpoints are leaving.
 	maxListPause = 600 * time.Millisecond
 )
 
-// listPause is how long further changes wait after passing on the list took a given time.
+// listPause returns how long further changes wait after passing the list on took the given time.
 func listPause(took time.Duration) time.Duration {
 	return min(time.Duration(float64(took)/maxListShare), maxListPause)
 }
 
-// deferList reports whether it is too early to pass changes on, and sets a timer to do so.
+// deferList reports whether it is too early to pass the list on. If so, it sets a timer that passes the list on later.
 func (b *RelayBox) deferList(now time.Time) bool {
 	left := b.listDueAt.Sub(now)
 	if left <= 0 {
@@ -333,8 +343,8 @@
 	return true
 }
 
-// readList parses the rows that changed, and reports whether they contain anything new. If no row is gone, the
-// list is changed in place: most updates change one row among thousands.
+// readList parses the rows that changed, and reports whether they contain anything new. If all known rows are still
+// there, it changes the list in place, because most updates change one row among thousands.
 func (b *RelayBox) readList(rows map[string][]byte) (next map[string]listedEndpoint, changed, inPlace bool) {
 	remaining := 0
 	for key := range rows {
@@ -369,8 +379,8 @@
 	return next, changed, inPlace
 }
 
-// usable returns the endpoints of the rows that name one. If any endpoint of the platform states when it
-// started, rows that do not were written by another writer and are left out.
+// usable returns the endpoints to use. A foreign row names none. If any endpoint of the platform states when it
+// started, then a row without a start time was written by another program and is left out.
 func usable(rows map[string]listedEndpoint) []relay.Endpoint {
 	anyStarted := false
 	for _, l := range rows {
--- a/internal/box/relay_test.go
+++ b/internal/box/relay_test.go
@@ -21,7 +21,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Only rows that changed are parsed: on a large fleet each box would otherwise parse
+// When a list arrives, only the rows that changed are parsed. Otherwise, on a large fleet, each box would parse
 // every endpoint several times a second.
 func TestListReadsNewsOnly(t *testing.T) {
 	reads := 0
@@ -89,8 +89,9 @@
 	return nil, follow.Version{}, follow.ErrHistoryLost
 }
 
-// An endpoint whose entry expired during an outage of the store is kept until it should have written it again;
-// if it is still missing then, it is removed. An endpoint that disappears while the store answers is removed at once.
+// An endpoint whose row expired during an outage of the store is kept until the endpoint should have written the row
+// again, and is removed if the row is still missing then. An endpoint that disappears while the store answers is
+// removed at once.
 func TestLapsedEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
@@ -136,8 +137,8 @@
 	})
 }
 
-// A row that another writer put in place of an endpoint's row names no endpoint, and the other rows stay valid. If
-// endpoints state when they started, a row that does not is foreign as well. Such rows are parsed once.
+// A row that another program wrote in place of an endpoint's row names no endpoint, and the other rows stay valid. If
+// endpoints state when they started, a row without a start time is foreign as well. Such rows are parsed only once.
 func TestRowsOfAnotherWriter(t *testing.T) {
 	reads := 0
 	recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
--- a/internal/box/reload.go
+++ b/internal/box/reload.go
@@ -10,7 +10,7 @@
 	"github.com/stoatramp/stoatramp/internal/config"
 )
 
-// reloadOnSignal reads the settings again on each signal.
+// reloadOnSignal reloads the settings on each signal that arrives on hup.
 func (b *RelayBox) reloadOnSignal(hup <-chan os.Signal) {
 	for {
 		select {
@@ -45,7 +45,7 @@
 }
 
 // applyReloadable copies the settings that can change in a running box from read to next, and returns the
-// names of those that changed.
+// names of the settings that changed.
 func applyReloadable(next, read *config.Relay) (changed []string) {
 	note := func(name string, differs bool) {
 		if differs {
@@ -70,7 +70,7 @@
 	return changed
 }
 
-// restartOnly returns the names of the settings that differ and that only a restart applies.
+// restartOnly returns the names of the settings that differ and that take effect only after a restart.
 func restartOnly(old, read *config.Relay) (names []string) {
 	settings := []struct {
 		name  string
--- a/internal/box/restored.go
+++ b/internal/box/restored.go
@@ -9,26 +9,27 @@
 )
 
 // This file corrects the list of endpoints after the store was restored from an older snapshot. What the box
-// knew for certain about an endpoint stays: a leaving endpoint does not become ready again, one that is gone
-// does not return, and an earlier start of it is not alive. A row that its writer has written again since the
-// restore is taken as it is.
+// knew for certain about an endpoint stays in force: a leaving endpoint does not become ready again, a removed
+// endpoint does not return, and an earlier start of an endpoint does not replace the later one. If an endpoint has
+// written its row again since the restore, the box uses that row.
 
 const (
-	// goneRetention is how long the box remembers that an endpoint is gone: longer than the age of any snapshot.
+	// goneRetention is how long the box remembers that an endpoint was removed. It is longer than the age of any
+	// snapshot from which the store is restored.
 	goneRetention = 30 * time.Second
-	// goneGrace is how long an endpoint that was gone and that an older snapshot lists again is not used. The
-	// platform removes its entry within that time if the endpoint does not renew it.
+	// goneGrace is how long an endpoint is not used if it was removed and an older snapshot lists it again. Within
+	// that time the platform removes its row, unless the endpoint renews the row.
 	goneGrace = 4 * time.Second
 )
 
-// goneEndpoint is an endpoint that was removed from the list.
+// goneEndpoint is an endpoint that was removed from the list, with the time of the removal.
 type goneEndpoint struct {
 	id string
 	at time.Time
 }
 
-// restoredRow corrects a row of the older snapshot by what the box knew; known is false if the list had no row
-// with that key.
+// restoredRow corrects a row of the older snapshot by what the box knew. old is the row that the box's list had
+// under that key; known is false if there was none.
 func (b *RelayBox) restoredRow(key string, row, old listedEndpoint, known bool) listedEndpoint {
 	if row.foreign {
 		return row
@@ -50,14 +51,14 @@
 	return row
 }
 
-// scheduleReplacement returns the replacement of a row after a time, and sets a timer that applies it.
+// scheduleReplacement returns a replacement that becomes due after the given time, and sets a timer that applies it.
 func (b *RelayBox) scheduleReplacement(row listedEndpoint, after time.Duration) *rowReplacement {
 	b.hasReplacements = true
 	time.AfterFunc(after+time.Millisecond, func() { b.tables[tableEndpoints].Reapply(func() {}) })
 	return &rowReplacement{row, clock.Now().Add(after)}
 }
 
-// applyReplacements applies the replacements that are due, and reports whether there were any.
+// applyReplacements replaces the rows whose replacement is due, and reports whether there were any.
 func (b *RelayBox) applyReplacements(rows map[string]listedEndpoint, now time.Time) (changed bool) {
 	b.hasReplacements = false
 	for key, row := range rows {
@@ -72,7 +73,7 @@
 	return changed
 }
 
-// recordGone remembers the endpoints that are no longer listed.
+// recordGone remembers the endpoints that were listed before and are not listed next.
 func (b *RelayBox) recordGone(before, next map[string]listedEndpoint, now time.Time) {
 	for key, old := range before {
 		if _, there := next[key]; !there && !old.foreign {
--- a/internal/box/restored_test.go
+++ b/internal/box/restored_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoatramp/stoatramp/internal/relay"
 )
 
-// restoredList is a box whose endpoint list comes from a store that is restored from older snapshots. The value
-// of a row is a state and a start time.
+// restoredList is a box whose endpoint list comes from a store that is restored from older snapshots. The text
+// of a row consists of the endpoint's state and its start time.
 type restoredList struct {
 	t   *testing.T
 	box *RelayBox
@@ -31,7 +31,7 @@
 	return x
 }
 
-// receive passes the whole list to the box.
+// receive passes the whole list to the box as the answer of the store.
 func (x *restoredList) receive(rows states) {
 	x.t.Helper()
 	p := follow.Part{Version: x.ver}
@@ -56,14 +56,14 @@
 	x.receive(rows)
 }
 
-// expect checks the endpoints in use, and which of them are leaving.
+// expect checks which endpoints the box uses, and whether each of them is ready or leaving.
 func (x *restoredList) expect(what string, want states) {
 	x.t.Helper()
 	synctest.Wait()
 	got := map[string]string{}
 	table := x.box.tables[tableEndpoints]
 	table.Reapply(func() {})
-	table.Reapply(func() { // Reapply holds the table's lock, as for applyList.
+	table.Reapply(func() { // Reapply holds the table's lock, under which applyList runs too.
 		for _, e := range usable(x.box.listed) {
 			got[e.ID] = map[bool]string{true: "leaving", false: "ready"}[e.Leaving]
 		}
--- a/internal/box/shared.go
+++ b/internal/box/shared.go
@@ -13,23 +13,23 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// SharedTable is the platform's table of the shared configuration.
+// SharedTable is the platform's table of the shared configuration, which holds policies and operators.
 type SharedTable interface {
 	control.Table
-	// RestoreRow writes a row again unchanged, unless the store has that version of it or a later one, and reports
-	// whether it wrote.
+	// RestoreRow writes a row again with its old version and text. It writes nothing if the store has the same
+	// version of the row or a later one. It reports whether it wrote.
 	RestoreRow(ctx context.Context, key string, text []byte) (wrote bool, err error)
-	// EncodeRow returns the row that a Put wrote under the given version.
+	// EncodeRow returns the text of the row that a Put wrote under the given version.
 	EncodeRow(version int64, w platform.Write) ([]byte, error)
 }
 
-// durableTable writes shared configuration that this box knows back to the store if the store lost it. An
-// accepted version can be missing after the store was restored from an older snapshot, and the next change
-// would then be accepted under the same number.
+// durableTable writes rows of the shared configuration back to the store if the store has lost them. After the
+// store is restored from an older snapshot, an accepted version can be missing. The next change would then be
+// accepted under the same version number.
 type durableTable struct {
 	inner SharedTable
 	read  func(key string, text []byte) (platform.Row, error)
-	// onError reports rows that could not be rewritten, and onRewritten those that were.
+	// onError is called for each row that could not be rewritten, and onRewritten for each row that was.
 	onError     func(key string, err error)
 	onRewritten func(key string, version int64)
 
@@ -37,24 +37,24 @@
 	known map[string]knownRow
 }
 
-// knownRow is the newest version of a row that this box knows.
+// knownRow is the newest version of a row that this box has seen.
 type knownRow struct {
 	version int64
 	text    []byte
-	// missing means that the store was last seen with an older version of the row, or none.
+	// missing means that the store had an older version of the row, or none, when it was last read.
 	missing bool
 }
 
 const (
-	// rewriteTimeout bounds rewriting one row.
+	// rewriteTimeout bounds the time for rewriting one row.
 	rewriteTimeout = 2 * time.Second
-	// minRewriteDelay is the least time after a restore before a box rewrites rows on its own, without an
-	// operator's request, and rewriteInterval the least time between two attempts.
+	// minRewriteDelay is the least time after a restore before a box rewrites rows without a request of an
+	// operator. rewriteInterval is the least time between two attempts.
 	minRewriteDelay = 300 * time.Millisecond
 	rewriteInterval = time.Second
 )
 
-// set takes the table as the store has it, and reports whether rows are missing there.
+// set takes the rows that the store has now, and reports whether the store lacks versions that the box knows.
 func (k *durableTable) set(rows map[string][]byte) (anyMissing bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -77,13 +77,13 @@
 	return anyMissing
 }
 
-// Get reads a row, and first rewrites it if the store lacks it.
+// Get reads a row. If the store lacks the version that this box knows, Get first rewrites the row.
 func (k *durableTable) Get(ctx context.Context, key string, known int64) (platform.Row, error) {
 	k.rewrite(ctx, key)
 	return k.inner.Get(ctx, key, known)
 }
 
-// Put replaces a row, and first rewrites the known one if the store lacks it.
+// Put replaces a row. If the store lacks the version that this box knows, Put first rewrites the row.
 func (k *durableTable) Put(ctx context.Context, key string, w platform.Write) (int64, error) {
 	k.rewrite(ctx, key)
 	version, err := k.inner.Put(ctx, key, w)
@@ -103,7 +103,7 @@
 	return version, nil
 }
 
-// rewrite writes the known version of a row unless the store has it.
+// rewrite writes the version of a row that this box knows, unless the store has that version or a later one.
 func (k *durableTable) rewrite(ctx context.Context, key string) {
 	k.mu.Lock()
 	row := k.known[key]
@@ -127,8 +127,8 @@
 	}
 }
 
-// rewriteAll rewrites the missing rows until none is left. The random first delay, up to spread longer, shares
-// the work between boxes.
+// rewriteAll rewrites missing rows until the store lacks none. Each box starts after a random delay, which is up to
+// spread longer than minRewriteDelay, so that the boxes share the work.
 func (k *durableTable) rewriteAll(ctx context.Context, spread time.Duration) {
 	for wait := minRewriteDelay + rand.N(spread+1); ; wait = rewriteInterval + rand.N(rewriteInterval) {
 		select {
@@ -159,7 +159,7 @@
 	return keys
 }
 
-// newSharedTable returns the table of the shared configuration with lost rows rewritten.
+// newSharedTable returns the table of the shared configuration, which writes rows back that the store has lost.
 func (b *RelayBox) newSharedTable(site Site) *durableTable {
 	return &durableTable{
 		inner: site.Shared, read: site.ParseVersioned,
@@ -172,7 +172,7 @@
 	}
 }
 
-// rewriteShared rewrites the missing rows of the shared configuration in the background.
+// rewriteShared rewrites the missing rows of the shared configuration in the background, unless it does so already.
 func (b *RelayBox) rewriteShared() {
 	if b.rewriting.Swap(true) {
 		return
--- a/internal/box/stop.go
+++ b/internal/box/stop.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// stopPlan divides the time of a graceful stop among its phases, since the platform kills the process when the total is over.
+// stopPlan divides the time of a graceful stop among its phases: finishing requests, writing the last records and
+// closing the listeners. The platform kills the process when the total time is over.
 type stopPlan struct {
-	// deadline is when the stop must have ended; nil before it begins.
+	// deadline is when the stop must have ended. It is nil until the stop begins.
 	deadline atomic.Pointer[time.Time]
 }
 
 const (
-	// finalFlushTimeout bounds writing the last records: the platform is about to kill the process.
+	// finalFlushTimeout bounds writing the last decision records. It is short because the platform is about to
+	// kill the process.
 	finalFlushTimeout = 400 * time.Millisecond
-	// minClosing is the least time for closing the listeners and for sending the ends of the last answers.
-	// maxClosing is the longest: a connection that never sent a request delays closing.
+	// minClosing is the least time that is left for closing the listeners and sending the ends of the last answers.
+	// maxClosing is the most time for that, because a connection that never sent a request delays closing.
 	minClosing = 300 * time.Millisecond
 	maxClosing = 2 * time.Second
-	// finalPhasesShare bounds the share of a short stop that is kept for these two phases.
+	// finalPhasesShare bounds the share of a stop's total time that is kept for the last records and for closing.
 	finalPhasesShare = 0.25
 )
 
-// begin starts a stop with a total duration, and returns the deadline of its requests.
+// begin starts a stop with a total duration, and returns the time by which running requests must end.
 func (p *stopPlan) begin(now time.Time, total time.Duration) (requests time.Time) {
 	deadline := now.Add(total)
 	p.deadline.Store(&deadline)
 	return deadline.Add(-min(finalFlushTimeout+minClosing, time.Duration(finalPhasesShare*float64(total))))
 }
 
-// closeDeadline is when listeners that start closing now must be closed.
+// closeDeadline returns the time by which listeners must be closed that start to close now.
 func (p *stopPlan) closeDeadline(now time.Time) time.Time {
 	left := maxClosing
 	if deadline := p.deadline.Load(); deadline != nil {
@@ -39,7 +41,7 @@
 	return now.Add(left)
 }
 
-// plannedServer closes its listener by the plan's deadline.
+// plannedServer is a server that closes its listener by the deadline of the stop plan.
 type plannedServer struct {
 	kratosServer
 	plan *stopPlan
--- a/internal/box/stop_test.go
+++ b/internal/box/stop_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// neverClosed is a server that does not close before its deadline.
+// neverClosed is a server whose Stop returns only when its context ends.
 type neverClosed struct{}
 
 func (neverClosed) Start(context.Context) error { return nil }
@@ -17,7 +17,8 @@
 	return ctx.Err()
 }
 
-// The phases of a stop must fit its total time. Their separate limits once added up to 1.4 s more.
+// All phases of a stop together must fit the total time, plus minClosing at most. In an earlier version each phase
+// had its own limit, and the limits added up to 1.4 s more than the total time.
 func TestPartsOfAStopFitItsTime(t *testing.T) {
 	for _, total := range []time.Duration{time.Second, 6 * time.Second, 7500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -28,7 +29,7 @@
 				t.Errorf("%s: expected requests to have most of it, got %s", total, requests.Sub(began))
 			}
 			time.Sleep(time.Until(requests))
-			time.Sleep(min(finalFlushTimeout, time.Until(began.Add(total))-minClosing)) // The last records.
+			time.Sleep(min(finalFlushTimeout, time.Until(began.Add(total))-minClosing)) // Writing the last records takes all of its time.
 			_ = plannedServer{neverClosed{}, &p}.Stop(context.Background())
 			if took := time.Since(began); took > total+minClosing {
 				t.Errorf("expected a stop of %s, got %s", total, took)
--- a/internal/box/tick_test.go
+++ b/internal/box/tick_test.go
@@ -9,7 +9,7 @@
 	"github.com/stoatramp/stoatramp/internal/gate"
 )
 
-// tickCounter counts the ticks of a gate that requests pass through.
+// tickCounter counts calls of Tick. Its gate counts the running requests.
 type tickCounter struct {
 	gate.Gate
 	n atomic.Int64
@@ -17,7 +17,7 @@
 
 func (c *tickCounter) Tick() { c.n.Add(1) }
 
-// stuckTicker blocks in its first tick, as if the process had stalled.
+// stuckTicker blocks in its first tick for longer than minLoggedStall, as if the process had stalled.
 type stuckTicker struct{ tickCounter }
 
 func (c *stuckTicker) Tick() {
@@ -27,8 +27,8 @@
 	}
 }
 
-// A stall of the process is reported, because a box that got no CPU time takes its callers and engines for
-// silent, and the log could not tell the two apart.
+// A stall of the process is reported. A box that got no CPU time believes that its callers and engines were
+// silent, and without the report the log would not show the difference.
 func TestStallIsReported(t *testing.T) {
 	c := &stuckTicker{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -41,9 +41,9 @@
 	cancel()
 }
 
-// An idle box must not be woken by ticks: being woken every 20 ms, and twice more every 100 ms, cost 540 system
-// calls a second, against 190 without (counted over 8 s each, with 10,000 endpoints). It ticks while requests
-// run, and starts again with the next one.
+// The box must not be woken by ticks while no request runs. Being woken every 20 ms, and twice more every 100 ms,
+// cost 540 system calls a second, against 190 without (counted over 8 s each, with 10,000 endpoints). The box ticks
+// while requests run, and starts to tick again with the next request.
 func TestTicksWhileBusy(t *testing.T) {
 	c := &tickCounter{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -59,7 +59,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		c.Leave()
-		for quiet := c.n.Load(); ; quiet = c.n.Load() { // A tick that was under way may still come.
+		for quiet := c.n.Load(); ; quiet = c.n.Load() { // A tick that was under way when the request ended may still be counted.
 			time.Sleep(100 * time.Millisecond)
 			if c.n.Load() == quiet {
 				break
--- a/internal/box/tls_test.go
+++ b/internal/box/tls_test.go
@@ -22,7 +22,7 @@
 	"github.com/stoatramp/stoatramp/internal/demo"
 )
 
-// writeCertificate makes a certificate for 127.0.0.1.
+// writeCertificate makes a self-signed certificate for 127.0.0.1, and returns its files and a pool to verify it.
 func writeCertificate(t *testing.T) (certFile, keyFile string, pool *x509.CertPool) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
