--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,6 +1,6 @@
-// Package account tracks each request: what was decided about it, on which inputs and how
-// old these were. A Trace becomes a decision record, which `stoatramp why` explains, and
-// lines of the decision log. Both gateway and relay use it. It has nothing to do with client accounts.
+// Package account tracks each request: which decisions the box made about it, on which inputs, and how old the
+// inputs were. A Trace becomes a decision record, which `stoatramp why` explains, and lines of the decision log.
+// Both gateway and relay use it. The package has nothing to do with client accounts.
 package account
 
 import (
@@ -11,27 +11,27 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Sink receives finished records. Add must not block.
+// Sink receives the decision records of finished requests. Add must not block.
 type Sink interface{ Add(r *record.Record) }
 
 // Recorder creates and collects the Traces of a box.
 type Recorder struct {
-	// Records keeps the newest records in memory; Archive also receives each record.
+	// Records keeps the newest records in memory. Archive also receives each record.
 	Records *record.Ring
 	Archive Sink
 	Metrics *telemetry.Metrics
 	Log     *Log
-	// Conditions describes the state of the box, for the log lines of requests that were not answered whole; may
-	// be nil.
+	// Conditions describes the state of the box. It is called for the log lines of requests that were not
+	// answered whole, and may be nil.
 	Conditions func() Conditions
 }
 
 // Conditions describes the state of a box at one moment.
 type Conditions struct {
-	// ConfigAge is how long its configuration has been in force.
+	// ConfigAge is how long the box's configuration has been in force.
 	ConfigAge time.Duration
-	// Stall is how long the last stall of the process was, in which it got no CPU time, and StallAge how long ago
-	// that ended; Stall is 0 if there was none.
+	// A stall is a time in which the process got no CPU time. Stall is the length of the last stall, or 0 if
+	// there was none, and StallAge is how long ago it ended.
 	Stall, StallAge time.Duration
 }
 
@@ -39,21 +39,21 @@
 type Trace struct {
 	recorder *Recorder
 	Rec      *record.Record
-	// arrived has a monotonic clock reading, which Rec.At loses in the archive.
+	// arrived is when the request arrived. Unlike Rec.At, it keeps its monotonic clock reading.
 	arrived time.Time
-	// logged means that each decision is logged as it is made. Otherwise the lines are written
-	// when the request ends, and only if something went wrong.
+	// logged means that each decision is logged when it is made. Otherwise the decisions are logged when the
+	// request ends, and only if something went wrong.
 	logged bool
 	// closed means that the request has ended.
 	closed bool
 }
 
-// Open starts tracking a request; the record's At is when it arrived.
+// Open starts tracking a request. The At field of the record must be the time when the request arrived.
 func (b *Recorder) Open(rec *record.Record) *Trace {
 	return &Trace{recorder: b, Rec: rec, arrived: rec.At, logged: b.Log.Sample(time.Now())}
 }
 
-// Step adds a decision.
+// Step adds a decision about the request, and logs it if the request is logged.
 func (a *Trace) Step(s record.Step) {
 	s.After = time.Since(a.arrived)
 	a.Rec.Steps = append(a.Rec.Steps, s)
@@ -77,7 +77,8 @@
 	a.writeLog()
 }
 
-// writeLog writes the lines that have not been logged yet.
+// writeLog writes the log lines of a request that has ended. A request that is neither in the sample of logged
+// requests nor always logged is only counted.
 func (a *Trace) writeLog() {
 	switch {
 	case a.logged:
@@ -99,13 +100,14 @@
 	return b.Conditions()
 }
 
-// Undelivered records that the end of an answer could not be written, and how long after Close that was.
+// Undelivered counts and logs that the end of an answer could not be written to the caller. after is the time
+// between the end of the answer and the failure.
 func (b *Recorder) Undelivered(id string, after time.Duration, err error) {
 	b.Metrics.CountIncomplete(outcome.Undelivered)
 	b.Log.undelivered(id, after, err, b.conditions())
 }
 
-// alwaysLogged reports whether someone may ask about this request later. Its lines are
+// alwaysLogged reports whether someone may ask about this request later. The lines of such a request are
 // written whatever the log rate.
 func alwaysLogged(r *record.Record) bool {
 	if r.Kind != outcome.Answered {
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -20,7 +20,7 @@
 
 func (noArchive) Add(*record.Record) {}
 
-// newRecorder returns a recorder that logs up to rate requests per second to the buffer.
+// newRecorder returns a recorder, and the buffer to which it logs up to rate successful requests per second.
 func newRecorder(rate float64) (*Recorder, *bytes.Buffer) {
 	var out bytes.Buffer
 	m := telemetry.NewMetrics()
@@ -30,7 +30,7 @@
 	}, &out
 }
 
-// runRequest records a request with its decisions and outcome.
+// runRequest records a request with one choice of engines, the given further decisions and the outcome.
 func (b *Recorder) runRequest(id string, o outcome.Outcome, steps ...record.Step) {
 	a := b.Open(&record.Record{ID: id, Route: "r", ConfigVersion: 7, At: time.Now()})
 	choice := &decide.Choice{Compared: 5, Candidates: []decide.Candidate{{Prefill: "p", Decode: "d", ReportAge: 900 * time.Millisecond}, {Decode: "d2"}, {Decode: "d3"}}}
@@ -41,7 +41,7 @@
 	a.Close(o)
 }
 
-// parseLines decodes the log; a line that is not JSON fails the test.
+// parseLines decodes the lines of the log, and fails the test if a line is not JSON.
 func parseLines(t *testing.T, out *bytes.Buffer) (got []map[string]any) {
 	t.Helper()
 	for line := range strings.Lines(out.String()) {
@@ -54,8 +54,8 @@
 	return got
 }
 
-// The line of a decision contains the request's id and the inputs with their age, and the last
-// line the version of the configuration.
+// The log line of a decision contains the id of the request, and the inputs of the decision with their age. The last
+// line of a request contains the version of the configuration.
 func TestLines(t *testing.T) {
 	b, out := newRecorder(10)
 	b.runRequest("id-1", outcome.Outcome{Kind: outcome.Answered}, record.Step{Kind: record.StepFirst, Decode: "d"})
@@ -77,12 +77,12 @@
 	}
 }
 
-// Successful requests are logged up to the rate. All others are logged with every decision,
-// whatever the rate, and requests left out are counted.
+// Successful requests are logged up to the rate, and those that are not logged are counted. All other requests are
+// logged with every decision, whatever the rate.
 func TestSampling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, out := newRecorder(10)
-		const requestsPerSecond, seconds = 200, 10 // 20 times the rate.
+		const requestsPerSecond, seconds = 200, 10 // 200 requests per second are 20 times the rate.
 		refused, retried := 0, 0
 		for n := range requestsPerSecond * seconds {
 			switch {
@@ -139,8 +139,8 @@
 	}
 }
 
-// BenchmarkAccount measures the cost of tracking a request at 20 times the logged rate with a
-// writer that hangs: nothing blocks, and lines that do not fit are counted.
+// BenchmarkAccount measures the cost of tracking requests at 20 times the logged rate while the writer of the log
+// hangs. Nothing blocks, and lines that do not fit into the writer's buffer are counted.
 func BenchmarkAccount(b *testing.B) {
 	hang := make(chan struct{})
 	out := telemetry.NewAsync(hangingWriter{hang})
@@ -170,7 +170,8 @@
 	return len(b), nil
 }
 
-// An answer that was cut off is logged as a warning, which operators search for, with the state of the box, whatever the rate.
+// An answer that was cut off is logged as a warning together with the state of the box, whatever the log rate.
+// Operators search for these warnings.
 func TestAnswerThatWasCutOffIsAWarningWithTheBoxsConditions(t *testing.T) {
 	b, out := newRecorder(0)
 	b.Conditions = func() Conditions {
--- a/internal/account/log.go
+++ b/internal/account/log.go
@@ -13,11 +13,11 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// Log is the decision log. Successful requests are logged up to a rate; all others, and
-// changes of the box's observed state, are always logged.
+// Log is the decision log. Successful requests are logged up to a rate. All other requests are always logged, and so
+// are changes of what the box believes about its surroundings.
 type Log struct {
 	z *zap.Logger
-	// busy reports that the writer is about to drop lines; may be nil.
+	// busy reports whether the writer of the log is about to drop lines. It may be nil.
 	busy func() bool
 	// leftOut counts the requests whose lines were not written.
 	leftOut *metrics.Counter
@@ -28,11 +28,11 @@
 	refilledAt time.Time
 }
 
-// burstSeconds is how many seconds of the rate an idle box may use at once.
+// burstSeconds sets how many requests are logged at once after an idle time: the rate times this many seconds.
 const burstSeconds = 2
 
-// NewLog returns a decision log that writes to z, with up to rate successful requests per
-// second; leftOut counts the others.
+// NewLog returns a decision log that writes up to rate successful requests per second to z. leftOut counts the
+// requests that are not logged. busy and leftOut may be nil.
 func NewLog(z *zap.Logger, rate float64, busy func() bool, leftOut *metrics.Counter) *Log {
 	return &Log{z: z, rate: rate, tokens: rate * burstSeconds, busy: busy, leftOut: leftOut}
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// StateChange logs a change of the box's observed state.
+// StateChange logs a change of what the box believes about its surroundings.
 func (l *Log) StateChange(what string, fields ...zap.Field) {
 	l.z.Info("belief", append([]zap.Field{zap.String("change", what)}, fields...)...)
 }
@@ -123,7 +123,8 @@
 	return out
 }
 
-// endLevel returns warn for answers that the box cut off or failed to give, which operators search for.
+// endLevel returns the level of the last line of a request. It is warn for answers that the box cut off or failed to
+// give, because operators search for warnings.
 func endLevel(r *record.Record) zapcore.Level {
 	if r.Kind == outcome.CutOff || r.Reason == outcome.CallerSlow || r.Reason == outcome.Internal {
 		return zapcore.WarnLevel
@@ -159,10 +160,11 @@
 	l.z.Log(endLevel(r), "request", fields...)
 }
 
-// choiceLine logs the best of the compared pairs, and how many engines were left out and why.
+// choiceLine logs a choice of engines: the best of the compared pairs of a prefill and a decode engine, and how many
+// engines were excluded for which reason.
 type choiceLine decide.Choice
 
-// maxLoggedPairs bounds the pairs in a log line; the record has more.
+// maxLoggedPairs bounds the pairs of engines in a log line. The decision record contains more.
 const maxLoggedPairs = 2
 
 func (c *choiceLine) MarshalLogObject(e zapcore.ObjectEncoder) error {
@@ -189,7 +191,7 @@
 	return nil
 }
 
-// pairLine logs one pair with the figures that the choice was based on.
+// pairLine logs one pair of a prefill and a decode engine with the figures on which the choice was based.
 type pairLine decide.Candidate
 
 func (p *pairLine) MarshalLogObject(e zapcore.ObjectEncoder) error {
@@ -203,7 +205,7 @@
 	return nil
 }
 
-// seenLine logs what the box knew of an endpoint when it selected it.
+// seenLine logs what the box knew of an endpoint when it selected the endpoint.
 type seenLine record.EndpointState
 
 func (s *seenLine) MarshalLogObject(e zapcore.ObjectEncoder) error {
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -1,6 +1,6 @@
-// Package archive stores decision records in the platform's object store, so that they
-// outlive their box. A request id contains its box, incarnation and minute, and the
-// objects are named after those, so that a record is found without an index:
+// Package archive stores the decision records of requests in the platform's object store, so that they outlive the
+// box that wrote them. In Archive, a request id contains the name of the box, its incarnation (which differs at each
+// start) and the minute. Objects are named after these three parts, so that a record is found without an index:
 //
 //	records/BOX-INCARNATION/MINUTE/0, then 1, 2, … as records of that minute end
 package archive
@@ -30,12 +30,12 @@
 }
 
 const (
-	// flushInterval is the time between writes.
+	// flushInterval is the time between two writes to the store.
 	flushInterval = 10 * time.Second
-	// maxPending bounds the records kept in memory during an outage of the store; older
-	// ones are dropped and counted.
+	// maxPending bounds the records kept in memory during an outage of the store. Older records are dropped
+	// and counted.
 	maxPending = 4096
-	// maxParts bounds the objects of one minute that are written and that a search reads.
+	// maxParts bounds the objects that a box writes for one minute, and that a search reads.
 	maxParts = 64
 )
 
@@ -46,7 +46,7 @@
 
 	mu      sync.Mutex
 	pending []*record.Record
-	parts   map[string]partState // The next part of each of this box's minutes.
+	parts   map[string]partState // By object prefix: the next part to write for each minute of this box.
 }
 
 type partState struct {
@@ -54,10 +54,10 @@
 	at   time.Time // When the last part was written.
 }
 
-// partsRetention is how long the next part of a minute is remembered.
+// partsRetention is how long the box remembers which part of a minute to write next.
 const partsRetention = 10 * time.Minute
 
-// New returns an archive; lost counts the dropped records.
+// New returns an archive. lost counts the records that are dropped.
 func New(store ObjectStore, lost *metrics.Counter) *Archive {
 	return &Archive{store: store, lost: lost, parts: map[string]partState{}}
 }
@@ -69,7 +69,7 @@
 	a.pending = appendBounded(a.pending, r, a.lost)
 }
 
-// appendBounded adds a record to the pending ones, and drops the oldest if there are maxPending already.
+// appendBounded adds a record to the pending records, and drops the oldest one if there are maxPending already.
 func appendBounded(pending []*record.Record, r *record.Record, lost *metrics.Counter) []*record.Record {
 	if len(pending) == maxPending {
 		pending = append(pending[:0], pending[1:]...)
@@ -78,7 +78,7 @@
 	return append(pending, r)
 }
 
-// Run writes records until ctx ends.
+// Run writes the pending records regularly until ctx ends.
 func (a *Archive) Run(ctx context.Context) {
 	t := time.NewTicker(flushInterval)
 	defer t.Stop()
@@ -92,8 +92,8 @@
 	}
 }
 
-// Flush writes the pending records, one object for each minute. Records that cannot be
-// written stay pending.
+// Flush writes the pending records, grouped into one object for each minute. Records that cannot be written stay
+// pending.
 func (a *Archive) Flush(ctx context.Context) {
 	a.mu.Lock()
 	byMinute := map[string][]*record.Record{}
@@ -112,8 +112,8 @@
 	}
 }
 
-// write stores one part. A write whose answer was lost is repeated under the same name,
-// possibly with more records, and replaces the first.
+// write stores records of one minute as its next part. If the answer of the store was lost, a later write repeats
+// the part under the same name, possibly with more records, and replaces the first one.
 func (a *Archive) write(ctx context.Context, dir string, list []*record.Record) error {
 	b, err := encodeRecords(list)
 	if err != nil {
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// nextPart returns the first part of a minute that is not written yet. If that is not
-// remembered, it reads the store, so that no part is replaced by other records.
+// nextPart returns the first part of a minute that is not written yet. If the box does not remember it, nextPart
+// reads the store, so that no part is replaced by other records.
 func (a *Archive) nextPart(ctx context.Context, dir string) (int, error) {
 	a.mu.Lock()
 	p, ok := a.parts[dir]
@@ -171,7 +171,7 @@
 	return buf.Bytes(), err
 }
 
-// keyPrefix returns the object prefix of an id of the form BOX-INCARNATION-MINUTE-NUMBER.
+// keyPrefix returns the prefix of the object names for a request id of the form BOX-INCARNATION-MINUTE-NUMBER.
 func keyPrefix(id string) string {
 	parts := strings.Split(id, "-")
 	if len(parts) < 4 {
@@ -184,7 +184,7 @@
 // ErrNotFound means that no object contains the record.
 var ErrNotFound = errors.New("archive: no such record")
 
-// Find reads a record of any box.
+// Find reads the record of a request that any box served.
 func (a *Archive) Find(ctx context.Context, id string) (*record.Record, error) {
 	dir := keyPrefix(id)
 	for part := range maxParts {
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -17,7 +17,7 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// fakeStore is an object store that can be down, or lose the answer to a write.
+// fakeStore is an object store that can be down, or lose its answers to writes.
 type fakeStore struct {
 	mu          sync.Mutex
 	objects     map[string][]byte
@@ -69,8 +69,8 @@
 	}
 }
 
-// Any box finds records by their ids alone, however they are spread over parts and
-// minutes, and also after the writer restarted.
+// Any box finds records by their ids alone, whichever parts and minutes they were written in, and also after the
+// box that wrote them has restarted.
 func TestFind(t *testing.T) {
 	a, s, _ := newArchive()
 	for n := range 250 {
@@ -80,18 +80,18 @@
 		}
 	}
 	a.Flush(context.Background())
-	again := New(s, nil)
-	again.Add(&record.Record{ID: id(1000)})
-	again.Add(&record.Record{ID: id(50)}) // A long request that began in an early minute.
-	again.Flush(context.Background())
+	restarted := New(s, nil)
+	restarted.Add(&record.Record{ID: id(1000)})
+	restarted.Add(&record.Record{ID: id(50)}) // Like a long request that ends after its minute was written.
+	restarted.Flush(context.Background())
 	for _, n := range []int{0, 39, 40, 99, 100, 249, 1000} {
-		expectFound(t, again, n, nil)
+		expectFound(t, restarted, n, nil)
 	}
-	expectFound(t, again, 250, ErrNotFound)
+	expectFound(t, restarted, 250, ErrNotFound)
 }
 
-// During an outage records are kept up to a limit, and dropped ones are counted. A lost
-// answer loses no record.
+// During an outage of the store, records are kept up to a limit, and dropped records are counted. If the answer to a
+// write is lost, no record is lost.
 func TestOutage(t *testing.T) {
 	a, s, lost := newArchive()
 	s.down = true
@@ -113,7 +113,7 @@
 	}
 }
 
-// listedStore is the same store with a listing.
+// listedStore is a fakeStore that can also list and delete objects.
 type listedStore struct{ *fakeStore }
 
 func (l listedStore) Put(ctx context.Context, name string, b []byte) error {
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// Any box finds a record by the caller's id, also after an outage and a lost answer, and
-// objects of boxes that no longer exist are removed when they are too old.
+// Any box finds a record by an id that the caller chose, also after an outage of the store and a lost answer. Objects
+// that are too old are removed, also those of boxes that no longer exist.
 func TestByTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := listedStore{&fakeStore{objects: map[string][]byte{}, down: true}}
--- a/internal/archive/bytime.go
+++ b/internal/archive/bytime.go
@@ -26,21 +26,21 @@
 const (
 	// byTimeInterval is how often a box writes its records, as one object.
 	byTimeInterval = time.Minute
-	// retention is how long objects are kept. Any box removes older ones, at most maxRemovals each time, so
-	// that those of boxes that no longer exist are removed as well.
+	// retention is how long objects are kept. Each box removes older objects, at most maxRemovals at a time. It
+	// also removes objects of other boxes, because some of these boxes may no longer exist.
 	retention   = 30 * time.Minute
 	maxRemovals = 32
-	// maxSearched bounds the objects that one search reads, newest first.
+	// maxSearched bounds how many objects one search reads. It reads the newest objects first.
 	maxSearched = 256
-	// byTimePrefix starts the names of all objects. The time follows in timestampLayout, so that names sort
-	// by time.
+	// byTimePrefix starts the names of all objects. The time in timestampLayout follows, so that names sort by
+	// time.
 	byTimePrefix    = "records-"
 	timestampLayout = "20060102150405"
 )
 
-// TimeArchive stores the records of requests whose ids are chosen by callers, so that an id does not tell where or
-// when the request was served. Objects are named after the time and the box, and a search goes back through
-// them:
+// TimeArchive stores the decision records of requests whose ids are chosen by callers. Such an id does not tell where
+// or when the request was served. Objects are named after the time and the box, and a search reads them from the
+// newest to the oldest:
 //
 //	records-20261202115600-front-malaga-hall-1
 type TimeArchive struct {
@@ -62,15 +62,16 @@
 }
 
 const (
-	// lastObjectRetention is how long the last object is kept in memory, since an older snapshot of the store
-	// may lack it, and maxLastObjectBytes bounds its size.
+	// lastObjectRetention is how long the object written last is kept in memory. If the store is restored from an
+	// older snapshot that lacks the object, the box writes it again. maxLastObjectBytes bounds its size.
 	lastObjectRetention = 20 * time.Second
 	maxLastObjectBytes  = 512 << 10
-	// rewriteSpread keeps boxes from rewriting their objects all at the same time.
+	// rewriteSpread is the longest random delay before a box writes its object again, so that boxes do not all
+	// do so at the same time.
 	rewriteSpread = 5 * time.Second
 )
 
-// NewTimeArchive returns an archive for a box; lost counts the dropped records.
+// NewTimeArchive returns an archive for a box. lost counts the records that are dropped.
 func NewTimeArchive(store ListableStore, box string, lost *metrics.Counter) *TimeArchive {
 	return &TimeArchive{store: store, box: box, lost: lost, storeRestored: make(chan struct{}, 1)}
 }
@@ -82,7 +83,7 @@
 	a.pending = appendBounded(a.pending, r, a.lost)
 }
 
-// Run writes records until ctx ends.
+// Run writes the pending records and removes old objects regularly until ctx ends.
 func (a *TimeArchive) Run(ctx context.Context) {
 	t := time.NewTicker(byTimeInterval)
 	defer t.Stop()
@@ -99,7 +100,7 @@
 	}
 }
 
-// Flush writes the pending records. If that fails, they stay pending.
+// Flush writes the pending records as one object. If that fails, they stay pending.
 func (a *TimeArchive) Flush(ctx context.Context) {
 	a.mu.Lock()
 	list := a.pending
@@ -122,7 +123,7 @@
 	a.rememberLast(writtenObject{name, b})
 }
 
-// rememberLast keeps an object in memory for as long as an older snapshot of the store may lack it.
+// rememberLast keeps an object in memory for as long as a snapshot from which the store is restored may lack it.
 func (a *TimeArchive) rememberLast(o writtenObject) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,7 +148,7 @@
 	}
 }
 
-// rewriteLast writes the last object again, which an older snapshot may lack.
+// rewriteLast writes the last object again after a restore of the store, since the snapshot may lack the object.
 func (a *TimeArchive) rewriteLast(ctx context.Context) {
 	select {
 	case <-time.After(rand.N(rewriteSpread)):
@@ -158,11 +159,11 @@
 	o := a.lastObject
 	a.mu.Unlock()
 	if o.name != "" && a.store.Put(ctx, o.name, o.bytes) != nil {
-		a.StoreRestored() // Tried again until the object is too old.
+		a.StoreRestored() // Run tries again, until the object is forgotten.
 	}
 }
 
-// removeOld removes objects that are too old, of any box.
+// removeOld removes objects of any box that are older than retention.
 func (a *TimeArchive) removeOld(ctx context.Context, now time.Time) {
 	names, err := a.store.List(ctx, byTimePrefix)
 	if err != nil {
@@ -176,7 +177,7 @@
 	}
 }
 
-// Find reads a record of any box, searching from the newest object back.
+// Find reads the record of a request that any box served, searching from the newest object back.
 func (a *TimeArchive) Find(ctx context.Context, id string) (*record.Record, error) {
 	names, err := a.store.List(ctx, byTimePrefix)
 	if err != nil {
--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -10,36 +10,35 @@
 )
 
 const (
-	// maxPendingBytes bounds the lines that wait to be written, in bytes: several seconds of
-	// a busy box.
+	// maxPendingBytes bounds the lines that wait to be written. 256 KB are several seconds of a busy box's log.
 	maxPendingBytes = 256 << 10
-	// flushDelay is how long lines are collected before they are written together. It
-	// bounds how many lines are lost when the process is killed.
+	// flushDelay is how long lines are collected before they are written together. Lines of this time at most are
+	// lost when the process is killed.
 	flushDelay = 200 * time.Millisecond
-	// hurriedFlushDelay replaces flushDelay after a call of Hurry: a problem just before the process is killed
-	// must still reach the log.
+	// hurriedFlushDelay replaces flushDelay after a call of Hurry: a warning logged just before the process is
+	// killed must still reach the log.
 	hurriedFlushDelay = 5 * time.Millisecond
 )
 
-// Async passes lines to a writer from its own goroutine, so that logging never blocks: not on
-// a slow disk, nor on a pipe that nobody reads. Lines that do not fit into its buffer are
-// dropped and counted, and a line reports how many once there is room again.
+// Async passes log lines to a writer from its own goroutine, so that logging never blocks, neither on a slow disk nor
+// on a pipe that nobody reads. Lines that do not fit into its buffer are dropped and counted. Once there is space
+// again, a line reports how many were dropped.
 //
-// Example: the reader of standard output hangs for a minute. The first 256 KB of lines
-// are buffered, the ones after that are dropped, and when it reads again it receives the first
-// ones, then {"level":"warn","msg":"log lines dropped","lines":812}, then new ones.
+// Example: the reader of standard output hangs for a minute. The first 256 KB of lines are buffered, and the lines
+// after that are dropped. When the reader reads again, it receives the buffered lines, then
+// {"level":"warn","msg":"log lines dropped","lines":812}, and then new lines.
 type Async struct {
 	w io.Writer
-	// wake has an entry while there is something to write.
+	// wake contains a value while there are lines to write.
 	wake chan struct{}
-	// hurry has an entry while the pending lines are to be written soon.
+	// hurry contains a value while the pending lines are to be written soon.
 	hurry chan struct{}
 
 	mu      sync.Mutex
 	pending []byte
 	// writing means that lines were taken from pending and are not written yet.
 	writing bool
-	// unreportedDrops counts the lines dropped since the last one that was accepted.
+	// unreportedDrops counts the lines dropped since a line was last accepted.
 	unreportedDrops uint64
 	written         uint64 // Bytes.
 	dropped         uint64 // Lines.
@@ -81,7 +80,7 @@
 	}
 }
 
-// awaitBatch returns once the pending lines are to be written.
+// awaitBatch waits until the pending lines are to be written: for flushDelay, or shorter after a call of Hurry.
 func (a *Async) awaitBatch() {
 	select {
 	case <-time.After(flushDelay):
@@ -90,13 +89,13 @@
 	}
 }
 
-// droppedNotice is a log line that reports how many lines are missing at its place.
+// droppedNotice returns a log line that reports how many lines were dropped at this place of the log.
 func droppedNotice(now time.Time, lines uint64) string {
 	return fmt.Sprintf("{\"level\":\"warn\",\"time\":%q,\"msg\":\"log lines dropped\",\"lines\":%d}\n", now.Format(time.RFC3339Nano), lines)
 }
 
-// Sync waits until everything is written, but only briefly: a reader that hangs must not
-// delay the end of the process.
+// Sync waits until all lines are written, but only for a bounded time: a reader that hangs must not delay the end of
+// the process.
 func (a *Async) Sync() error {
 	const pause = 10 * time.Millisecond
 	for range 2 * flushDelay / pause {
@@ -114,14 +113,14 @@
 	return len(a.pending) == 0 && !a.writing
 }
 
-// Busy reports whether the writer is falling behind: more than half of the buffer is used.
+// Busy reports whether the writer falls behind: more than half of the buffer is used.
 func (a *Async) Busy() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.pending) > maxPendingBytes/2
 }
 
-// Register adds the writer's own metrics to a set.
+// Register adds metrics about the writer to a set: the dropped lines and the written bytes.
 func (a *Async) Register(s *metrics.Set) {
 	read := func(n *uint64) func() float64 {
 		return func() float64 {
@@ -134,7 +133,7 @@
 	s.NewGauge("stoatramp_log_bytes_total", read(&a.written))
 }
 
-// run writes the pending lines in batches.
+// run writes the pending lines in batches, as long as the process runs.
 func (a *Async) run() {
 	var spare []byte
 	for range a.wake {
--- a/internal/telemetry/async_test.go
+++ b/internal/telemetry/async_test.go
@@ -12,7 +12,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// gatedWriter blocks until its gate opens.
+// gatedWriter is a writer that blocks until its gate channel is closed, as if its reader hung until then.
 type gatedWriter struct {
 	gate chan struct{}
 
@@ -33,7 +33,7 @@
 	return g.got.String()
 }
 
-// stopWriter ends the writer's goroutine, as synctest requires.
+// stopWriter ends the goroutine of an Async, because synctest requires that all goroutines of a test end.
 func stopWriter(a *Async) {
 	close(a.wake)
 	time.Sleep(time.Minute)
@@ -54,8 +54,8 @@
 	return ""
 }
 
-// Logging does not block while the reader hangs: in the synctest bubble a Write that waited for it would
-// deadlock. Lines that do not fit are counted, and a line reports them in their place.
+// Logging does not block while the reader of the log hangs. If a Write waited for the reader, synctest would report a
+// deadlock. Lines that do not fit into the buffer are counted, and a line reports their number in their place.
 func TestAsyncHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &gatedWriter{gate: make(chan struct{})}
@@ -70,7 +70,7 @@
 		if !a.Busy() {
 			t.Error("expected a full buffer to be reported as busy")
 		}
-		if err := a.Sync(); err != nil { // Bounded, although nothing can be written.
+		if err := a.Sync(); err != nil { // Returns after a bounded time, although nothing can be written.
 			t.Error(err)
 		}
 		close(g.gate)
@@ -92,7 +92,7 @@
 	})
 }
 
-// Lines are written whole and in order.
+// Each line is written whole, and all lines are written in order.
 func TestAsyncOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &gatedWriter{gate: make(chan struct{})}
@@ -112,7 +112,7 @@
 	})
 }
 
-// Warnings are written without the usual delay, since the process may be killed right after it cut an answer off.
+// Warnings are written without the usual delay, since the process may be killed right after it cut off an answer.
 func TestWarningsAreWrittenWithoutTheUsualPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &gatedWriter{gate: make(chan struct{})}
--- a/internal/telemetry/count.go
+++ b/internal/telemetry/count.go
@@ -9,8 +9,8 @@
 
 type dialFunc = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// CountBytes wraps a dialer so that the bytes of its connections are counted in both directions,
-// without the overhead of TCP and below.
+// CountBytes wraps a dialer so that c counts the bytes that its connections read and write. The overhead of TCP and
+// the layers below is not counted.
 func CountBytes(c *metrics.Counter, dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
--- a/internal/telemetry/routes.go
+++ b/internal/telemetry/routes.go
@@ -15,33 +15,33 @@
 // Stage is a phase of a request whose duration is measured.
 type Stage string
 
-// The stages. A request that runs on no engine has StageTotal only.
+// The stages of a request. A request that runs on no engine has StageTotal only.
 const (
-	// StageDecide ends when a pair of engines was first selected.
+	// StageDecide ends when the box has selected a pair of a prefill and a decode engine for the first time.
 	StageDecide Stage = "decide"
-	// StagePrefill ends when the prompt's cache is handed to a decode engine.
+	// StagePrefill ends when the prefill is done and the request is sent to a decode engine.
 	StagePrefill Stage = "read"
-	// StageFirstToken ends with the first event or token.
+	// StageFirstToken ends with the first event or token of the answer.
 	StageFirstToken Stage = "begin"
 	StageTotal      Stage = "whole"
 )
 
-// routeHistograms are the histograms of the routes that received requests. Routes come and go with the
-// configuration, and so do their histograms.
+// routeHistograms are the duration histograms of the routes that received requests. Routes are added and removed with
+// the configuration, and their histograms with them.
 type routeHistograms struct {
 	set *metrics.Set
 
 	mu sync.Mutex
-	// histograms are the names of each route's histograms.
+	// histograms are the names of the histograms of each route.
 	histograms map[string][]string
 }
 
-// maxRoutes bounds the routes with their own histograms; the others share those of otherRoutes.
+// maxRoutes bounds the routes that have their own histograms. All other routes share the histograms of otherRoutes.
 const maxRoutes = 64
 
 const otherRoutes = "(other)"
 
-// ObserveTimes records the durations of a finished request.
+// ObserveTimes records the durations of a finished request, and counts the request if it was answered on time.
 func (m *Metrics) ObserveTimes(r *record.Record) {
 	if r.Route == "" {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// label is the route label under which a route's durations are recorded.
+// label returns the route label under which the durations of a route are recorded.
 func (t *routeHistograms) label(route string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -21,23 +21,24 @@
 	refusals map[outcome.Reason]*metrics.Counter
 	retries  map[outcome.Reason]*metrics.Counter
 	wasted   map[outcome.Reason]*metrics.Counter
-	// incomplete counts the answers that callers did not receive whole, by cause.
+	// incomplete counts the answers that callers did not receive whole, by reason.
 	incomplete map[outcome.Reason]*metrics.Counter
 
 	Moves               *metrics.Counter
 	CompletedMigrations *metrics.Counter
 	AbortedMigrations   *metrics.Counter
 	Resumes             *metrics.Counter
-	// RepeatedCalls counts the calls beyond the first one of each request. The call that only runs the
-	// prefill is not counted.
+	// RepeatedCalls counts the calls to endpoints beyond the first call of each request. The call that only
+	// runs the prefill is not counted.
 	RepeatedCalls *metrics.Counter
 	// SuspectedCrashes counts calls during which an endpoint is suspected to have crashed.
 	SuspectedCrashes *metrics.Counter
 	Aborts           *metrics.Counter
-	// LimitNotices and LimitLiftedNotices count changes of the limits that endpoints state in their answers, LeavingNotices
-	// and PauseNotices their notices of leaving and of pauses, and MalformedNotices notices that cannot be parsed.
+	// LimitNotices counts new or changed limits that endpoints announced, and LimitLiftedNotices limits that no
+	// longer apply. LeavingNotices and PauseNotices count notices that an endpoint is leaving or asks for a pause.
+	// MalformedNotices counts notices that cannot be parsed.
 	LimitNotices, LimitLiftedNotices, LeavingNotices, PauseNotices, MalformedNotices *metrics.Counter
-	// WidenedSubsets counts how often the box took more endpoints of a service into account.
+	// WidenedSubsets counts how often the box doubled its subset of a service's endpoints, from which it selects.
 	WidenedSubsets *metrics.Counter
 	AbortsLost     *metrics.Counter
 	ForeignChunks  *metrics.Counter
@@ -48,19 +49,19 @@
 	Goodput        *metrics.Counter
 	OnTime         *metrics.Counter
 	LogLeftOut     *metrics.Counter
-	// Stalls counts the times that the process was found to have had no CPU time for a while.
+	// Stalls counts how often the process was found to have had no CPU time for a while.
 	Stalls        *metrics.Counter
 	ControlBytes  *metrics.Counter
 	RecordsLost   *metrics.Counter
 	FirstToken    *metrics.Histogram
 	BetweenTokens *metrics.Histogram
-	// LimitCheckTime is the time that checking clients' limits took.
+	// LimitCheckTime is the time that a check of a client account's limits took.
 	LimitCheckTime *metrics.Histogram
 
 	routes routeHistograms
 }
 
-// NewMetrics registers all counters, so that a reason that never occurred reads 0.
+// NewMetrics registers all counters at once, so that the counter of a reason that never occurred reads 0.
 func NewMetrics() *Metrics {
 	s := metrics.NewSet()
 	m := &Metrics{
@@ -126,21 +127,21 @@
 	}
 }
 
-// CountIncomplete counts an answer that its caller did not receive whole.
+// CountIncomplete counts an answer that its caller did not receive whole, by reason.
 func (m *Metrics) CountIncomplete(r outcome.Reason) {
 	if c := m.incomplete[r]; c != nil {
 		c.Inc()
 	}
 }
 
-// CountRetry counts a retry or migration by its reason.
+// CountRetry counts a retry or a migration (moving a running request to another engine) by its reason.
 func (m *Metrics) CountRetry(r outcome.Reason) {
 	if c := m.retries[r]; c != nil {
 		c.Inc()
 	}
 }
 
-// CountWasted counts prompt tokens that were computed and thrown away.
+// CountWasted counts prompt tokens that an engine computed and whose results were thrown away.
 func (m *Metrics) CountWasted(r outcome.Reason, tokens int) {
 	if c := m.wasted[r]; c != nil {
 		c.Add(tokens)
@@ -159,10 +160,10 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// hurrier is a writer that batches lines and can be asked to write them soon.
+// hurrier is a writer that collects lines and can be asked to write them soon.
 type hurrier interface{ Hurry() }
 
-// NewLogger returns a logger that writes JSON lines to w.
+// NewLogger returns a logger that writes JSON lines to w. If w collects lines, warnings are written soon.
 func NewLogger(w io.Writer) *zap.Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.TimeKey = "time"
