--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,8 +1,9 @@
-// Package notice tracks what endpoints announce about themselves in response headers. Before a new request is sent to
-// an endpoint, the Table is consulted.
+// Package notice tracks what endpoints announce about themselves in response headers: a limit on the requests per
+// second, that they are leaving (about to shut down), or a pause in which a box should not send. Before a box sends a
+// request to an endpoint, it asks the Table whether it may.
 //
-// Notices are stored under the endpoint's ID, which identifies one start: they outlive changes of the endpoint list and
-// of the configuration, but not the start.
+// Notices are stored under the endpoint's ID, which differs at each start of an endpoint. So they outlive changes of
+// the endpoint list and of the configuration, but not a restart of the endpoint.
 package notice
 
 import (
@@ -17,52 +18,52 @@
 
 // Notice is what one response header announces about the endpoint that sent it.
 type Notice struct {
-	// Limit is how many requests per second the endpoint accepts from all boxes together; 0 if it announces no
+	// Limit is how many requests per second the endpoint accepts from all boxes together, or 0 if it announces no
 	// limit.
 	Limit float64
 	// Leaving says that the endpoint will shut down and accepts no new requests.
 	Leaving bool
-	// Pause is how long the endpoint, which rejected a request, wants no further requests from this box; 0 if it
+	// Pause is how long the endpoint wants no further requests from this box after it rejected a request, or 0 if it
 	// asks for no pause.
 	Pause time.Duration
-	// Malformed describes a malformed part of the header; empty if there is none. What the endpoint announced before
-	// still applies.
+	// Malformed describes a malformed part of the header, and is empty if there is none. A malformed part changes
+	// nothing: what the endpoint announced earlier still applies.
 	Malformed string
 }
 
 // Answer is one response of an endpoint.
 type Answer struct {
 	Endpoint string
-	// Region is where the endpoint is: the boxes listed for that region share its limit.
+	// Region is the region of the endpoint. The boxes listed for that region share the endpoint's limit.
 	Region string
-	// Sent is when the request was sent, by the box's steady clock.
+	// Sent is when the request was sent, by the clock of package clock.
 	Sent time.Time
-	// Completed says that the endpoint completed a caller's request. Only such a response can clear a limit: other
-	// responses may not repeat what still applies.
+	// Completed says that the endpoint completed a caller's request. Only such a response can clear a limit, because
+	// other responses may not repeat the limit although it still applies.
 	Completed bool
 	Notice    Notice
 }
 
-// minLimitChange is the relative change of a limit above which it counts as another limit. An endpoint may announce
+// minLimitChange is the relative change of a limit above which the limit counts as changed. An endpoint may announce
 // a slightly different number in each response.
 const minLimitChange = 0.1
 
-// Change is a change of an endpoint's state by a response.
+// Change is a change of an endpoint's announced state by a response.
 type Change uint8
 
-// Changes of an endpoint's state.
+// Changes of an endpoint's announced state.
 const (
 	_ Change = iota
-	// LimitAnnounced means a first or a changed limit, LimitRepeated the same limit after a while, and LimitLifted
-	// that the limit no longer applies.
+	// LimitAnnounced means that an endpoint announced its first limit or a changed one. LimitRepeated means that it
+	// announced the same limit again after repeatInterval. LimitLifted means that the limit no longer applies.
 	LimitAnnounced
 	LimitRepeated
 	LimitLifted
-	// LeavingAnnounced means that the endpoint announced for the first time that it leaves, and PauseRequested a pause that
-	// ends later than the last one.
+	// LeavingAnnounced means that the endpoint announced for the first time that it is leaving. PauseRequested means
+	// that it asked for a pause that ends later than the previous one.
 	LeavingAnnounced
 	PauseRequested
-	// MalformedNotice means a malformed notice that differs from the last one reported.
+	// MalformedNotice means that the endpoint sent a malformed notice that differs from the one last reported.
 	MalformedNotice
 )
 
@@ -70,17 +71,18 @@
 type endpoint struct {
 	region string
 	limit  float64 // Requests per second; 0 for none.
-	// limitSentAt is when the request was sent whose response announced the limit last, and publishedAt when the
+	// limitSentAt is when the box sent the latest request whose response announced the limit. publishedAt is when the
 	// limit was last published to the other boxes.
 	limitSentAt, publishedAt time.Time
 	pacer                    pacing.Pacer
-	// boxesVersion is the version of the list of boxes for which the pacer's share was computed, and nextRenewal
-	// when the list is checked again; zero after a change of the limit.
+	// boxesVersion is the version of the list of boxes for which the pacer's share was computed. nextRenewal is when
+	// the list is checked again; it is zero after a change of the limit.
 	boxesVersion int64
 	nextRenewal  time.Time
 	leaving      bool
 	pausedUntil  time.Time // When the pause requested of this box ends; zero if none was requested.
-	// malformed is the last malformed notice, as of malformedAt: an endpoint may send another one each time.
+	// malformed is the malformed notice that was last reported, and malformedAt when. An endpoint may send a
+	// different one with each response.
 	malformed    string
 	malformedAt  time.Time
 	lastNoticeAt time.Time // When the endpoint last sent a notice.
@@ -94,8 +96,8 @@
 	box   string
 	boxes Boxes
 	epoch time.Time
-	// numEndpoints counts the endpoints in byID, so that the lock is not needed while there are none, and
-	// numLimited those with a limit.
+	// numEndpoints is the number of endpoints in byID. It is read without the lock, so that nothing waits for the
+	// lock while there are none. numLimited is the number of endpoints with a limit.
 	numEndpoints, numLimited atomic.Int64
 
 	mu   sync.Mutex
@@ -108,10 +110,10 @@
 }
 
 // repeatInterval is how often a limit that still applies is published again, since messages are lost and boxes
-// restart, and the minimum time between reports of malformed notices of one endpoint.
+// restart. It is also the least time between two reports of malformed notices of one endpoint.
 const repeatInterval = 5 * time.Second
 
-// Observe records the notice of a response, and returns what it changes.
+// Observe records the notice in a response, and returns the changes that it makes to the endpoint's state.
 func (t *Table) Observe(now time.Time, a Answer) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -144,7 +146,7 @@
 	return changes
 }
 
-// updateLimit records what a response announces about a limit. t.mu must be held.
+// updateLimit records what a response says about the endpoint's limit. The caller must hold t.mu.
 func (t *Table) updateLimit(now time.Time, e *endpoint, a Answer) []Change {
 	switch {
 	case a.Notice.Limit > 0:
@@ -168,7 +170,7 @@
 	return nil
 }
 
-// Has reports whether an endpoint has sent any notice; otherwise, a response without a notice changes nothing.
+// Has reports whether an endpoint has sent any notice. If it has not, a response without a notice changes nothing.
 func (t *Table) Has(id string) bool {
 	if t.numEndpoints.Load() == 0 {
 		return false
@@ -178,7 +180,7 @@
 	return t.byID[id] != nil
 }
 
-// clearLimit removes the limit of an endpoint. t.mu must be held.
+// clearLimit removes the limit of an endpoint. The caller must hold t.mu.
 func (t *Table) clearLimit(e *endpoint) {
 	if e.limit > 0 {
 		t.numLimited.Add(-1)
@@ -186,7 +188,8 @@
 	e.limit, e.pacer, e.nextRenewal = 0, pacing.Pacer{}, time.Time{}
 }
 
-// Leaving reports whether an endpoint has announced that it leaves. That is final for this start.
+// Leaving reports whether an endpoint has announced that it is leaving. It cannot take this back until it restarts, and
+// then it has another ID.
 func (t *Table) Leaving(id string) bool {
 	if t.numEndpoints.Load() == 0 {
 		return false
@@ -197,7 +200,7 @@
 	return e != nil && e.leaving
 }
 
-// IsPaused reports whether an endpoint has asked this box for a pause that is not over.
+// IsPaused reports whether an endpoint has asked this box for a pause that has not ended yet.
 func (t *Table) IsPaused(id string, now time.Time) bool {
 	if t.numEndpoints.Load() == 0 {
 		return false
@@ -208,7 +211,7 @@
 	return e != nil && now.Before(e.pausedUntil)
 }
 
-// ThrottledFor is how long an endpoint accepts no new requests from this box; 0 if it accepts one now.
+// ThrottledFor returns how long an endpoint accepts no new requests from this box, or 0 if it accepts one now.
 func (t *Table) ThrottledFor(id string, now time.Time) time.Duration {
 	if t.numEndpoints.Load() == 0 {
 		return 0
@@ -227,7 +230,7 @@
 	return max(remainingPause, e.pacer.Wait(now, t.epoch))
 }
 
-// Sent accounts for a request that was sent to an endpoint and accepted.
+// Sent accounts for a request that was sent to an endpoint and accepted by it.
 func (t *Table) Sent(id string, now time.Time) {
 	if t.numEndpoints.Load() == 0 {
 		return
@@ -240,11 +243,11 @@
 	}
 }
 
-// renewInterval is how often the list of boxes is checked for an endpoint with a limit.
+// renewInterval is the time between two checks of the list of boxes for an endpoint with a limit.
 const renewInterval = 250 * time.Millisecond
 
-// renewShare computes this box's share of a limit again if the limit or the list of boxes has changed. t.mu must be
-// held.
+// renewShare computes this box's share of an endpoint's limit again if the limit or the list of boxes has changed. The
+// caller must hold t.mu.
 func (t *Table) renewShare(e *endpoint, id string, now time.Time) {
 	if now.Before(e.nextRenewal) {
 		return
@@ -263,11 +266,12 @@
 	return b
 }
 
-// endpointTTL is how long an endpoint is remembered that has nothing in force, or is not listed. It is longer than
-// a list may lack entries that expired while the store was unavailable.
+// endpointTTL is how long after its last notice an endpoint is remembered if no notice of it is in force, or if it is
+// not listed. The time is longer than an endpoint can be missing from the list because its row expired during an outage
+// of the store.
 const endpointTTL = 10 * time.Minute
 
-// Expire forgets endpoints without a recent notice that have nothing in force or are not listed.
+// Expire forgets the endpoints that sent no notice for endpointTTL, unless a notice is in force and they are listed.
 func (t *Table) Expire(now time.Time, listed func(id string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -10,7 +10,8 @@
 
 func singleBox(string) ([]string, int64) { return []string{"b"}, 1 }
 
-// answerAt is a response to a request that was sent at a time, with a limit, or without one if that is 0.
+// answerAt returns a response to a request that was sent at the given time. The response announces the limit, or none
+// if the limit is 0.
 func answerAt(seconds float64, limit float64) Answer {
 	return Answer{Endpoint: "e", Sent: timeAt(seconds), Completed: true, Notice: Notice{Limit: limit}}
 }
@@ -22,7 +23,7 @@
 // answerDelay is the time between a request and its response.
 const answerDelay = 50 * time.Millisecond
 
-// expectChanges feeds a table responses in this order and expects the change that each makes, 0 for none.
+// expectChanges passes responses to a table one after another, and expects the change that each makes; 0 means none.
 func expectChanges(t *testing.T, answers []Answer, want ...Change) *Table {
 	t.Helper()
 	table := NewTable("b", singleBox)
@@ -40,12 +41,14 @@
 		0, LimitAnnounced, 0, LimitAnnounced, LimitLifted, 0)
 }
 
-// Responses on separate connections may arrive out of order.
+// Responses on separate connections may arrive out of order: if the request was sent before the one whose response
+// announced the limit, a response without a limit does not lift it.
 func TestLimitNotLiftedByAnAnswerSentBefore(t *testing.T) {
 	expectChanges(t, []Answer{answerAt(2, 6), answerAt(1, 0)}, LimitAnnounced, 0)
 }
 
-// Only a response to a completed request clears a limit: a box's own calls and failures need not repeat it.
+// Only a completed request's response lifts a limit. Failures, and calls that the box makes for itself, need not repeat
+// the limit.
 func TestLimitNotLiftedByAFailure(t *testing.T) {
 	failed := answerAt(2, 0)
 	failed.Completed = false
@@ -61,7 +64,7 @@
 	}
 }
 
-// expectKept has an endpoint send a notice, and expects it to be remembered or forgotten some time later.
+// expectKept has an endpoint send a notice, and expects that after some time the table remembers the endpoint or not.
 func expectKept(t *testing.T, n Notice, later time.Duration, listed, want bool) {
 	t.Helper()
 	table := NewTable("b", singleBox)
@@ -72,16 +75,17 @@
 	}
 }
 
-// An entry may expire while the store is unavailable; what is in force stays while the endpoint is listed.
+// An endpoint may be missing from the list because its row expired while the store was unavailable, so it is remembered
+// for endpointTTL. While it is listed, notices in force stay longer than that.
 func TestKeepForgetsIdleAndUnlistedEndpoints(t *testing.T) {
 	for _, n := range []Notice{{Limit: 6}, {Leaving: true}} {
 		expectKept(t, n, endpointTTL, false, true)
 		expectKept(t, n, endpointTTL+time.Second, false, false)
 		expectKept(t, n, endpointTTL+time.Second, true, true)
 	}
-	rest := Notice{Pause: time.Second}
-	expectKept(t, rest, endpointTTL, true, true)
-	expectKept(t, rest, endpointTTL+time.Second, true, false)
+	pause := Notice{Pause: time.Second}
+	expectKept(t, pause, endpointTTL, true, true)
+	expectKept(t, pause, endpointTTL+time.Second, true, false)
 }
 
 func TestLeavingIsReportedOnce(t *testing.T) {
@@ -89,10 +93,10 @@
 	expectChanges(t, []Answer{leaves, leaves, answerAt(2, 0)}, LeavingAnnounced, 0, 0)
 }
 
-// A pause ends at the latest requested time: each response that asked for one still applies.
+// If several responses ask for pauses, the pause ends at the latest of the requested times.
 func TestRestIsExtendedNotShortened(t *testing.T) {
-	pauseAnswer := func(at float64, rest time.Duration) Answer {
-		return Answer{Endpoint: "e", Sent: timeAt(at), Notice: Notice{Pause: rest}}
+	pauseAnswer := func(at float64, pause time.Duration) Answer {
+		return Answer{Endpoint: "e", Sent: timeAt(at), Notice: Notice{Pause: pause}}
 	}
 	expectChanges(t, []Answer{pauseAnswer(0, 3*time.Second), pauseAnswer(1, time.Second), pauseAnswer(2, 3*time.Second), pauseAnswer(3, 0)},
 		PauseRequested, 0, PauseRequested, 0)
@@ -112,7 +116,7 @@
 	}
 }
 
-// If an endpoint announces a limit and asks for a pause, both apply.
+// If an endpoint announces a limit and asks for a pause, the box keeps to both.
 func TestRestHoldsWithinTheLimit(t *testing.T) {
 	answer := answerAt(1, 100)
 	answer.Notice.Pause = 10 * time.Second
--- a/internal/pacing/cold_test.go
+++ b/internal/pacing/cold_test.go
@@ -10,8 +10,8 @@
 
 var testLimits = ColdLimits{Factor: 1.5, Slack: 5}
 
-// simulateArrivals has boxes that always have a request for a cold endpoint send as fast as they may for
-// twenty seconds. Each box uses its own list, and a request takes up to 300 ms to arrive.
+// simulateArrivals returns when requests arrive at a cold endpoint in twenty seconds. All boxes always have a request
+// for it and send as fast as they may. Each box uses its own list of boxes, and a request takes up to 300 ms to arrive.
 func simulateArrivals(rng *rand.Rand, lists map[string][]string, rate float64, l ColdLimits) (at []time.Duration) {
 	const duration = 20 * time.Second
 	for box, list := range lists {
@@ -27,7 +27,7 @@
 	return at
 }
 
-// worstSecond is the largest number of arrivals in any second.
+// worstSecond returns the largest number of arrivals in any second.
 func worstSecond(at []time.Duration) (most int) {
 	for first, last := 0, 0; last < len(at); last++ {
 		for at[last]-at[first] >= time.Second {
@@ -45,13 +45,13 @@
 	return out
 }
 
-// expectWithin simulates boxes whose lists each lack a share of the boxes, and expects that every second is
-// within the bound and that the endpoint gets at least the share minUsed of its rate.
+// expectWithin simulates boxes whose lists of boxes each lack the share missing of the boxes. It expects that the
+// arrivals of every second are within the bound, and that the endpoint receives at least the share minUsed of its rate.
 func expectWithin(t *testing.T, boxes int, missing, rate float64, l ColdLimits, minUsed float64) {
 	t.Helper()
 	seeds := uint64(20)
 	if boxes > 100 {
-		seeds = 3 // Each box hashes the names of all boxes.
+		seeds = 3 // Fewer runs, because each box hashes the names of all boxes.
 	}
 	for seed := range seeds {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -69,8 +69,9 @@
 	}
 }
 
-// The bound holds for any number of boxes without communication: 986 boxes that each sent one request per
-// second would exceed a bound of 63. It also holds while a third of each list is missing.
+// The bound for a cold endpoint holds for any number of boxes, without communication between them. If each of 986 boxes
+// sent one request per second, a bound of 63 would be exceeded. The bound also holds if a third of each box's list is
+// missing.
 func TestBoundOverAllBoxes(t *testing.T) {
 	for _, boxes := range []int{1, 7, 23, 80, 400, 986} {
 		expectWithin(t, boxes, 0, 39, testLimits, 0.02)
@@ -81,8 +82,8 @@
 	expectWithin(t, 80, 0, 2, ColdLimits{}, 0.4)
 }
 
-// An endpoint that can serve less than one request per second gets none while it is cold, and a box that is
-// not on its own list is not selected.
+// An endpoint that can serve less than one request per second receives none while it is cold. A box that is not on its
+// own list of boxes may not send.
 func TestSendsNothing(t *testing.T) {
 	if p := NewColdPace("box-0", boxNames(1), "e", 0.5, ColdLimits{}); p != 0 {
 		t.Errorf("expected no pace for an endpoint with a rate of 0.5 per second, got %s", time.Duration(p))
@@ -95,7 +96,8 @@
 	}
 }
 
-// BenchmarkPaceOf measures the cost of one cold endpoint whenever the list of boxes changes.
+// BenchmarkPaceOf measures computing the pace of one box for one cold endpoint, for several numbers of boxes. A box
+// does this whenever its list of boxes changes.
 func BenchmarkPaceOf(b *testing.B) {
 	for _, n := range []int{80, 400, 986} {
 		list := boxNames(n)
--- a/internal/pacing/share.go
+++ b/internal/pacing/share.go
@@ -1,6 +1,6 @@
 package pacing
 
-// This file bounds what is sent to an endpoint that announces a limit in its responses.
+// This file bounds what all boxes together send to an endpoint that announces a limit in its responses.
 
 import (
 	"math"
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// How far all boxes together may exceed an endpoint's limit by the platform's rules: in any limitWindow,
-// limitFactor times what the limit allows in that time, plus limitSlack requests.
+// By the platform's rules, all boxes together may exceed an endpoint's limit as follows: in any limitWindow they may
+// send limitFactor times what the limit allows in that time, plus limitSlack requests. This is called the bound.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
@@ -19,39 +19,43 @@
 )
 
 const (
-	// limitUsableShare is the share of that bound that is distributed. The rest is for boxes whose lists of
-	// boxes differ for some seconds, and for requests that arrive closer together than they were sent.
+	// limitUsableShare is the share of the bound that is distributed among the boxes. The other quarter is for
+	// two cases: boxes whose lists of boxes differ for some seconds, and requests that arrive closer together
+	// than they were sent.
 	limitUsableShare = 0.75
-	// unselectedSlack is reserved for the boxes that are not selected, whose slots may coincide.
+	// unselectedSlack is the part of the bound, in requests, for the boxes that are not selected. Each of them
+	// may send in its own time slot, but the slots of two boxes may coincide.
 	unselectedSlack = 1
-	// maxSlot bounds the time in which a box that is not selected may send its request. Without the bound,
-	// all of them would send at once after a period without traffic.
+	// maxSlot bounds the length of a slot, the time in which a box that is not selected may send one request.
+	// With longer slots, all of these boxes would send at once after a period without traffic.
 	maxSlot = 2 * time.Second
-	// minBoxesIfUnlisted is the least number of boxes that a box assumes while it is not on its own list: the
-	// list is outdated or was not read yet.
+	// minBoxesIfUnlisted is the least number of boxes that a box assumes while it is not on its own list of
+	// boxes, because that list is then outdated or was not read yet.
 	minBoxesIfUnlisted = 100
 )
 
-// Share is what one box may send to an endpoint that announces a limit. A selected box has a Rate and a Burst;
-// any other box may send one request in each slot.
+// Share is what one box may send to an endpoint that announces a limit. A selected box sends at a Rate with a Burst.
+// Any other box may send one request in each of its time slots.
 type Share struct {
 	Selected bool
 	Rate     float64 // Requests per second.
 	Burst    float64 // Requests at once; at least 1.
-	// A slot of length Slot begins once per Period, at Phase after the epoch of the box's clock.
+	// A slot of length Slot begins once per Period. The first one begins Phase after the epoch, the time from which
+	// the box counts its slots.
 	Period, Phase, Slot time.Duration
 }
 
-// ShareOf returns the share of a box among all that may send to an endpoint with a limit in requests per
-// second.
+// ShareOf returns the share of one box. boxes are all boxes that may send to the endpoint, and limit is the endpoint's
+// limit in requests per second.
 //
-// The sum is bounded without communication between boxes. An equal share of the limit for each box would not
-// do: 400 boxes that each send one request far exceed a limit of 6. So a few boxes are selected by rendezvous
-// hashing, and the others share one more share in time slots: that lets each of them find out by itself when
-// a limit is lifted, even if no message of another box reaches it.
+// The sum over all boxes is bounded without communication between them. An equal share of the limit for each box would
+// not work: 400 boxes that each send one request far exceed a limit of 6. So a few boxes are selected by rendezvous
+// hashing and receive one share of the limit each. All other boxes together receive one more share, in time slots.
+// With its slots each of them finds out by itself when the limit is lifted, even if no message of another box
+// reaches it.
 //
-// Example: a limit of 6 per second allows at most 41 requests in 4 s. Of 60 boxes five are selected, each with
-// 1 per second, and each of the other 55 has a slot every 55 s.
+// Example: a limit of 6 per second allows at most 41 requests in 4 s. Of 60 boxes five are selected, each with 1
+// request per second. Each of the other 55 boxes has a slot every 55 s.
 func ShareOf(box string, boxes []string, endpoint string, limit float64) Share {
 	burst := limitUsableShare*(limitFactor*limit*limitWindow.Seconds()+limitSlack) - limit*limitWindow.Seconds() - unselectedSlack
 	n := max(1, int(burst))
@@ -70,7 +74,8 @@
 	return Share{Period: period, Phase: time.Duration(phase * float64(period)), Slot: min(maxSlot, period/2)}
 }
 
-// slot returns the number of the slot at a time since the epoch; ok is false between two slots.
+// slot returns the number of the slot at a time, which is given as the time since the epoch. ok is false between two
+// slots.
 func (s Share) slot(at time.Duration) (n int64, ok bool) {
 	at -= s.Phase
 	if at < 0 {
@@ -79,17 +84,17 @@
 	return int64(at / s.Period), at%s.Period < s.Slot
 }
 
-// Pacer limits one box to its share. The zero value allows nothing.
+// Pacer limits what one box sends to its share. The zero value allows nothing.
 type Pacer struct {
 	share Share
-	// level is how many requests may be sent at once, as of at. It starts at zero: requests that were sent
-	// before the limit was known still arrive.
+	// level is how many requests the box could send at once at the time at. It starts at zero, because requests
+	// that were sent before the limit was known may still arrive.
 	level    float64
 	at       time.Time
-	lastSlot int64 // The last used slot, counted from 1; 0 for none.
+	lastSlot int64 // The slot that was used last, counted from 1; 0 if none was used.
 }
 
-// SetShare changes the share, and caps the level at the new burst.
+// SetShare changes the share of the box, and caps the level at the burst of the new share.
 func (p *Pacer) SetShare(now time.Time, s Share) {
 	p.refill(now)
 	p.share = s
@@ -103,11 +108,11 @@
 	p.at = now
 }
 
-// unselectedRetryDelay is when a caller that reached an unselected box may retry: it may then reach a
-// selected one.
+// unselectedRetryDelay is after how long a caller may retry if its request reached a box that is not selected. The
+// retry may reach a selected box.
 const unselectedRetryDelay = time.Second
 
-// Wait is how long the box must not send; 0 if it may send a request now. Slots are counted from epoch.
+// Wait returns how long the box must not send, or 0 if it may send a request now. Slots are counted from epoch.
 func (p *Pacer) Wait(now, epoch time.Time) time.Duration {
 	if !p.share.Selected {
 		if n, open := p.share.slot(now.Sub(epoch)); open && p.lastSlot != n+1 {
@@ -122,7 +127,7 @@
 	return max(time.Millisecond, time.Duration((1-p.level)/p.share.Rate*float64(time.Second)))
 }
 
-// Sent accounts for a request that is sent.
+// Sent accounts for a request that the box sends now.
 func (p *Pacer) Sent(now, epoch time.Time) {
 	if !p.share.Selected {
 		n, _ := p.share.slot(now.Sub(epoch))
--- a/internal/pacing/share_test.go
+++ b/internal/pacing/share_test.go
@@ -10,7 +10,9 @@
 	"github.com/stoatramp/stoatramp/internal/quota"
 )
 
-// strategy is how boxes enforce an endpoint's limit together.
+// strategy is a way in which boxes enforce an endpoint's limit together. In selectedBoxes (the one in use) a few boxes
+// are selected to send; in equalShares each box may send an equal share; in lentShares boxes lend their shares to one
+// box, the owner, which admits requests.
 type strategy uint8
 
 const (
@@ -23,14 +25,15 @@
 	return [...]string{"selected boxes", "equal shares", "shares lent to an owner"}[s]
 }
 
-// shareSim simulates many boxes, in virtual time, before an endpoint that announces a limit.
+// shareSim simulates, in virtual time, many boxes that send to one endpoint with an announced limit.
 type shareSim struct {
 	rng      *rand.Rand
 	strategy strategy
 	limit    float64
 	boxes    []*simBox
 	now      time.Duration
-	// arrived has the requests that count: those of boxes not cut off, frozen or just started.
+	// arrived are the arrival times of the requests that count. Requests of boxes that are cut off, frozen or
+	// just started do not count.
 	arrived  []time.Duration
 	requests int
 }
@@ -39,11 +42,11 @@
 	name         string
 	list         []string // The boxes that it knows of.
 	disconnected bool     // Cut off or frozen: its requests do not count.
-	// recoveredAt is when the box was last started or disconnected.
+	// recoveredAt is when the box last started, or was last disconnected.
 	recoveredAt time.Duration
 	bucket      bucket
-	lastSlot    int64 // The last used slot, counted from 1.
-	// share was computed for the list that begins at shareList.
+	lastSlot    int64 // The slot that was used last, counted from 1.
+	// share is the box's share of the limit. It was computed for the list of boxes that begins at shareList.
 	share     Share
 	shareList *string
 	pool      *quota.Pool
@@ -99,7 +102,7 @@
 	return out
 }
 
-// maySend reports whether a box may send a request now, and accounts for it.
+// maySend reports whether a box may send a request now, and if so accounts for that request.
 func (s *shareSim) maySend(b *simBox) bool {
 	switch s.strategy {
 	case equalShares:
@@ -121,7 +124,8 @@
 	return true
 }
 
-// owner is the box to which shares are lent, in the view of a box.
+// owner returns the box to which the given box lends its share: the first one on its list, if both are connected.
+// Otherwise it returns the given box itself.
 func (s *shareSim) owner(b *simBox) *simBox {
 	for _, o := range s.boxes {
 		if o.name == b.list[0] && !o.disconnected && !b.disconnected {
@@ -136,7 +140,7 @@
 	return a.Granted >= 1
 }
 
-// lend renews the loan of a box's share.
+// lend lends the share of a box to its owner for another period.
 func (s *shareSim) lend(b *simBox) {
 	group := quota.GroupOf(simEndpoint)
 	_, lentFor := quota.RenewalInterval(len(b.list))
@@ -160,10 +164,10 @@
 	simFaultFrom    = 10 * time.Second // Start of the fault.
 	simFaultUntil   = 25 * time.Second // End of the fault.
 	simMaxLatency   = 300 * time.Millisecond
-	simRecoveryTime = 3 * time.Second // How long requests of a box do not count after it was disconnected or started.
+	simRecoveryTime = 3 * time.Second // How long the requests of a box that started or was disconnected do not count.
 )
 
-// run sends requests to all boxes evenly, at load times the limit.
+// run sends requests to all boxes evenly, at a rate of load times the limit, while fault disturbs the boxes.
 func (s *shareSim) run(load float64, fault func(s *shareSim)) {
 	due := 0.0
 	for s.now = 0; s.now < simLength; s.now += simStep {
@@ -191,7 +195,7 @@
 	slices.Sort(s.arrived)
 }
 
-// worstWindow is the largest number of arrivals in any window, as a share of the bound.
+// worstWindow returns the largest number of arrivals in any limitWindow, divided by the bound for that time.
 func (s *shareSim) worstWindow() float64 {
 	maxArrived, from := 0, 0
 	for i, at := range s.arrived {
@@ -203,7 +207,7 @@
 	return float64(maxArrived) / (limitFactor*s.limit*limitWindow.Seconds() + limitSlack)
 }
 
-// unused is the share of the limit that was not used although there were requests for it.
+// unused returns the share of the limit that was not used although there were requests for it.
 func (s *shareSim) unused() float64 {
 	return 1 - float64(len(s.arrived))/min(float64(s.requests), s.limit*simLength.Seconds())
 }
@@ -264,7 +268,7 @@
 	}},
 }
 
-// The sum over all boxes stays within the bound, whichever other boxes each of them knows.
+// The arrivals from all boxes together stay within the bound, whichever other boxes each box knows of.
 func TestLimitHoldsForTheSumOfAllBoxes(t *testing.T) {
 	for _, n := range []int{8, 60, 400} {
 		for _, limit := range []float64{0.5, 6, 60} {
@@ -284,7 +288,7 @@
 	}
 }
 
-// The selected boxes alone use most of the limit.
+// With 8 boxes and a limit of 6 requests per second, the boxes use most of the limit.
 func TestLimitIsUsedByFewBoxes(t *testing.T) {
 	s := newShareSim(selectedBoxes, 8, 6, 1)
 	s.run(10, shareFaults[0].apply)
@@ -293,7 +297,8 @@
 	}
 }
 
-// Every box gets a slot: one that never sends to an endpoint cannot get the response that lifts its limit.
+// Every box that is not selected gets a slot: a box that never sends to an endpoint cannot receive the response that
+// lifts the limit of that endpoint.
 func TestEveryBoxHasASlot(t *testing.T) {
 	list := (&shareSim{boxes: newShareSim(selectedBoxes, 60, 6, 1).boxes}).boxNames()
 	for _, box := range list {
@@ -304,7 +309,8 @@
 	}
 }
 
-// TestWays prints the worst window as a share of the bound, and the unused share, for each strategy.
+// TestWays prints two figures for each strategy and fault: the arrivals in the worst window as a share of the bound,
+// and the share of the limit that was not used.
 func TestWays(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("prints a table with -v")
