--- a/internal/box/fault_test.go
+++ b/internal/box/fault_test.go
@@ -223,9 +223,9 @@
 	g.expectIdle()
 }
 
-// expectCancelFrees cancels a request once it has reached a stage, which the function at recognizes. It expects
+// expectCancelFrees cancels a request once it has reached a stage, which the function reached recognizes. It expects
 // the engines to free all memory although their reservations would last an hour.
-func expectCancelFrees(t *testing.T, o demo.Options, prompt string, fault func(*rig), at func(*rig) bool) {
+func expectCancelFrees(t *testing.T, o demo.Options, prompt string, fault func(*rig), reached func(*rig) bool) {
 	t.Helper()
 	t.Parallel()
 	o.Model.Expiry = time.Hour
@@ -243,7 +243,7 @@
 			resp.Body.Close()
 		}
 	}()
-	g.eventually("the request reaches the stage", func() bool { return at(g) })
+	g.eventually("the request reaches the stage", func() bool { return reached(g) })
 	cancel()
 	<-ended
 	g.eventually("the box is done with it", func() bool { return g.box.Gateway.Running() == 0 })
--- a/internal/box/relay.go
+++ b/internal/box/relay.go
@@ -207,9 +207,9 @@
 // registerGauges adds gauges for the age of the box's tables, in seconds, and for the state of its connection
 // to the store.
 func (b *RelayBox) registerGauges() {
-	for of, t := range b.tables {
-		b.Metrics.Set.NewGauge(fmt.Sprintf("stoatramp_age_seconds{of=%q}", of), func() float64 { return t.Fresh.Age().Seconds() })
-		b.Metrics.Set.NewGauge(fmt.Sprintf("stoatramp_overdue{of=%q}", of), func() float64 { return boolToFloat(t.Overdue()) })
+	for name, t := range b.tables {
+		b.Metrics.Set.NewGauge(fmt.Sprintf("stoatramp_age_seconds{of=%q}", name), func() float64 { return t.Fresh.Age().Seconds() })
+		b.Metrics.Set.NewGauge(fmt.Sprintf("stoatramp_overdue{of=%q}", name), func() float64 { return boolToFloat(t.Overdue()) })
 	}
 	b.Metrics.Set.NewGauge("stoatramp_store_down", func() float64 { return boolToFloat(b.storeLink.State(clock.Now()).Down) })
 	b.Metrics.Set.NewGauge("stoatramp_store_looking_seconds", func() float64 { return b.storeLink.State(clock.Now()).Probing.Seconds() })
--- a/internal/box/relay_follow.go
+++ b/internal/box/relay_follow.go
@@ -277,7 +277,7 @@
 	}
 	kept := 0
 	for key, old := range b.listed {
-		if _, there := next[key]; !there && !old.endpoint.Leaving && !old.foreign {
+		if _, listed := next[key]; !listed && !old.endpoint.Leaving && !old.foreign {
 			next[key] = old
 			kept++
 		}
@@ -332,13 +332,13 @@
 
 // deferList reports whether it is too early to pass the list on. If so, it sets a timer that passes the list on later.
 func (b *RelayBox) deferList(now time.Time) bool {
-	left := b.listDueAt.Sub(now)
-	if left <= 0 {
+	remaining := b.listDueAt.Sub(now)
+	if remaining <= 0 {
 		return false
 	}
 	if !b.listTimerSet {
 		b.listTimerSet = true
-		time.AfterFunc(left, func() { b.tables[tableEndpoints].Reapply(func() { b.listTimerSet = false }) })
+		time.AfterFunc(remaining, func() { b.tables[tableEndpoints].Reapply(func() { b.listTimerSet = false }) })
 	}
 	return true
 }
--- a/internal/box/stop.go
+++ b/internal/box/stop.go
@@ -34,11 +34,11 @@
 
 // closeDeadline returns the time by which listeners must be closed that start to close now.
 func (p *stopPlan) closeDeadline(now time.Time) time.Time {
-	left := maxClosing
+	closing := maxClosing
 	if deadline := p.deadline.Load(); deadline != nil {
-		left = max(minClosing, min(left, deadline.Sub(now)))
+		closing = max(minClosing, min(closing, deadline.Sub(now)))
 	}
-	return now.Add(left)
+	return now.Add(closing)
 }
 
 // plannedServer is a server that closes its listener by the deadline of the stop plan.
--- a/internal/box/stop_test.go
+++ b/internal/box/stop_test.go
@@ -25,7 +25,7 @@
 			var p stopPlan
 			began := time.Now()
 			requests := p.begin(began, total)
-			if by := total / 4 * 3; requests.Sub(began) < by {
+			if minRequestTime := total / 4 * 3; requests.Sub(began) < minRequestTime {
 				t.Errorf("%s: expected requests to have most of it, got %s", total, requests.Sub(began))
 			}
 			time.Sleep(time.Until(requests))
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,7 +1,7 @@
-// Package claim ensures that a request with an idempotency key runs at most once across all boxes: before it runs,
-// its key is claimed by inserting a row into the platform's table if there is none. A claim is never taken over
-// by another request. Unlike the decisions of package decide, this needs agreement between boxes, so it uses the
-// table.
+// Package claim ensures that a request with an idempotency key runs at most once across all boxes. Before the request
+// runs, its box claims the key by inserting a row into the platform's table if there is none for that key. No other
+// request can take a claim over. Unlike the decisions of package decide, this needs agreement between boxes, so it uses
+// the table.
 package claim
 
 import (
@@ -17,16 +17,17 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// Table is the part of the platform's table that claims need.
+// Table contains the calls of the platform's table that claims need.
 type Table interface {
 	Get(ctx context.Context, key string, known int64) (platform.Row, error)
 	Put(ctx context.Context, key string, w platform.Write) (int64, error)
 }
 
-// State is the state of a claimed request.
+// State is the state of the request that claimed a key.
 type State string
 
-// Running and MayHaveRun block the key forever; Free lets it be claimed again.
+// States of a request that claimed a key. With Running, Done and MayHaveRun, no other request can claim the key. With
+// Free, the key can be claimed again.
 const (
 	Running    State = "running"
 	Done       State = "done"
@@ -39,7 +40,7 @@
 	Request string `json:"request"`
 }
 
-// Claim is a key claimed by one request.
+// Claim is an idempotency key that one request has claimed.
 type Claim struct {
 	key     string
 	version int64
@@ -52,8 +53,8 @@
 // New returns claims that are stored in t.
 func New(t Table) *Claims { return &Claims{table: t} }
 
-// Acquire claims the client's key for a request. If the key cannot be claimed, the outcome says why, and the
-// request must not run.
+// Acquire claims the idempotency key of a client for a request. If the key cannot be claimed, the outcome says why, and
+// the request must not run.
 func (c *Claims) Acquire(ctx context.Context, client, key, request string) (*Claim, outcome.Outcome) {
 	sum := sha256.Sum256([]byte(client + "\x00" + key))
 	id := "claim/" + hex.EncodeToString(sum[:16])
@@ -62,7 +63,7 @@
 		return nil, storeDown("")
 	}
 	if err == nil {
-		if o, blocked := fate(prior); blocked {
+		if o, blocked := refusalByRow(prior); blocked {
 			return nil, o
 		}
 	}
@@ -80,41 +81,42 @@
 	return c.readBack(ctx, id, request)
 }
 
-// readBack finds out whether a write without a reply took effect. If the table cannot be read, the request is
-// refused as not run; its claim, if it exists, stays, so that no other try can run in case the write takes
-// effect late.
+// readBack finds out whether a write whose reply was lost took effect. If the table cannot be read, the request is
+// refused as not run. Its claim, if there is one, stays in the table: the write may still take effect late, and then
+// no other request can run with the key.
 func (c *Claims) readBack(ctx context.Context, id, request string) (*Claim, outcome.Outcome) {
 	got, err := c.table.Get(ctx, id, 0)
 	if err == nil && got.Token == request {
 		return &Claim{id, got.Version, request}, outcome.Outcome{}
 	}
 	if err == nil {
-		o, _ := fate(got)
+		o, _ := refusalByRow(got)
 		return nil, o
 	}
 	return nil, storeDown("the claim's own write was not confirmed")
 }
 
-// storeDownRetryAfter is when a caller may retry after the table did not respond.
+// storeDownRetryAfter is after how long a caller may retry if the table did not respond.
 const storeDownRetryAfter = 5 * time.Second
 
 func storeDown(detail string) outcome.Outcome {
 	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.StoreDown, Detail: detail, RetryAfter: storeDownRetryAfter}
 }
 
-// conflict returns the refusal of a request that lost the race for the key.
+// conflict returns the refusal of a request if another request has claimed the same key in the meantime.
 func (c *Claims) conflict(ctx context.Context, id, request string) outcome.Outcome {
 	got, err := c.table.Get(ctx, id, 0)
 	if err != nil {
 		return outcome.Refuse(outcome.KeyUnknown, "")
 	}
-	o, _ := fate(got)
+	o, _ := refusalByRow(got)
 	return o
 }
 
-// fate returns the refusal of a later request with the same key, and whether the row blocks it. The refused
-// request itself did not run, whatever the first one did.
-func fate(r platform.Row) (outcome.Outcome, bool) {
+// refusalByRow returns the refusal of a later request with the same key, given the row that the first request wrote.
+// The bool says whether that row keeps the key from being claimed. The refused request itself did not run, whatever the
+// first request did.
+func refusalByRow(r platform.Row) (outcome.Outcome, bool) {
 	var doc rowDoc
 	if err := json.Unmarshal([]byte(r.Value), &doc); err != nil {
 		return outcome.Refuse(outcome.KeyUnknown, "the claim cannot be read"), true
@@ -131,8 +133,8 @@
 	return outcome.Refuse(outcome.KeyRunning, detail), true
 }
 
-// Close records how the claimed request ended. If that write is lost the claim stays running, which refuses all
-// later tries: unnecessary, but safe.
+// Close records in the table how the request that claimed the key ended. If that write is lost, the claim stays in the
+// state Running. Then all later requests with the key are refused, which is unnecessary but safe.
 func (c *Claims) Close(ctx context.Context, cl *Claim, k outcome.Kind) error {
 	state := MayHaveRun
 	switch k {
--- a/internal/claim/history_test.go
+++ b/internal/claim/history_test.go
@@ -13,23 +13,24 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// tryOp is one try of a request with a key: it acquires the claim, and if granted runs and closes it.
+// tryOp is one try to run a request with a key through one box: it acquires the claim, and if that succeeds runs the
+// request and closes the claim.
 type tryOp struct{ box int }
 
-// tryResult is the result of a try.
+// tryResult is the result of one try to run a request.
 type tryResult struct {
-	// granted says that the request ran; kind is how it ended.
+	// granted says that the claim was acquired, so the request ran. kind is how the request ended.
 	granted bool
 	kind    outcome.Kind
-	// reason is why it was refused otherwise.
+	// reason is why the request was refused, if the claim was not acquired.
 	reason outcome.Reason
 }
 
-// keyState is whether a key is taken for good. A request that ended as not run releases the key.
+// keyState says whether a key can no longer be claimed. A request that ended as not run frees its key.
 type keyState struct{ taken bool }
 
-// keyModel accepts histories in which a key runs at most once, except after runs that ended as not run, and in which
-// no try is refused with KeyDone unless a request ran.
+// keyModel accepts the histories that package claim may produce. At most one request with the key runs, not counting
+// requests that ended as not run, and no request is refused with KeyDone unless another one ran.
 var keyModel = porcupine.Model{
 	Init: func() any { return keyState{} },
 	Step: func(state, _, output any) (bool, any) {
@@ -47,8 +48,8 @@
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v %+v", input, output) },
 }
 
-// countBadHistories runs concurrent tries of one key through several boxes with faults of the table, and returns how
-// many histories keyModel rejects.
+// countBadHistories runs concurrent requests with the same key through several boxes, while the table has faults. It
+// returns how many of the resulting histories keyModel rejects.
 func countBadHistories(t *testing.T, seeds uint64, acquire func(*Claims, string) (*Claim, outcome.Outcome)) (bad int) {
 	t.Helper()
 	const boxes = 6
@@ -97,7 +98,8 @@
 	}
 }
 
-// The model must reject a claim that runs although its write was not confirmed.
+// keyModel must reject histories of a faulty claim that runs the request although the write of its row was not
+// confirmed.
 func TestKeyModelDetectsBug(t *testing.T) {
 	ignoresStoreDown := func(c *Claims, request string) (*Claim, outcome.Outcome) {
 		cl, o := acquire(c, request)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,13 @@
-// Package clock provides the time for everything that expires: leases, ages, budgets, verdicts.
+// Package clock provides the time for everything that expires, such as leases, ages and retry budgets.
 //
-// The process may be suspended with its machine for seconds. The monotonic clock of package time stops
-// meanwhile, so that after the suspension all of these would appear younger than they are; the wall clock
-// goes on, but may jump. So the time here is that of package time plus the total time that the machine was
-// suspended, by CLOCK_BOOTTIME. Times of this package may be compared only with each other: after a
-// suspension time.Now is behind them, and so are its timers and deadlines, which are set to a remaining
-// duration (Until). Times shown to people are those of time.Now.
+// The process may be suspended with its machine for seconds. The monotonic clock of package time stops meanwhile, so
+// everything that expires would appear too young afterwards. The wall clock goes on, but may jump. So the time of this
+// package is the time of package time plus the total time for which the machine was suspended, as measured with
+// CLOCK_BOOTTIME.
+//
+// Times of this package may be compared only with each other, because time.Now is behind them after a suspension.
+// Timers and deadlines of package time are therefore set to a remaining duration (Until). Times shown to people come
+// from time.Now.
 package clock
 
 import (
@@ -16,17 +18,17 @@
 )
 
 const (
-	// maxReadSpread is how far apart the two readings of the monotonic clock may be between which the boot time
-	// is read: beyond it the process was preempted, and the reading is unusable.
+	// The boot time is read between two readings of the monotonic clock. maxReadSpread is the most that these two
+	// may be apart. If they are further apart, the process was preempted and the measurement is not used.
 	maxReadSpread = time.Millisecond
 	// minSuspension is the smallest difference that counts as a suspension.
 	minSuspension = 5 * time.Millisecond
-	// readingLifetime is how long a reading is reused. It bounds the system calls to a few hundred per second,
-	// and how long something that has expired may count as valid after the machine wakes.
+	// readingLifetime is how long a measurement is reused. It bounds the system calls to a few hundred per second,
+	// and also how long something that has expired may still count as valid after the machine wakes.
 	readingLifetime = 2 * time.Millisecond
 )
 
-// reading is a measurement of the machine's suspensions.
+// reading is a measurement of how long the machine was suspended since the process began.
 type reading struct {
 	at        time.Time
 	suspended time.Duration
@@ -36,23 +38,23 @@
 	// suspendedBeforeStart is how long the machine was suspended before this process began.
 	suspendedBeforeStart = suspendedSinceBoot(0)
 	lastReading          atomic.Pointer[reading]
-	// override replaces the system's clocks in tests.
+	// override replaces the measurement of the suspended time in tests.
 	override atomic.Pointer[func() time.Duration]
 )
 
-// suspendedSinceBoot is how long the machine was suspended since it booted: the difference between
-// CLOCK_BOOTTIME and CLOCK_MONOTONIC. It returns known if that cannot be read.
+// suspendedSinceBoot returns how long the machine was suspended since it booted, which is the difference between
+// CLOCK_BOOTTIME and CLOCK_MONOTONIC. If that cannot be measured, it returns known, the last known value.
 func suspendedSinceBoot(known time.Duration) time.Duration {
-	var steady, boot, again unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil ||
-		unix.ClockGettime(unix.CLOCK_MONOTONIC, &again) != nil || again.Nano()-steady.Nano() > int64(maxReadSpread) {
+	var monotonic, boot, monotonicAfter unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil ||
+		unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonicAfter) != nil || monotonicAfter.Nano()-monotonic.Nano() > int64(maxReadSpread) {
 		return known
 	}
-	return time.Duration(boot.Nano() - steady.Nano())
+	return time.Duration(boot.Nano() - monotonic.Nano())
 }
 
-// asleep is how long the machine was suspended since the process began. It never decreases.
-func asleep(now time.Time) time.Duration {
+// suspendedSinceStart returns how long the machine was suspended since the process began. The result never decreases.
+func suspendedSinceStart(now time.Time) time.Duration {
 	if f := override.Load(); f != nil {
 		return (*f)()
 	}
@@ -71,20 +73,20 @@
 	return next.suspended
 }
 
-// SetSuspendedForTest replaces the source of the suspended time in tests, and returns a function that restores it.
+// SetSuspendedForTest replaces the measurement of the suspended time by f, and returns a function that undoes this.
 func SetSuspendedForTest(f func() time.Duration) (restore func()) {
 	old := override.Swap(&f)
 	return func() { override.Store(old) }
 }
 
-// Now is the time, including all time that the machine was suspended since the process began.
+// Now returns the time of package time plus the time for which the machine was suspended since the process began.
 func Now() time.Time {
 	now := time.Now()
-	return now.Add(asleep(now))
+	return now.Add(suspendedSinceStart(now))
 }
 
-// Since is the time since t, which must come from Now.
+// Since returns the time since t, which must come from Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time until t, which must come from Now.
+// Until returns the time until t, which must come from Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A suspension counts in full, also for times taken before it.
+// After a suspension, the age of a time taken before it includes the whole suspension.
 func TestSuspended(t *testing.T) {
 	var d time.Duration
 	defer SetSuspendedForTest(func() time.Duration { return d })()
@@ -19,7 +19,7 @@
 	}
 }
 
-// Without a suspension the time equals that of package time, and never decreases.
+// Without a suspension, Now equals the time of package time and never decreases.
 func TestAwake(t *testing.T) {
 	last := Now()
 	for range 100_000 {
--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -1,38 +1,38 @@
-// Package cost is the performance model of the engines. The stand-in engines run it in real time and the benchmark in
-// virtual time, so that both simulate the same engine.
+// Package cost is the performance model of the engines. The stand-in engines use it in real time, and the benchmark
+// uses it in virtual time, so that both simulate the same engine.
 package cost
 
 import "time"
 
 // Model describes the speed and memory of one engine.
 type Model struct {
-	// PrefillRate is in uncached prompt tokens per second.
+	// PrefillRate is the number of prompt tokens that are not cached that the engine computes per second.
 	PrefillRate float64
-	// PrefillBase is added to every prefill.
+	// PrefillBase is the fixed part of the time that each prefill takes.
 	PrefillBase time.Duration
-	// Step and StepPerStream determine the time between tokens, which grows with the size of the batch.
+	// The time between two tokens of a stream is Step plus StepPerStream for each stream in the batch.
 	Step          time.Duration
 	StepPerStream time.Duration
-	// KVTokens is the KV memory in tokens.
+	// KVTokens is the size of the engine's KV memory, in tokens.
 	KVTokens int
-	// KVBytesPerToken and LinkRate, in bytes per second, determine the time of a transfer.
+	// KVBytesPerToken, and LinkRate in bytes per second, determine how long a transfer of KV cache takes.
 	KVBytesPerToken int
 	LinkRate        float64
-	// Expiry is how long a prefill's result is kept.
+	// Expiry is how long the engine keeps the result of a prefill.
 	Expiry time.Duration
 }
 
-// Prefill is the time to prefill a prompt of which some tokens are cached.
+// Prefill returns the time to prefill a prompt, given its tokens and how many of them are cached.
 func (m Model) Prefill(tokens, cached int) time.Duration {
 	return m.PrefillBase + seconds(float64(max(1, tokens-cached))/m.PrefillRate)
 }
 
-// StepOf is the time between tokens in a batch of n streams.
+// StepOf returns the time between two tokens of a stream in a batch of n streams.
 func (m Model) StepOf(n int) time.Duration {
 	return m.Step + time.Duration(n)*m.StepPerStream
 }
 
-// Transfer is the time to transfer the KV cache of that many tokens over an idle link.
+// Transfer returns the time to transfer the KV cache of the given number of tokens over an idle link.
 func (m Model) Transfer(tokens int) time.Duration {
 	return seconds(float64(tokens) * float64(m.KVBytesPerToken) / m.LinkRate)
 }
--- a/internal/learned/learned.go
+++ b/internal/learned/learned.go
@@ -1,6 +1,7 @@
-// Package learned stores what boxes learn about engines and requests in the platform's store, as one small row, so
-// that starting boxes, even if all restart at once, continue from what other boxes learned. No guarantee depends on
-// it: an outdated, lost or wrong row only costs goodput until the box has observed enough itself.
+// Package learned shares the estimates of boxes, which are what they learned about engines and requests, such as the
+// speed of an engine. They are kept in one small row of the platform's store. Boxes that start, even if all restart at
+// once, continue from what other boxes learned. No guarantee depends on the row. If it is outdated, lost or wrong, this
+// only costs goodput (requests served in time) until the box has observed enough itself.
 package learned
 
 import (
@@ -15,38 +16,38 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// Key is the key of the row.
+// Key is the key of the row in the store.
 const Key = "pools"
 
-// Pools is the box's own learned state.
+// Pools is what the box itself has learned. It has estimates for each pool, a group of engines that serve one model.
 type Pools interface {
 	Estimates() []decide.Estimates
 	SetEstimates(decide.Estimates)
 }
 
-// Syncer reads the row when its box starts, and afterwards updates it when it differs clearly from what the box
-// has learned.
+// Syncer reads the row when its box starts. After that it updates the row whenever the row differs clearly from what
+// the box has learned.
 type Syncer struct {
 	Rows  lease.Rows
 	Pools Pools
-	// Boxes returns the number of boxes, over which the checks of the row are spread at random.
+	// Boxes returns the number of boxes. The more boxes there are, the less often each of them checks the row.
 	Boxes func() int
-	// Failed is called with each failure.
+	// Failed is called with each failure, and what failed.
 	Failed func(what string, err error)
 }
 
 const (
 	// callTimeout bounds one call to the store.
 	callTimeout = 600 * time.Millisecond
-	// minRetryDelay is the delay between the first two attempts to read the row at the start; it doubles up to
-	// maxRetryDelay.
+	// minRetryDelay is the delay between the first two attempts to read the row at the start of the box. The delay
+	// doubles with each attempt, up to maxRetryDelay.
 	minRetryDelay = time.Second
 	maxRetryDelay = 16 * time.Second
-	// checkInterval is the mean interval between checks of the row by all boxes together. It is a fifth of the
-	// duration of a traffic burst, and costs one call.
+	// checkInterval is the mean time between two checks of the row, counting the checks of all boxes together. It is
+	// a fifth of the duration of a traffic burst. Each check costs one call to the store.
 	checkInterval = 4 * time.Second
-	// minDifference is the relative difference from the stored figure above which a figure is written. Boxes that
-	// observe the same engines differ by less.
+	// minDifference is the relative difference between an estimate in the row and the box's own above which the box
+	// writes its own. Boxes that observe the same engines differ by less.
 	minDifference = 0.15
 )
 
@@ -55,7 +56,7 @@
 	Pools []poolDoc `json:"pools"`
 }
 
-// poolDoc has the figures of one pool. Times are in microseconds, lengths in tokens.
+// poolDoc contains the estimates for one pool. Times are in microseconds, and lengths of prompts and answers in tokens.
 type poolDoc struct {
 	Pool            string  `json:"pool"`
 	PrefillRate     float64 `json:"read_tokens_per_s"`
@@ -70,7 +71,7 @@
 	Requests        int     `json:"requests"`
 }
 
-// Run loads the row and keeps it up to date until ctx is done.
+// Run loads the row at the start of the box, and then keeps the row up to date until ctx is done.
 func (k *Syncer) Run(ctx context.Context) {
 	if !k.load(ctx) {
 		return
@@ -82,13 +83,13 @@
 	}
 }
 
-// nextCheck is the time until this box checks the row again.
+// nextCheck returns the random time until this box checks the row again.
 func (k *Syncer) nextCheck() time.Duration {
 	mean := time.Duration(max(1, k.Boxes())) * checkInterval
 	return mean/2 + time.Duration(rand.Int64N(int64(mean)))
 }
 
-// load takes over what other boxes learned; it returns false if ctx is done before that.
+// load takes over the estimates in the row. It returns false if ctx is done before the row could be read.
 func (k *Syncer) load(ctx context.Context) bool {
 	for delay := minRetryDelay; ; delay = min(maxRetryDelay, 2*delay) {
 		stored, _, err := k.read(ctx)
@@ -107,7 +108,7 @@
 	}
 }
 
-// update writes the row if what this box has learned differs clearly from it.
+// update writes the row if the estimates of this box differ clearly from those in the row.
 func (k *Syncer) update(ctx context.Context) error {
 	own := k.Pools.Estimates()
 	if len(own) == 0 {
@@ -127,7 +128,7 @@
 	return err
 }
 
-// merge replaces stored figures by this box's own where these differ clearly.
+// merge replaces estimates in the row by the box's own where the two differ clearly.
 func merge(stored, own []decide.Estimates) (merged []decide.Estimates, changed bool) {
 	merged = stored
 	for _, m := range own {
@@ -181,7 +182,7 @@
 	return text
 }
 
-// decode reads the row. Implausible figures are left out and reported.
+// decode decodes the text of the row. It leaves out pools with implausible figures, and returns an error for them.
 func decode(text []byte) (out []decide.Estimates, err error) {
 	var doc rowDoc
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -225,7 +226,7 @@
 	return p.Pool != "" && p.Step > 0 && p.Requests >= 0
 }
 
-// sleep returns false if ctx is done first.
+// sleep waits for the time d. It returns false if ctx is done before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/learned/learned_test.go
+++ b/internal/learned/learned_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// fakeStore is a store's table that may be unavailable.
+// fakeStore is a table of the store with one row. The store may be unavailable.
 type fakeStore struct {
 	mu          sync.Mutex
 	row         lease.Row
@@ -44,7 +44,7 @@
 	return r.row, nil
 }
 
-// fakePools is a box's own learned state.
+// fakePools has the estimates that a box has learned itself, and those that it received from the row.
 type fakePools struct {
 	mu         sync.Mutex
 	own        []decide.Estimates
@@ -70,8 +70,8 @@
 	}
 }
 
-// runKeepers runs the keepers of several boxes for a while.
-func runKeepers(t *testing.T, r *fakeStore, d time.Duration, boxes ...*fakePools) {
+// runSyncers runs the syncers of several boxes for the time d.
+func runSyncers(t *testing.T, r *fakeStore, d time.Duration, boxes ...*fakePools) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -84,37 +84,37 @@
 	wg.Wait()
 }
 
-// A starting box takes over what earlier boxes learned.
+// A box that starts receives the estimates that earlier boxes learned.
 func TestLoadsWhatOtherBoxesLearned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeStore{}
-		runKeepers(t, r, time.Minute, &fakePools{own: []decide.Estimates{estimatesWithStep(5 * time.Millisecond)}}, &fakePools{})
+		runSyncers(t, r, time.Minute, &fakePools{own: []decide.Estimates{estimatesWithStep(5 * time.Millisecond)}}, &fakePools{})
 		next := &fakePools{}
-		runKeepers(t, r, time.Second, next)
+		runSyncers(t, r, time.Second, next)
 		if len(next.remembered) != 1 || next.remembered[0] != estimatesWithStep(5*time.Millisecond) {
 			t.Errorf("expected what the first boxes learned, got %+v", next.remembered)
 		}
 	})
 }
 
-// Nothing is written while boxes agree, but a clear change is.
+// Boxes whose estimates differ little write the row only once. A clear change of the estimates is written.
 func TestWritesOnlyClearChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeStore{}
 		a, b := &fakePools{own: []decide.Estimates{estimatesWithStep(5 * time.Millisecond)}}, &fakePools{own: []decide.Estimates{estimatesWithStep(5400 * time.Microsecond)}}
-		runKeepers(t, r, 10*time.Minute, a, b)
+		runSyncers(t, r, 10*time.Minute, a, b)
 		if r.writes != 1 {
 			t.Errorf("expected one write by boxes that agree, got %d", r.writes)
 		}
 		a.own, b.own = []decide.Estimates{estimatesWithStep(time.Millisecond)}, []decide.Estimates{estimatesWithStep(time.Millisecond)}
-		runKeepers(t, r, 10*time.Minute, a, b)
+		runSyncers(t, r, 10*time.Minute, a, b)
 		if r.writes != 2 {
 			t.Errorf("expected one more write after engines became faster, got %d writes", r.writes)
 		}
 	})
 }
 
-// The number of checks by all boxes together does not grow with the number of boxes.
+// The number of checks of the row by all boxes together does not grow with the number of boxes.
 func TestCheckRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeStore{}
@@ -122,14 +122,14 @@
 		for range 60 {
 			boxes = append(boxes, &fakePools{own: []decide.Estimates{estimatesWithStep(5 * time.Millisecond)}})
 		}
-		runKeepers(t, r, 10*time.Minute, boxes...)
+		runSyncers(t, r, 10*time.Minute, boxes...)
 		if checks := r.reads - len(boxes); checks < 75 || checks > 300 {
 			t.Errorf("expected a check about every 4 s, 150 in ten minutes, got %d", checks)
 		}
 	})
 }
 
-// A box that starts during an outage loads the row once the store is back, and does not overload the store.
+// A box that starts during an outage of the store loads the row once the store is back, and meanwhile makes few calls.
 func TestStartsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeStore{unavailable: true, row: lease.Row{Value: encode([]decide.Estimates{estimatesWithStep(5 * time.Millisecond)}), Version: 1}}
@@ -140,7 +140,7 @@
 			r.unavailable = false
 			r.mu.Unlock()
 		}()
-		runKeepers(t, r, 90*time.Second, p)
+		runSyncers(t, r, 90*time.Second, p)
 		if len(p.remembered) != 1 || r.reads > 12 {
 			t.Errorf("expected the row after %d reads, got %+v", r.reads, p.remembered)
 		}
@@ -155,7 +155,7 @@
 	}
 }
 
-// A row that another version wrote, or that is corrupt, must not lead to implausible figures.
+// A row that another version of the program wrote, or a corrupt row, must not lead to implausible estimates.
 func TestDecodeRow(t *testing.T) {
 	valid := string(encode([]decide.Estimates{estimatesWithStep(5 * time.Millisecond)}))
 	expectDecoded(t, valid, 1, false)
--- a/internal/limit/grants.go
+++ b/internal/limit/grants.go
@@ -4,28 +4,29 @@
 	"time"
 )
 
-// A client's limits hold for all boxes together. Each box counts the requests of the client and publishes the
-// count to the client's owner, a box that all agree on by hashing; the owner responds with the box's share. A
-// share that is wrong for a moment lets the client have slightly more or less; nothing else depends on it.
+// A client's limits hold for all boxes together. Each box counts the requests of the client and sends their rate to
+// the client's owner, a box that all boxes agree on by hashing the client's name. The owner responds with the box's
+// share of the limits. If a share is wrong for a moment, the client gets slightly more or less than its limits. Nothing
+// else depends on shares.
 
-// Demand is the rate at which a client sent requests to one box, in requests per second, including refused
-// requests.
+// Demand is the rate at which a client sent requests to one box, in requests per second. Refused requests count too.
 type Demand struct {
 	Client   string
 	Requests float64
 }
 
-// Share is the part of a client's limits that one box may grant.
+// Share is the part of a client's limits that one box may grant, between 0 and 1.
 type Share struct {
 	Client   string
 	Fraction float64
 }
 
-// demandTTL is how long a box's latest demand counts. A box that is gone is forgotten after this time, and its
+// demandTTL is how long the latest demand of a box counts. A box that is gone is forgotten after this time, and its
 // share goes to the other boxes.
 const demandTTL = 4 * time.Second
 
-// Owner is the state of one box as the owner of clients. It is not safe for concurrent use.
+// Owner is the state that a box keeps for the clients that it owns, whose limits it divides among all boxes. It is not
+// safe for concurrent use.
 type Owner struct {
 	clients map[string]map[string]demandReport
 }
@@ -35,11 +36,11 @@
 	receivedAt time.Time
 }
 
-// NewOwner returns an owner that has received no demands.
+// NewOwner returns an owner that has not received any demand yet.
 func NewOwner() *Owner { return &Owner{clients: map[string]map[string]demandReport{}} }
 
-// Update records the demands of a box and returns its shares, in the same order. A box's share is its part of the
-// total recent demand.
+// Update records the demands of a box and returns the box's share for each, in the same order. The share of a box is
+// its part of the total recent demand of that client.
 func (h *Owner) Update(now time.Time, box string, demands []Demand) []Share {
 	out := make([]Share, len(demands))
 	for i, d := range demands {
@@ -65,7 +66,7 @@
 	return out
 }
 
-// Forget drops clients without recent demand.
+// Forget drops the clients from which no box has reported demand for demandTTL.
 func (h *Owner) Forget(now time.Time) {
 	for client, boxes := range h.clients {
 		for name, b := range boxes {
@@ -79,11 +80,11 @@
 	}
 }
 
-// SetDefault sets the part of every client's limits that this box may grant while it has no share from the
-// client's owner: 1 divided by the number of boxes.
+// SetDefault sets the default part: the part of a client's limits that this box may grant while it has no share from
+// the client's owner. It is 1 divided by the number of boxes.
 func (t *Table) SetDefault(part float64) { t.defaultShare.Store(&part) }
 
-// Demands returns the demands of clients since the last call, and resets the counts.
+// Demands returns the demand of each client since the last call, and resets the counts. since is the time since then.
 func (t *Table) Demands(since time.Duration) []Demand {
 	var out []Demand
 	for i := range t.shards {
@@ -100,7 +101,7 @@
 	return out
 }
 
-// SetShare applies a share.
+// SetShare sets the part of a client's limits that this box may grant, as the client's owner decided.
 func (t *Table) SetShare(s Share) {
 	sh := t.shard(s.Client)
 	sh.mu.Lock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// ShareOf returns the part of a client's limits that applies at this box.
+// ShareOf returns the part of a client's limits that this box may grant now.
 func (t *Table) ShareOf(client string) float64 {
 	sh := t.shard(client)
 	sh.mu.Lock()
@@ -121,10 +122,10 @@
 	return t.defaultPart()
 }
 
-// DropShare returns to the default part, because the owner does not respond.
+// DropShare returns to the default part for a client, because the client's owner does not respond.
 func (t *Table) DropShare(client string) { t.SetShare(Share{Client: client}) }
 
-// scaled returns the limits that this box enforces, given its part of them.
+// scaled returns the limits that this box enforces if it may grant the given part of them.
 func (s Set) scaled(part float64) Set {
 	return Set{Requests: s.Requests.scaled(part), Tokens: s.Tokens.scaled(part)}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,6 +1,7 @@
-// Package limit enforces the clients' limits, of which each box grants a share. Requests are taken from a token
-// bucket before they run. Tokens are taken after the response, when their number is known, so the bucket of
-// tokens may go below zero; the client then waits until it has been refilled.
+// Package limit enforces the limits of clients, of which each box enforces its share. A client has two token buckets.
+// Each request is taken from the first bucket before it runs. Its tokens are taken from the second bucket after the
+// response, when their number is known. So the second bucket may go below zero, and then the client must wait until it
+// has been refilled.
 package limit
 
 import (
@@ -15,20 +16,20 @@
 	Burst float64
 }
 
-// Set is the limits of one client. A zero rate means no limit.
+// Set contains the limits of one client, in requests and in tokens per second. A zero rate means no limit.
 type Set struct{ Requests, Tokens Rule }
 
-// Refusal says which limit was exceeded and when to retry.
+// Refusal says which limit a client exceeded and when the client may retry.
 type Refusal struct {
-	Tokens     bool // The limit of tokens was exceeded; otherwise that of requests.
+	Tokens     bool // The limit of tokens was exceeded; otherwise the limit of requests was.
 	RetryAfter time.Duration
 }
 
-// Table holds the buckets of all clients, in shards to reduce lock contention. A bucket takes about 150 bytes
-// and is created on first use.
+// Table holds the token buckets of all clients, divided into shards to reduce lock contention. The buckets of a client
+// take about 150 bytes and are created on first use.
 type Table struct {
 	shards       [numShards]shard
-	defaultShare atomic.Pointer[float64] // The part without a share from the owner; nil means all.
+	defaultShare atomic.Pointer[float64] // The part granted to clients without a share; nil means all.
 }
 
 const numShards = 64
@@ -40,8 +41,8 @@
 
 type buckets struct {
 	requests, tokens bucket
-	requestsSeen     int     // Requests since the last call of Demands, including refused ones.
-	share            float64 // From the client's owner; 0 for none.
+	requestsSeen     int     // Requests since the last call of Demands, including refused requests.
+	share            float64 // The share that the client's owner granted; 0 if none.
 }
 
 type bucket struct {
@@ -49,7 +50,7 @@
 	at    time.Time
 }
 
-// NewTable returns a table in which every bucket is full.
+// NewTable returns a table in which the buckets of every client are full.
 func NewTable() *Table {
 	t := &Table{}
 	for i := range t.shards {
@@ -66,7 +67,7 @@
 	return &t.shards[h%numShards]
 }
 
-// Take takes one request of the client.
+// Take takes one request of the client from its bucket, or returns why the request is refused.
 func (t *Table) Take(now time.Time, client string, s Set) (Refusal, bool) {
 	if s.Requests.Rate <= 0 && s.Tokens.Rate <= 0 {
 		return Refusal{}, true
@@ -88,7 +89,7 @@
 	return Refusal{}, true
 }
 
-// Spend takes the tokens that a request used, once their number is known.
+// Spend takes the tokens that a request used from the client's bucket, once their number is known.
 func (t *Table) Spend(now time.Time, client string, s Set, tokens int) {
 	if s.Tokens.Rate <= 0 {
 		return
@@ -107,7 +108,7 @@
 	return 1
 }
 
-// get returns a client's buckets, refilled up to now, and the limits scaled to this box's part.
+// get returns a client's buckets, refilled up to now, and the client's limits scaled to the part that this box grants.
 func (sh *shard) get(now time.Time, client string, s Set, part float64) (*buckets, Set) {
 	b := sh.clients[client]
 	if b != nil && b.share > 0 {
@@ -126,10 +127,11 @@
 	return b, s
 }
 
-// burst defaults to the units of one second, and is at least one unit.
+// burst returns the most units that may be used at once. It is Burst, but at least one unit and at least the units of
+// one second.
 func (r Rule) burst() float64 { return max(1, r.Rate, r.Burst) }
 
-// timeToReach is how long a bucket at level takes to reach want.
+// timeToReach returns how long a bucket takes to refill from level to want.
 func (r Rule) timeToReach(level, want float64) time.Duration {
 	return time.Duration((want - level) / r.Rate * float64(time.Second))
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(1800000000, 0)
 
-// expectGranted sends requests at a fixed rate for some seconds and expects that want of them are granted.
+// expectGranted sends perSecond requests per second for some seconds, and expects that want of them are granted.
 func expectGranted(t *testing.T, s Set, perSecond, seconds, want int) {
 	t.Helper()
 	table, got := NewTable(), 0
@@ -32,7 +32,8 @@
 	expectGranted(t, Set{Requests: Rule{Rate: 10, Burst: 50}}, 100, 10, 50+99)
 }
 
-// Tokens are counted after the response, so the bucket may be overdrawn; the refusal says when it is refilled.
+// Tokens are counted after the response, so the bucket may go below zero. The refusal of the next request says when the
+// bucket is refilled.
 func TestTokens(t *testing.T) {
 	s := Set{Tokens: Rule{Rate: 100}}
 	table := NewTable()
@@ -49,7 +50,7 @@
 	}
 }
 
-// simFleet is several boxes that exchange demands and shares with one owner every second.
+// simFleet simulates several boxes. Every second they report their demand to one owner and receive their shares.
 type simFleet struct {
 	owner  *Owner
 	tables []*Table
@@ -66,8 +67,8 @@
 	return f
 }
 
-// run sends perSecond requests per second, distributed over the boxes by weights, and returns the rate of
-// granted requests in the last half.
+// run sends perSecond requests per second, distributed over the boxes by weights. It returns the rate of granted
+// requests in the second half of the time.
 func (f *simFleet) run(seconds, perSecond int, weights []float64, ownerUp bool) float64 {
 	rng := rand.New(rand.NewPCG(1, 2))
 	granted := 0
@@ -109,33 +110,33 @@
 	}
 }
 
-// A client gets its limit from all boxes together, however its requests are distributed.
+// All boxes together grant a client its limit, however its requests are distributed over the boxes.
 func TestSharesAddUpToLimit(t *testing.T) {
 	even := []float64{.125, .125, .125, .125, .125, .125, .125, .125}
 	uneven := []float64{.7, .2, .1, 0, 0, 0, 0, 0}
 	expectRate(t, newSimFleet(8, 100).run(60, 400, even, true), 100, 0.05)
 	expectRate(t, newSimFleet(8, 100).run(60, 400, uneven, true), 100, 0.05)
-	// Below its limit a client is refused only what the shares lag behind.
+	// Below its limit, a client is refused only few requests: those that come before the shares follow its requests.
 	expectRate(t, newSimFleet(8, 100).run(60, 60, uneven, true), 60, 0.05)
-	// Without an owner each box uses the default part, which never exceeds the limit.
+	// Without an owner each box grants the default part, so all boxes together never exceed the limit.
 	expectRate(t, newSimFleet(8, 100).run(60, 400, even, false), 100, 0.05)
 	if got := newSimFleet(8, 100).run(60, 400, uneven, false); got > 100 {
 		t.Errorf("expected at most 100 per second without an owner, got %.1f", got)
 	}
 }
 
-// A box that is gone loses its share after demandTTL.
+// A box that reports no more demand loses its share after demandTTL.
 func TestShareOfRemovedBoxExpires(t *testing.T) {
-	h := NewOwner()
-	h.Update(start, "a", []Demand{{"c", 30}})
-	if s := h.Update(start.Add(time.Second), "b", []Demand{{"c", 10}}); s[0].Fraction != 0.25 {
+	owner := NewOwner()
+	owner.Update(start, "a", []Demand{{"c", 30}})
+	if s := owner.Update(start.Add(time.Second), "b", []Demand{{"c", 10}}); s[0].Fraction != 0.25 {
 		t.Errorf("expected a quarter, got %v", s)
 	}
-	if s := h.Update(start.Add(demandTTL+2*time.Second), "b", []Demand{{"c", 10}}); s[0].Fraction != 1 {
+	if s := owner.Update(start.Add(demandTTL+2*time.Second), "b", []Demand{{"c", 10}}); s[0].Fraction != 1 {
 		t.Errorf("expected all, got %v", s)
 	}
-	h.Forget(start.Add(time.Minute))
-	if len(h.clients) != 0 {
+	owner.Forget(start.Add(time.Minute))
+	if len(owner.clients) != 0 {
 		t.Error("expected clients without recent demand to be forgotten")
 	}
 }
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,6 +1,6 @@
-// Package outcome names every way a request can end. Both enums are closed: code that handles a request returns
-// an Outcome value, never an ad-hoc error string, and every Reason has a counter, a sentence for operators and a rule
-// for what the caller may do next.
+// Package outcome names every way in which a request can end. A Kind says how it ended and a Reason says why. Both are
+// closed lists: code that handles a request returns an Outcome with values of these lists, never an error text of its
+// own. Every Reason has a counter, a sentence for operators and a rule for what the caller may do next.
 package outcome
 
 import (
@@ -17,11 +17,11 @@
 	Answered Kind = iota
 	// NotRun means no endpoint ran any part of the request.
 	NotRun
-	// MayHaveRun means an endpoint was sent the request and no answer reached the caller.
+	// MayHaveRun means an endpoint was sent the request, but no answer reached the caller.
 	MayHaveRun
 	// CutOff means the caller received part of an answer and was told that it is incomplete.
 	CutOff
-	// Cancelled means the caller went away first.
+	// Cancelled means the caller went away before the request ended.
 	Cancelled
 	kindCount
 )
@@ -30,10 +30,10 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// Reason says why a request ended, or why an attempt failed.
+// Reason says why a request ended as it did, or why an attempt to serve it on an endpoint failed.
 type Reason uint8
 
-// Reasons. The table reasons has the name, the HTTP status and the sentence of each.
+// The reasons. The table named reasons below has the name, the HTTP status and a sentence for each of them.
 const (
 	OK Reason = iota
 	BadRequest
@@ -144,7 +144,7 @@
 // Sentence describes the reason in plain English.
 func (r Reason) Sentence() string { return reasons[r].sentence }
 
-// Status is the HTTP status of a refusal for this reason.
+// Status is the HTTP status with which a request is refused for this reason.
 func (r Reason) Status() int {
 	if s := reasons[r].status; s != 0 {
 		return s
@@ -161,14 +161,14 @@
 	return false
 }
 
-// All calls fn with every reason, so that a counter for each can be registered at the start.
+// All calls fn with every reason, so that a counter can be registered for each when the box starts.
 func All(fn func(Reason)) {
 	for r := OK; r < reasonCount; r++ {
 		fn(r)
 	}
 }
 
-// Kinds calls fn with every kind.
+// Kinds calls fn with every kind of outcome.
 func Kinds(fn func(Kind)) {
 	for k := Answered; k < kindCount; k++ {
 		fn(k)
@@ -182,17 +182,17 @@
 	// Detail adds specifics to the reason's sentence, such as the name of the limit or the position of a syntax
 	// error. It contains no prompt text and no key.
 	Detail string
-	// RetryAfter tells the caller when to retry; zero if a retry would not help.
+	// RetryAfter tells the caller after how long to retry. It is zero if a retry would not help.
 	RetryAfter time.Duration
 }
 
-// Refuse returns a NotRun outcome. It may be called only by code that knows that no byte of the request was sent to
-// an endpoint, or that the endpoint reported that it did not run the request.
+// Refuse returns an Outcome of the kind NotRun. It may be called only by code that knows that no byte of the request
+// was sent to an endpoint, or that the endpoint reported that it did not run the request.
 func Refuse(r Reason, detail string) Outcome {
 	return Outcome{Kind: NotRun, Reason: r, Detail: detail}
 }
 
-// Message is the text sent to the caller.
+// Message is the text about the outcome that is sent to the caller.
 func (o Outcome) Message() string {
 	if o.Detail == "" {
 		return o.Reason.Sentence()
@@ -200,10 +200,10 @@
 	return fmt.Sprintf("%s: %s", o.Reason.Sentence(), o.Detail)
 }
 
-// MarshalText writes the reason's name, which keeps JSON records readable.
+// MarshalText writes the name of the reason instead of its number, which keeps JSON records readable.
 func (r Reason) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
-// UnmarshalText reads a reason's name.
+// UnmarshalText reads the name of a reason.
 func (r *Reason) UnmarshalText(b []byte) error {
 	for i := range reasons {
 		if reasons[i].name == string(b) {
@@ -214,10 +214,10 @@
 	return fmt.Errorf("outcome: unknown reason %q", b)
 }
 
-// MarshalText writes the kind's name.
+// MarshalText writes the name of the kind.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads a kind's name.
+// UnmarshalText reads the name of a kind.
 func (k *Kind) UnmarshalText(b []byte) error {
 	for i, name := range kindNames {
 		if name == string(b) {
--- a/internal/policy/cases.go
+++ b/internal/policy/cases.go
@@ -10,14 +10,14 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// CaseResult is the result of one test case.
+// CaseResult is the result of one expectation in the test cases of a policy.
 type CaseResult struct {
 	Name    string
-	Failure string // Empty if the case passed.
+	Failure string // Why the expectation failed; empty if it was met.
 }
 
-// RunCases runs an operator's test cases: a Starlark program that can call the policy's own functions and the
-// following ones.
+// RunCases runs the test cases that an operator wrote for a policy. The cases are a Starlark program that can call the
+// functions of the policy and these functions:
 //
 //	request(prompt_tokens = 8000, client = "lab")   # fields not given have usual values
 //	pool(waiting = 12), pair(queue = 0.1)
@@ -69,7 +69,8 @@
 	}
 }
 
-// expectEqual compares verdicts by their kind, and also by their text if want has one.
+// expectEqual compares two values. It compares verdicts (results of run, wait and refuse) by their kind, and also by
+// their text if want has a text.
 func expectEqual(got, want starlark.Value) (string, error) {
 	g, okG := got.(*verdictValue)
 	w, okW := want.(*verdictValue)
@@ -98,7 +99,7 @@
 	return fmt.Sprintf("%s is not less than %s", a, b), nil
 }
 
-// secondsArg is an argument in seconds that sets a duration.
+// secondsArg is an argument that gives a duration in seconds.
 type secondsArg struct{ d *time.Duration }
 
 func (s secondsArg) Unpack(v starlark.Value) error {
--- a/internal/policy/examples_test.go
+++ b/internal/policy/examples_test.go
@@ -7,7 +7,7 @@
 	"github.com/stoatramp/stoatramp/internal/config"
 )
 
-// The example policies for operators pass their own test cases.
+// The example policies in examples/policies pass their own test cases.
 func TestExamples(t *testing.T) {
 	for _, name := range []string{"kalbarri", "norrvik"} {
 		base := "../../examples/policies/" + name
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,11 +1,12 @@
-// Package policy compiles and runs operators' routing programs. A policy is a
+// Package policy compiles and runs the routing programs of operators, which are called policies. A policy is a
 // short Starlark program with up to two functions:
 //
 //	def admit(request, pool):     # run(), wait() or refuse("why")
 //	def weigh(request, pair):     # seconds to add to the cost of a pair
 //
-// A program has no access to the outside, cannot loop forever, and sees only engines that the guarantees to
-// callers permit. If it fails, the built-in rules decide.
+// A pair is a prefill engine and a decode engine that could serve a request. A policy has no access to the outside and
+// cannot loop forever. It sees only engines that the guarantees to callers permit. If it fails, the built-in rules
+// decide.
 package policy
 
 import (
@@ -21,17 +22,17 @@
 )
 
 const (
-	// maxSteps bounds one call of a program; a typical one takes under 100.
+	// maxSteps bounds the Starlark steps of one call of a program. A typical call takes under 100.
 	maxSteps = 10000
-	// maxWeight bounds what a program can add to a cost, in seconds.
+	// maxWeight bounds the seconds that a program can add to the cost of a pair of engines, or subtract from it.
 	maxWeight = 10
 )
 
 // options restricts the language to functions and conditionals, without recursion and while loops.
 var options = &syntax.FileOptions{TopLevelControl: false}
 
-// Program is a compiled policy. It is not safe for concurrent use: the decision
-// core, which calls it, is single-threaded.
+// Program is a compiled policy. It is not safe for concurrent use, because the decision
+// core, which calls it, uses only one goroutine.
 type Program struct {
 	thread *starlark.Thread
 	admit  starlark.Callable
@@ -71,7 +72,7 @@
 	return globals, withPosition(err)
 }
 
-// withPosition adds the source position to an error of a running program.
+// withPosition adds the position in the source text to an error of a running program.
 func withPosition(err error) error {
 	var eval *starlark.EvalError
 	if errors.As(err, &eval) && len(eval.CallStack) > 0 {
@@ -80,7 +81,8 @@
 	return err
 }
 
-// globalFunction returns the global function of that name, which must take two arguments; nil if there is none.
+// globalFunction returns the program's global function with the given name, which must take two parameters. It returns
+// nil if there is no such function.
 func globalFunction(globals starlark.StringDict, name string) (starlark.Callable, error) {
 	v, ok := globals[name]
 	if !ok {
@@ -103,7 +105,7 @@
 	return v, withPosition(err)
 }
 
-// Admit calls the program's admit function for an arriving request.
+// Admit calls the program's admit function, which decides whether an arriving request runs, waits or is refused.
 func (p *Program) Admit(r *decide.Request, v decide.View) decide.Verdict {
 	if p.admit == nil {
 		return decide.Verdict{}
@@ -120,7 +122,7 @@
 	return decide.Verdict{Refuse: verdict.kind == refuse, Wait: verdict.kind == wait, Text: verdict.text}
 }
 
-// Weigh calls the program's weigh function for a candidate pair.
+// Weigh calls the program's weigh function for a pair of engines, and returns the seconds to add to the pair's cost.
 func (p *Program) Weigh(r *decide.Request, c *decide.Candidate) (float64, error) {
 	if p.weigh == nil {
 		return 0, nil
@@ -137,10 +139,10 @@
 	return max(-maxWeight, min(maxWeight, n)), nil
 }
 
-// Set holds the compiled policies of one configuration.
+// Set holds the compiled policies of one configuration, by name.
 type Set struct{ byName map[string]*Program }
 
-// Policy returns the program of that name; nil if there is none.
+// Policy returns the compiled policy with the given name, or nil if there is none.
 func (s *Set) Policy(name string) decide.Policy {
 	if p, ok := s.byName[name]; ok {
 		return p
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// Compile compiles the programs of a configuration.
+// Compile compiles the policies of a configuration.
 func Compile(list []*config.Policy) (*Set, error) {
 	s := &Set{byName: map[string]*Program{}}
 	for _, c := range list {
@@ -161,13 +163,13 @@
 	return s, nil
 }
 
-// RuleSet is the compiled policies of boxes on a platform, and the rules that select them.
+// RuleSet holds the compiled policies of a relay box, and the rules that say which requests each policy applies to.
 type RuleSet struct {
 	set   *Set
 	rules []*config.Rule
 }
 
-// CompileRules compiles the programs of a configuration.
+// CompileRules compiles the policies of a configuration, and keeps its rules.
 func CompileRules(c *config.Rules) (*RuleSet, error) {
 	set, err := Compile(c.Policies)
 	if err != nil {
@@ -176,7 +178,8 @@
 	return &RuleSet{set, c.Rules}, nil
 }
 
-// For returns the policy and the name of the first rule that matches; nil if none does.
+// For returns the policy of the first rule that matches a request, and the name of that rule. It returns nil if no rule
+// matches.
 func (s *RuleSet) For(kind, service string, priority int) (decide.Policy, string) {
 	for _, r := range s.rules {
 		if r.Matches(kind, service, priority) {
@@ -186,7 +189,7 @@
 	return nil, ""
 }
 
-// Check compiles a program and runs the operator's own test cases.
+// Check compiles a policy and runs the test cases that the operator wrote for it.
 func Check(c *config.Policy) error {
 	if _, err := New(c.Name, c.Program); err != nil {
 		return err
--- a/internal/policy/values.go
+++ b/internal/policy/values.go
@@ -9,7 +9,7 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// readOnly implements the trivial starlark.Value methods of a read-only value.
+// readOnly implements the methods that starlark.Value requires of a value that programs can only read.
 type readOnly struct{}
 
 func (readOnly) Freeze()               {}
@@ -18,7 +18,7 @@
 
 func secondsValue(d time.Duration) starlark.Value { return starlark.Float(d.Seconds()) }
 
-// requestValue is a request as seen by a program.
+// requestValue is a request as a program sees it.
 type requestValue struct {
 	readOnly
 	r *decide.Request
@@ -57,7 +57,7 @@
 	return nil, nil
 }
 
-// poolValue is a pool as seen by a program.
+// poolValue is a pool (a group of engines that serve one model) as a program sees it.
 type poolValue struct {
 	readOnly
 	v decide.View
@@ -82,7 +82,7 @@
 	return nil, nil
 }
 
-// pairValue is a candidate pair as seen by a program.
+// pairValue is a pair of a prefill and a decode engine as a program sees it.
 type pairValue struct {
 	readOnly
 	c *decide.Candidate
@@ -119,7 +119,7 @@
 	return nil, nil
 }
 
-// verdictKind is a decision of admit.
+// verdictKind is what a program's admit function decided about a request.
 type verdictKind uint8
 
 const (
@@ -130,7 +130,7 @@
 
 var verdictNames = [...]string{"run", "wait", "refuse"}
 
-// verdictValue is the result of run(), wait() and refuse().
+// verdictValue is what run(), wait() and refuse() return to a program.
 type verdictValue struct {
 	readOnly
 	kind verdictKind
@@ -145,7 +145,7 @@
 }
 func (v *verdictValue) Type() string { return "verdict" }
 
-// predeclared has the names that every program has in addition to Starlark's own.
+// predeclared contains the names that every program can use in addition to those of Starlark.
 var predeclared = starlark.StringDict{
 	"run":    verdictBuiltin(run),
 	"wait":   verdictBuiltin(wait),
--- a/internal/record/explain.go
+++ b/internal/record/explain.go
@@ -9,7 +9,7 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// Explain describes in plain sentences what happened to the request and why.
+// Explain describes in plain sentences what happened to a request and why.
 func Explain(r *Record) []string {
 	out := []string{openingSentence(r)}
 	for _, s := range r.Steps {
@@ -29,14 +29,14 @@
 }
 
 func openingSentence(r *Record) string {
-	who := "A caller"
+	caller := "A caller"
 	switch {
 	case r.Client != "":
-		who = "Client " + r.Client
+		caller = "Client " + r.Client
 	case r.Reason == outcome.UnknownKey:
-		who = "A caller without a known key"
+		caller = "A caller without a known key"
 	}
-	s := fmt.Sprintf("%s called %s on box %s at %s", who, r.Path, r.Box, r.At.UTC().Format(time.RFC3339Nano))
+	s := fmt.Sprintf("%s called %s on box %s at %s", caller, r.Path, r.Box, r.At.UTC().Format(time.RFC3339Nano))
 	if r.Route == "" {
 		return s + "."
 	}
@@ -121,14 +121,14 @@
 	return fmt.Sprintf("%s, and %d requests were waiting", role, s.Tokens)
 }
 
-// candidateLines lists the compared pairs, the chosen one first.
-func candidateLines(ch *decide.Choice) []string {
-	if ch == nil {
+// candidateLines describes the compared pairs of a prefill and a decode engine, the chosen pair first.
+func candidateLines(choice *decide.Choice) []string {
+	if choice == nil {
 		return nil
 	}
 	var out []string
-	for i := range ch.Candidates {
-		c := &ch.Candidates[i]
+	for i := range choice.Candidates {
+		c := &choice.Candidates[i]
 		verdict := "passed over"
 		if i == 0 {
 			verdict = "chosen, the lowest cost"
@@ -136,28 +136,28 @@
 		out = append(out, fmt.Sprintf("    %s -> %s: queue %s, read %s (%d cached), transfer %s, first token in %s, %s between tokens, %d tokens free, cost %.1f ms: %s.",
 			c.Prefill, c.Decode, roundDuration(c.Queue), roundDuration(c.PrefillTime), c.Cached, roundDuration(c.Transfer), roundDuration(c.FirstToken), roundDuration(c.Step), c.FreeKV, c.Cost*1000, verdict))
 	}
-	if omitted := ch.Compared - len(ch.Candidates); omitted > 0 {
+	if omitted := choice.Compared - len(choice.Candidates); omitted > 0 {
 		out = append(out, fmt.Sprintf("    %d more pairs cost more.", omitted))
 	}
-	if text := exclusionsText(ch.Excluded); text != "" {
+	if text := exclusionsText(choice.Excluded); text != "" {
 		out = append(out, "    Engines left out: "+text+".")
 	}
 	return out
 }
 
-func exclusionsText(p decide.Exclusions) string {
+func exclusionsText(excluded decide.Exclusions) string {
 	var parts []string
 	add := func(n int, what string) {
 		if n > 0 {
 			parts = append(parts, fmt.Sprintf("%d %s", n, what))
 		}
 	}
-	add(p.Leaving, "leaving")
-	add(p.SetAside, "set aside after failures")
-	add(p.NoRoom, "without room")
-	add(p.TooSlow, "too slow between tokens")
-	add(p.Busy, "busy reading")
-	add(p.Cold, "just started")
+	add(excluded.Leaving, "leaving")
+	add(excluded.SetAside, "set aside after failures")
+	add(excluded.NoRoom, "without room")
+	add(excluded.TooSlow, "too slow between tokens")
+	add(excluded.Busy, "busy reading")
+	add(excluded.Cold, "just started")
 	return strings.Join(parts, ", ")
 }
 
--- a/internal/record/explain_test.go
+++ b/internal/record/explain_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// expectStepSentence checks part of the sentence that describes a step.
+// expectStepSentence expects that the sentence that describes a step contains want.
 func expectStepSentence(t *testing.T, s Step, want string) {
 	t.Helper()
 	if got := stepSentence(&s); !strings.Contains(got, want) {
@@ -13,7 +13,8 @@
 	}
 }
 
-// The sentence distinguishes an engine that refused to reserve memory from an owner that did not grant it.
+// The sentence says whether the engine itself refused to reserve memory, or the engine's owner (the box that grants the
+// engine's memory to the other boxes) did.
 func TestNoRoomText(t *testing.T) {
 	expectStepSentence(t, Step{Kind: StepNoRoom, Decode: "decode-3"}, "decode-3 refused to set memory aside")
 	expectStepSentence(t, Step{Kind: StepNoRoom, Decode: "decode-3", Text: "box7"}, "Box box7, the home of decode-3, said that it has no room")
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record stores the decisions about each request and explains them in plain sentences. A record contains no
-// prompt text and no key.
+// Package record stores the decisions that were made about each request, and explains them in plain sentences. A record
+// contains no prompt text and no API key.
 package record
 
 import (
@@ -18,7 +18,7 @@
 	StepPolicy           StepKind = "policy"
 	StepWait             StepKind = "wait"
 	StepPrefill          StepKind = "prefill"
-	StepPrefillDone      StepKind = "read" // The prefill engine has read the prompt.
+	StepPrefillDone      StepKind = "read" // The prefill engine has finished the prompt.
 	StepDecode           StepKind = "decode"
 	StepFirst            StepKind = "first_token"
 	StepRetry            StepKind = "retry"
@@ -26,14 +26,17 @@
 	StepAbort            StepKind = "abort"
 	StepWastedPrefill    StepKind = "waste"
 	StepEndpoint         StepKind = "endpoint" // A plain service's endpoint was called.
-	StepFailed           StepKind = "failed"   // A call to Decode failed; Text is the connection's error.
-	StepMigrate          StepKind = "migrate"  // A stream is to be migrated to Decode, because of Text.
-	StepMigrated         StepKind = "migrated" // The stream continues at Decode.
-	StepMigrationAborted StepKind = "stayed"   // The migration was aborted, and the stream continues where it was.
-	StepNoRoom           StepKind = "no_room"  // A decode engine refused to reserve memory, or its owner, named in Text, did not grant it.
+	StepFailed           StepKind = "failed"   // A call to the endpoint Decode failed; Text is the connection error.
+	StepMigrate          StepKind = "migrate"  // A stream is to be migrated to the engine Decode; Text is why.
+	StepMigrated         StepKind = "migrated" // The stream continues at the engine Decode.
+	StepMigrationAborted StepKind = "stayed"   // The migration was aborted, and the stream continues at its old engine.
+	// StepNoRoom means that a decode engine refused to reserve memory. If Text names a box, that box, which grants the
+	// engine's memory to the other boxes, refused instead.
+	StepNoRoom StepKind = "no_room"
 )
 
-// Step is one event in the processing of a request.
+// Step is one event in the processing of a request. Which fields are set depends on Kind. Decode names the decode
+// engine, or the endpoint of a plain service.
 type Step struct {
 	// After is the time since the request arrived.
 	After   time.Duration  `json:"after_ns"`
@@ -53,17 +56,17 @@
 type EndpointState struct {
 	// Compared is the number of endpoints that could have been selected.
 	Compared int `json:"compared"`
-	// Calls is the number of this box's calls to it that were in progress.
+	// Calls is the number of calls of this box to the endpoint that were in progress.
 	Calls int `json:"calls"`
-	// Mean is the moving average of its response times.
+	// Mean is the moving average of the endpoint's response times.
 	Mean time.Duration `json:"mean_ns"`
-	// Failures is the number of its latest calls that failed in a row.
+	// Failures is the number of latest calls to the endpoint that failed in a row.
 	Failures int `json:"failures"`
-	// ListAge is the time since the list of endpoints was last received.
+	// ListAge is the time since the box last received the list of endpoints.
 	ListAge time.Duration `json:"list_age_ns"`
 }
 
-// NewStep converts an action of package decide to a step; ok is false for an action that is not recorded.
+// NewStep converts an action of package decide to a step of a record. ok is false if the action is not recorded.
 func NewStep(a decide.Action) (s Step, ok bool) {
 	switch a := a.(type) {
 	case decide.StartPrefill:
@@ -102,9 +105,10 @@
 	Model  string    `json:"model,omitempty"`
 	Path   string    `json:"path"`
 	At     time.Time `json:"at"`
-	// ConfigVersion is the version of the configuration that the decisions were based on.
+	// ConfigVersion is the version of the configuration on which the decisions were based.
 	ConfigVersion int64 `json:"config_version"`
-	// Rule names the rule whose policy was applied, as of PolicyVersion; empty if there was none.
+	// Rule is the name of the rule that selected the policy for this request, in the version PolicyVersion of the
+	// policies. It is empty if no rule matched.
 	Rule          string         `json:"rule,omitempty"`
 	PolicyVersion int64          `json:"policy_version,omitempty"`
 	PromptTokens  int            `json:"prompt_tokens,omitempty"`
@@ -119,13 +123,13 @@
 	FirstToken    time.Duration  `json:"first_token_ns,omitempty"`
 	LongestGap    time.Duration  `json:"longest_gap_ns,omitempty"`
 	Output        int            `json:"output_tokens,omitempty"`
-	// HeaderSent says that the caller was sent the header of a response.
+	// HeaderSent says that the header of a response was sent to the caller.
 	HeaderSent bool          `json:"begun,omitempty"`
 	Duration   time.Duration `json:"took_ns"`
 }
 
-// LastEndpoint returns the endpoint that answered the request last, or was called last for an answer; empty if there
-// was none.
+// LastEndpoint returns the endpoint that last answered the request, or was last called for an answer. It is empty if
+// there was none.
 func (r *Record) LastEndpoint() string {
 	for i := len(r.Steps) - 1; i >= 0; i-- {
 		switch s := &r.Steps[i]; s.Kind {
@@ -136,7 +140,7 @@
 	return ""
 }
 
-// Ring holds the newest records of a box in memory.
+// Ring holds the newest records of a box in memory. When it is full, each new record replaces the oldest one.
 type Ring struct {
 	mu   sync.Mutex
 	size int
@@ -150,7 +154,7 @@
 	return &Ring{size: size, byID: map[string]*Record{}}
 }
 
-// Add stores a finished record, which must not be changed afterwards.
+// Add stores the record of a finished request, which must not be changed afterwards.
 func (g *Ring) Add(r *Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -164,7 +168,7 @@
 	g.next = (g.next + 1) % g.size
 }
 
-// Get returns the record of a request id; nil if it is not in the ring.
+// Get returns the record of the request with the given id, or nil if the ring does not contain it.
 func (g *Ring) Get(id string) *Record {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,14 +1,16 @@
-// Package retry bounds the calls that boxes make beyond the first of each request, so that retries do not
-// overload a failing service further.
+// Package retry bounds the retries of all boxes together, so that retries do not overload a failing service further. A
+// retry, or extra call, is each call of a request beyond its first one.
 //
-// The platform allows all of its boxes together a share of the requests, plus a number of free calls, in any
-// window. Each box uses an equal part of that which needs no communication, so the bound holds for the sum
-// even while boxes are cut off from each other or restarted.
+// In any window of time, the platform allows all of its boxes together a share of the requests as extra calls, and a
+// number of free calls in addition. Each box uses an equal part of the free calls, and the share of its own requests.
+// This needs no communication, so the bound holds for the sum even while boxes are cut off from each other or
+// restarted.
 //
-// Alternatives: a common budget, with boxes publishing what they used, exceeds the bound while messages are
-// lost (in simulations of 85 boxes whose engines reject most calls, 1.3 times the bound with half of the boxes
-// cut off, and 1.4 times with all restarted in turn). A box that grants retries costs a call for each and
-// must be found. Fixed parts cost nothing, but a box that meets a fault alone has less to use.
+// Alternatives: the boxes could share one budget and publish what they used. This exceeds the bound while messages are
+// lost. In simulations of 85 boxes whose engines reject most calls, the boxes made 1.3 times the allowed calls with
+// half of the boxes cut off, and 1.4 times with all boxes restarted in turn. Or one box could grant retries, but then
+// each retry costs a call, and that box must be found. Fixed parts cost nothing, but a box that alone meets a fault has
+// fewer calls to use.
 package retry
 
 import (
@@ -16,52 +18,51 @@
 	"time"
 )
 
-// Limits are what the platform allows all of its boxes together.
+// Limits are the extra calls that the platform allows all of its boxes together.
 type Limits struct {
-	// A service may get the share Share of its requests, plus FreeCalls, as calls beyond the first of a request
-	// in any Window.
+	// In any Window, a service may receive the share Share of its requests, plus FreeCalls, as extra calls.
 	Share     float64
 	FreeCalls float64
 	Window    time.Duration
 }
 
 const (
-	// usableShare and usableFree are the fractions of the bound that boxes use. The rest is for calls that
-	// reach a service closer together than they were sent, and for boxes that are not listed yet.
+	// usableShare and usableFree are the fractions of Share and FreeCalls that boxes use. They leave some for calls
+	// that reach a service closer together than they were sent, and for boxes that are not listed yet.
 	usableShare = 0.75
 	usableFree  = 0.9
-	// maxTransit is the longest time between Take and the call's arrival at the service: connecting may take
-	// 0.7 s.
+	// maxTransit is the longest time between a call of Take and the arrival of the extra call at the service.
+	// Connecting may take 0.7 s.
 	maxTransit = time.Second
-	// numSlots is the number of slots in which a window is counted.
+	// numSlots is the number of slots, parts of equal length, in which a window is counted.
 	numSlots = 22
 )
 
-// Budget is the part of the bound that one box may use at one service. It is safe for concurrent use. The
-// zero value allows nothing.
+// Budget is the part of the platform's bound that one box may use at one service. It is safe for concurrent use. The
+// zero value allows no extra calls.
 type Budget struct {
 	mu    sync.Mutex
 	share float64
 	free  float64
 	// slotLength is the time that one slot covers.
 	slotLength time.Duration
-	// freeFrom is when the free calls become available.
+	// freeFrom is from when the box may use its free calls.
 	freeFrom time.Time
 	slots    [numSlots]slot
 }
 
-// slot counts the requests and the extra calls in one part of the window.
+// slot counts the requests that arrived and the extra calls that were made in one part of the window.
 type slot struct {
-	index          int64 // The slot's number since 1970.
+	index          int64 // The number of the slot, counted since 1970.
 	arrived, spent int
 }
 
-// SetBound sets the part of the platform's bound that this box may use, for the given number of boxes. A box that
-// does not know that number gets no free calls, only a share of its own requests. The same applies in the
+// SetBound sets the part of the platform's bound that this box may use if there are the given number of boxes. A box
+// that does not know that number (0) gets no free calls, only a share of its own requests. The same applies in the
 // first window after a start, since the box may have used its free calls before it restarted.
 //
-// Example: of 210 free calls each of 85 boxes gets 2.2. So it may make two in a window, and a third once five
-// requests have arrived.
+// Example: of 210 free calls each of 85 boxes gets 2.2. So it may make two extra calls in a window, and a third one
+// after five requests have arrived.
 func (b *Budget) SetBound(l Limits, boxes int, started time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,11 +72,13 @@
 		b.free = usableFree * l.FreeCalls / float64(boxes)
 	}
 	window := l.Window + maxTransit
-	b.slotLength = max(time.Millisecond, window/(numSlots-1)) // The oldest slot is only partly within the window.
+	// There is one slot more than fits into the window, because the oldest slot is only partly within the window.
+	b.slotLength = max(time.Millisecond, window/(numSlots-1))
 	b.freeFrom = started.Add(window)
 }
 
-// SetFixed sets a share of the requests and a number of free calls, available at once, for a box on its own.
+// SetFixed sets a share of the requests and a number of free calls for a box on its own. The free calls are available
+// at once.
 func (b *Budget) SetFixed(share, free float64, window time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,7 +86,7 @@
 	b.freeFrom = time.Time{}
 }
 
-// CountRequest counts a request.
+// CountRequest counts a request that arrived, of which a share may be used as extra calls.
 func (b *Budget) CountRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,14 +95,14 @@
 	}
 }
 
-// Has reports whether n more calls may be made now.
+// Has reports whether n extra calls may be made now.
 func (b *Budget) Has(now time.Time, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.has(now, n)
 }
 
-// Take reserves n more calls, all or none, and reports whether they may be made.
+// Take reserves n extra calls, all or none, and reports whether they may be made.
 func (b *Budget) Take(now time.Time, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -110,8 +113,8 @@
 	return true
 }
 
-// Return gives back n calls that were taken at the given time and not made. Calls taken longer than a window ago
-// no longer count, so nothing is given back for them.
+// Return gives back n extra calls that were taken at the given time and not made. Extra calls that were taken longer
+// than a window ago no longer count, so for them it does nothing.
 func (b *Budget) Return(taken time.Time, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,7 +146,7 @@
 	return float64(spent+n) <= allowed
 }
 
-// slotAt returns the slot of a time; nil if nothing is allowed.
+// slotAt returns the slot of a time, or nil if the budget allows nothing.
 func (b *Budget) slotAt(now time.Time) *slot {
 	if b.slotLength <= 0 {
 		return nil
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// In any window, the budget never allows more calls than the free ones plus a share of the requests that arrived
-// in that window and the one before it.
+// In any window, the budget allows no more extra calls than the free calls plus a share of the requests that arrived in
+// that window and the window before it.
 func TestBudget(t *testing.T) {
 	for seed := range uint64(300) {
 		expectBounded(t, seed)
@@ -39,14 +39,14 @@
 			}
 		}
 		from := now.Add(-window)
-		// Each extra call was allowed because of requests in the window before it.
+		// Each extra call was allowed because of requests in the window before that call.
 		if n, requests := countAfter(retries, from), countAfter(arrivals, from.Add(-window-2*maxTransit)); float64(n) > free+l.Share*float64(requests) {
 			t.Fatalf("seed %d: %d extra calls with %g free and %d requests in one window", seed, n, free, requests)
 		}
 	}
 }
 
-// Returned calls may be taken again within their window, and add nothing to a later one.
+// Extra calls that are given back may be taken again in the same window. They add nothing to a later window.
 func TestReturn(t *testing.T) {
 	var b Budget
 	b.SetFixed(0, 2, 10*time.Second)
@@ -70,7 +70,7 @@
 	expectTaken("a minute later", 2)
 }
 
-// countAfter counts the times after a moment.
+// countAfter counts the times in the list that are after from.
 func countAfter(list []time.Time, from time.Time) (n int) {
 	for _, at := range list {
 		if at.After(from) {
@@ -80,8 +80,8 @@
 	return n
 }
 
-// expectAllowed expects that a box among so many, age after its start, is allowed want calls after the given number
-// of requests.
+// expectAllowed expects that a box is allowed want extra calls after arrived requests, at the time age after its start
+// and with the given number of boxes.
 func expectAllowed(t *testing.T, boxes int, age time.Duration, arrived, want int) {
 	t.Helper()
 	var b Budget
@@ -105,7 +105,7 @@
 func TestBudgetWithUnknownBoxes(t *testing.T) { expectAllowed(t, 0, time.Minute, 20, 3) }
 func TestBudgetAfterStart(t *testing.T)       { expectAllowed(t, 8, 10*time.Second, 20, 3) }
 
-// The budget is available again after the window and maxTransit.
+// Once the budget is used up, it is available again after the window plus maxTransit, and not before.
 func TestBudgetRefillsAfterWindow(t *testing.T) {
 	var b Budget
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -1,5 +1,6 @@
-// Package roles switches engines between the prefill and decode roles as the traffic requires. One box at a time
-// does so, under a lease, and slowly: an engine that switches its role serves nothing for some seconds.
+// Package roles switches engines between the prefill role and the decode role as the traffic requires. Only the box
+// that holds the lease does so; a lease is an exclusive right for a limited time. The box waits after
+// its orders before it gives more, because an engine that switches its role serves nothing for some seconds.
 package roles
 
 import (
@@ -15,46 +16,46 @@
 
 // Fleet is the manager's access to the engines.
 type Fleet interface {
-	// RecommendRoleChange returns which engines should switch to which role, if any.
+	// RecommendRoleChange returns which engines should switch to which role. It returns false if none should.
 	RecommendRoleChange() (decide.RoleChange, bool)
-	// SetRole orders one switch. After an error, the order may or may not be carried out.
+	// SetRole orders one engine to switch to a role. After an error, the engine may or may not carry the order out.
 	SetRole(ctx context.Context, engine string, role decide.EngineRole, l lease.Lease) error
 }
 
-// Leases grants the right to send orders.
+// Leases grants the lease, without which a box may not send orders.
 type Leases interface {
 	Acquire(ctx context.Context) (lease.Lease, error)
 }
 
-// Manager carries out the recommendation.
+// Manager carries out the role changes that the fleet recommends.
 type Manager struct {
 	Fleet  Fleet
 	Leases Leases
-	// CheckInterval is the mean interval between checks of the recommendation, and StableChecks the number of
+	// CheckInterval is the mean time between two checks of the recommendation. StableChecks is the number of
 	// consecutive checks that must give the same recommendation before it is carried out.
 	CheckInterval time.Duration
 	StableChecks  int
-	// Cooldown is how long this box waits after an order, or after it found another box's lease, before it
-	// tries again.
+	// Cooldown is how long this box waits after it sent orders, or found that another box holds the lease, before
+	// it tries again.
 	Cooldown time.Duration
-	// ExtraChecks returns for how many further checks a recommendation must last before this box carries it out; nil
-	// for none. It lets one of many boxes act first, so that the others see the result.
+	// ExtraChecks returns in how many further checks a recommendation must be the same before this box carries it
+	// out. It lets another box act first, so that this box sees the result. nil means no further checks.
 	ExtraChecks func() int
-	// OnLease is called after each attempt to acquire the lease, unless another box held it; it may be nil.
+	// OnLease is called after each attempt to acquire the lease, unless another box holds the lease. It may be nil.
 	OnLease func(l lease.Lease, err error)
-	// OnOrder is called after each order; it may be nil.
+	// OnOrder is called after each order to an engine. It may be nil.
 	OnOrder func(engine string, role decide.EngineRole, l lease.Lease, err error)
 }
 
-// attemptTimeout bounds acquiring the lease and sending the orders.
+// attemptTimeout bounds the time for acquiring the lease and sending the orders.
 const attemptTimeout = 2 * time.Second
 
-// Run checks and carries out the recommendation until ctx is done.
+// Run checks the recommendation regularly, and carries it out once it is stable, until ctx is done.
 func (m *Manager) Run(ctx context.Context) {
 	var last decide.RoleChange
 	stableCount, extraChecks := 0, 0
 	for {
-		// The jitter keeps boxes with the same recommendation from requesting the lease at the same time.
+		// The random part of the wait keeps boxes with the same recommendation from requesting the lease at the same time.
 		wait := m.CheckInterval/2 + time.Duration(rand.Int64N(int64(m.CheckInterval)))
 		a, ok := m.Fleet.RecommendRoleChange()
 		switch {
@@ -86,8 +87,8 @@
 	return m.ExtraChecks()
 }
 
-// applyRoleChange sends the orders if this box gets the lease. It reports whether orders were sent or another box
-// is about to send them.
+// applyRoleChange sends the orders if this box gets the lease. It reports whether orders were sent, or another box
+// holds the lease and is about to send them.
 func (m *Manager) applyRoleChange(ctx context.Context, a decide.RoleChange) bool {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -10,7 +10,7 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// fakeFleet recommends one role change between recommendFrom and recommendUntil.
+// fakeFleet recommends the same role change from recommendFrom until recommendUntil.
 type fakeFleet struct {
 	start                         time.Time
 	recommendFrom, recommendUntil time.Duration
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// fakeLeases grants a lease, or reports that another box holds it, after a delay.
+// fakeLeases grants the lease after a delay, or fails with err, for example because another box holds it.
 type fakeLeases struct {
 	err   error
 	delay time.Duration
@@ -43,7 +43,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f.start = time.Now()
-		// The third pair of orders comes after 18.9 to 20.7 s, the fourth after 28.2 s.
+		// While the recommendation lasts, three pairs of orders are sent by then: the third after 18.9 to 20.7 s. The
+		// fourth pair would come after 28.2 s.
 		ctx, cancel := context.WithTimeout(context.Background(), 25*time.Second)
 		defer cancel()
 		m := &Manager{Fleet: &f, Leases: l, CheckInterval: 300 * time.Millisecond, StableChecks: 3, Cooldown: 9 * time.Second}
@@ -54,7 +55,7 @@
 	})
 }
 
-// A box with extra checks sends no order if the recommendation disappears while it waits.
+// A box that makes extra checks sends no order if the recommendation ends during these checks.
 func TestPatienceDelaysOrders(t *testing.T) {
 	for extraChecks, want := range map[int]int{0: 2, 20: 0} {
 		synctest.Test(t, func(t *testing.T) {
