--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -182,7 +182,7 @@
 	b.Undelivered("id-3", time.Millisecond, io.ErrShortWrite)
 	ends := map[any]map[string]any{}
 	for _, m := range parseLines(t, out) {
-		ends[m["id"]] = m // The last line of each request is its end.
+		ends[m["id"]] = m // The last line of a request reports how it ended.
 	}
 	for id, level := range map[string]string{"id-1": "warn", "id-2": "info", "id-3": "warn"} {
 		m := ends[id]
--- a/internal/archive/bytime.go
+++ b/internal/archive/bytime.go
@@ -159,7 +159,7 @@
 	o := a.lastObject
 	a.mu.Unlock()
 	if o.name != "" && a.store.Put(ctx, o.name, o.bytes) != nil {
-		a.StoreRestored() // Run tries again, until the object is forgotten.
+		a.StoreRestored() // Run tries again until the object is no longer kept in memory.
 	}
 }
 
@@ -187,7 +187,7 @@
 	for _, name := range names[:min(len(names), maxSearched)] {
 		b, err := a.store.Get(ctx, name)
 		if errors.Is(err, ErrNotFound) {
-			continue // Another box has just removed it.
+			continue // Another box has just removed this object.
 		}
 		if err != nil {
 			return nil, err
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -263,13 +263,13 @@
 // runTicker calls Tick at regular intervals so that timeouts fire. While no request runs there is nothing to time
 // out, and the ticker is stopped so that it does not wake the process. If a tick comes more than minLoggedStall
 // late, runTicker calls onStall with the delay.
-func runTicker(ctx context.Context, r tickTarget, onStall func(time.Duration)) {
-	busy := r.NotifyBusy()
+func runTicker(ctx context.Context, target tickTarget, onStall func(time.Duration)) {
+	busy := target.NotifyBusy()
 	last := time.Now()
 	t := time.NewTicker(decide.TickEvery())
 	defer t.Stop()
 	for {
-		if r.Running() == 0 {
+		if target.Running() == 0 {
 			t.Stop()
 			select {
 			case <-busy:
@@ -285,7 +285,7 @@
 				onStall(late)
 			}
 			last = time.Now()
-			r.Tick()
+			target.Tick()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/box/fault_test.go
+++ b/internal/box/fault_test.go
@@ -57,7 +57,7 @@
 }
 
 // expectSurvives injects a fault at the prefill or the decode step of a request. It expects the caller to receive
-// the whole answer, and the retry to be counted under the given reason.
+// the whole answer, and a retry to be counted under the given reason unless that is OK.
 func expectSurvives(t *testing.T, atDecode bool, f standin.Fault, retry outcome.Reason) {
 	t.Helper()
 	t.Parallel()
@@ -223,8 +223,8 @@
 	g.expectIdle()
 }
 
-// expectCancelFrees cancels a request once it has reached a stage, which the function reached recognizes. It expects
-// the engines to free all memory although their reservations would last an hour.
+// expectCancelFrees cancels a request once reached reports that the request is at the wanted stage. It expects the
+// engines to free all memory although their reservations would last an hour.
 func expectCancelFrees(t *testing.T, o demo.Options, prompt string, fault func(*rig), reached func(*rig) bool) {
 	t.Helper()
 	t.Parallel()
--- a/internal/box/relay.go
+++ b/internal/box/relay.go
@@ -194,7 +194,8 @@
 }
 
 // requestMemoryShare is the share of the process's memory that may be reserved for requests. The other memory is for
-// the box's lists and ledgers, which take about 30 MB at 400 boxes, and for garbage that is not collected yet.
+// the box's lists and its ledgers of what is reserved on engines, which together take about 30 MB at 400 boxes, and for
+// garbage that is not collected yet.
 const requestMemoryShare = 0.3
 
 func boolToFloat(set bool) float64 {
@@ -328,8 +329,8 @@
 // shareInterval is the time between two checks of how many boxes there are.
 const shareInterval = time.Second
 
-// runShare tells the relay regularly how many boxes there are, and which share of the calls the settings allow for
-// retries. A box without peers counts as one box.
+// runShare regularly has the relay check whether it is connected to other boxes, and sets this box's part of the
+// retries that the platform allows all boxes together. A box without an address for peers counts as the only box.
 func (b *RelayBox) runShare() {
 	for b.ctx.Err() == nil {
 		cfg := b.settings.Load()
--- a/internal/box/relay_follow.go
+++ b/internal/box/relay_follow.go
@@ -61,8 +61,8 @@
 	membersSettleTime = 450 * time.Millisecond
 	// manualMaxAge is the maximum age of tables that are changed by hand.
 	manualMaxAge = 12 * time.Second
-	// membersPause is the pause between reads of the list of members. Boxes that start together are then read in
-	// batches.
+	// membersPause is the least time between two reads of the list of members that return changes. With it, a
+	// box reads several boxes that start together in one batch.
 	membersPause = time.Second
 )
 
@@ -136,8 +136,9 @@
 		Self:     overlay.Member{Name: cfg.Name, Region: cfg.Region, Hall: cfg.Hall, Incarnation: time.Now().UnixNano()},
 		Register: b.site.MemberTable,
 		Tables:   shared,
-		// Only these tables are sent without the key of the boxes. The policies contain the operators with the
-		// hashes of their keys, and the members contain the key of the boxes, so both are not open.
+		// A box that starts while the store is unavailable may fetch these tables from another box without the key
+		// of the boxes. The other two tables are not open: the policies contain the hashes of the operators' keys,
+		// and the members contain the key of the boxes.
 		KeylessTables: []string{tableConfig, tableEndpoints, tableCrashes},
 		Seeds:         cfg.Seeds,
 		Room:          func(r overlay.Room) bool { return b.Relay.HasRoom(r) },
--- a/internal/box/shared.go
+++ b/internal/box/shared.go
@@ -27,8 +27,8 @@
 // store is restored from an older snapshot, an accepted version can be missing. The next change would then be
 // accepted under the same version number.
 type durableTable struct {
-	inner SharedTable
-	read  func(key string, text []byte) (platform.Row, error)
+	inner    SharedTable
+	parseRow func(key string, text []byte) (platform.Row, error)
 	// onError is called for each row that could not be rewritten, and onRewritten for each row that was.
 	onError     func(key string, err error)
 	onRewritten func(key string, version int64)
@@ -65,7 +65,7 @@
 		if old := k.known[key]; bytes.Equal(old.text, text) {
 			continue
 		}
-		if r, err := k.read(key, text); err == nil && r.Version >= k.known[key].version {
+		if r, err := k.parseRow(key, text); err == nil && r.Version >= k.known[key].version {
 			k.known[key] = knownRow{version: r.Version, text: text}
 		}
 	}
@@ -162,7 +162,7 @@
 // newSharedTable returns the table of the shared configuration, which writes rows back that the store has lost.
 func (b *RelayBox) newSharedTable(site Site) *durableTable {
 	return &durableTable{
-		inner: site.Shared, read: site.ParseVersioned,
+		inner: site.Shared, parseRow: site.ParseVersioned,
 		onError: func(key string, err error) {
 			b.recorder.Log.StateChange("shared configuration not rewritten", zap.String("row", key), zap.Error(err))
 		},
--- a/internal/pacing/share_test.go
+++ b/internal/pacing/share_test.go
@@ -40,8 +40,8 @@
 
 type simBox struct {
 	name         string
-	list         []string // The boxes that it knows of.
-	disconnected bool     // Cut off or frozen: its requests do not count.
+	list         []string // The boxes that this box knows of.
+	disconnected bool     // The box is cut off or frozen, so its requests do not count.
 	// recoveredAt is when the box last started, or was last disconnected.
 	recoveredAt time.Duration
 	bucket      bucket
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -89,7 +89,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for range 2 { // A fault must not affect later calls.
+		for range 2 { // Two calls, because a fault must not affect later calls.
 			if v := p.Admit(&decide.Request{}, decide.View{}); v.Fault == "" || v.Refuse || v.Wait {
 				t.Errorf("%q: expected a fault, got %+v", program, v)
 			}
--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -40,8 +40,8 @@
 	writing bool
 	// unreportedDrops counts the lines dropped since a line was last accepted.
 	unreportedDrops uint64
-	written         uint64 // Bytes.
-	dropped         uint64 // Lines.
+	written         uint64 // Bytes written to w.
+	dropped         uint64 // Lines dropped since the start.
 }
 
 // NewAsync returns a writer of lines to w. Its goroutine runs as long as the process.
--- a/internal/telemetry/routes.go
+++ b/internal/telemetry/routes.go
@@ -57,7 +57,7 @@
 	for i := range r.Steps {
 		s := &r.Steps[i]
 		if seen[s.Kind] {
-			continue // Only the first attempt is timed; retries have counters.
+			continue // Only the first step of each kind is timed. Retries are counted elsewhere.
 		}
 		seen[s.Kind] = true
 		switch s.Kind {
