--- a/cmd/stoatrampd/demo.go
+++ b/cmd/stoatrampd/demo.go
@@ -54,8 +54,8 @@
 
 `
 
-// runPlatform runs a box with stand-ins of the platform: a store, 2 workers of a plain
-// service, and 2 prefill and 3 decode engines.
+// runPlatform runs a box with stand-ins of the platform: a store, 2 workers of a plain service, and 2 prefill and 3
+// decode engines.
 func (c *demoCmd) runPlatform() error {
 	store := standin.NewStore()
 	storeAt, err := serve(store)
@@ -93,7 +93,7 @@
 	return b.Run()
 }
 
-// serve serves h on a free loopback port until the process exits.
+// serve serves h on a free loopback port until the process exits. It returns the address.
 func serve(h http.Handler) (string, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/stoatrampd/main.go
+++ b/cmd/stoatrampd/main.go
@@ -1,4 +1,4 @@
-// Command stoatrampd runs one box of the router.
+// Command stoatrampd runs one box, that is, the router on one machine.
 package main
 
 import (
@@ -74,27 +74,28 @@
 	return b.Run()
 }
 
-// heapFraction is the share of the process's memory limit that is set as the runtime's soft memory
-// limit, near which it collects garbage more eagerly. The rest is for memory that the runtime does
-// not count: socket buffers and the C library.
+// heapFraction is the share of the process's memory limit that is set as the soft memory limit of the Go runtime. Near
+// that limit the runtime collects garbage more eagerly. The other quarter is for memory that the runtime does not
+// count: socket buffers and the C library.
 const heapFraction = 0.75
 
-// gcPercent is the garbage collection target (GOGC), in percent of the live heap. Boxes in front of 10,000
-// endpoints keep some 10 MB each and are idle most of the time: the default of 100 would keep as much
-// garbage again uncollected in each of 986 processes.
+// gcPercent is the garbage collection target (GOGC), in percent of the live heap. A box in front of 10,000 endpoints
+// keeps some 10 MB and is idle most of the time. With the default of 100, each of 986 such processes would keep as much
+// garbage again.
 const gcPercent = 50
 
-// limitMemory keeps the process within mb megabytes; 0 means no limit. Without it, 2 of 301 boxes
-// in front of 3,000 endpoints exceeded their limit of 134 MB and were killed.
+// limitMemory makes the process keep within mb megabytes; 0 means no limit. Without it, 2 of 301 boxes in front of
+// 3,000 endpoints exceeded their limit of 134 MB and were killed.
 func limitMemory(mb float64) {
-	runtime.MemProfileRate = 0 // Nothing reads the profile, and sampling for it takes 0.8 MB (16.3 MB with, 15.5 MB without).
+	// Nothing reads the memory profile. The process takes 16.3 MB with sampling for it, and 15.5 MB without.
+	runtime.MemProfileRate = 0
 	debug.SetGCPercent(gcPercent)
 	if mb > 0 {
 		debug.SetMemoryLimit(int64(heapFraction * mb * (1 << 20)))
 	}
 }
 
-// newRelay creates a box that is connected to the platform's store.
+// newRelay creates a box that gets its configuration and its endpoints from the platform's store.
 func newRelay(cfg *config.Relay, log *zap.Logger) (*box.RelayBox, error) {
 	store := platform.NewStore(cfg.Store)
 	b, err := box.NewRelay(cfg, box.Site{
--- a/cmd/stoatrampd/older_test.go
+++ b/cmd/stoatrampd/older_test.go
@@ -12,22 +12,22 @@
 	"github.com/stoatramp/stoatramp/platform/standin"
 )
 
-// lostVersions is how many versions the store assigns between its backup and its failure.
+// lostVersions is how many versions the store issues between its backup and its failure.
 const lostVersions = 300
 
-// putUnrelatedRows writes rows that no box follows, each of which takes one version of the store.
+// putUnrelatedRows writes rows whose changes no box reads. Each row takes one version of the store.
 func (x *relayBox) putUnrelatedRows(versions int) {
 	for n := range versions {
 		x.store.Put("other", fmt.Sprint(n), nil, 0)
 	}
 }
 
-// restoreOlderCopy restores the store from a backup that is more than lostVersions versions behind. beforeOutage
-// writes what the backup lacks; afterRestore runs before the restored store first answers.
+// restoreOlderCopy restores the store from a backup that is more than lostVersions versions old. beforeOutage makes the
+// writes that the backup lacks. afterRestore runs before the restored store answers its first request.
 func (x *relayBox) restoreOlderCopy(beforeOutage, afterRestore func()) {
 	x.t.Helper()
 	const age = time.Second
-	time.Sleep(age) // The backup is from before the following writes.
+	time.Sleep(age) // The backup is from before the writes that follow.
 	x.putUnrelatedRows(lostVersions)
 	beforeOutage()
 	x.store.SetFault(standin.StoreFault{Down: "reset"})
@@ -36,8 +36,8 @@
 	x.store.SetFault(standin.StoreFault{})
 }
 
-// expectChangesSeen restores the store from an older backup and expects the box to apply what is written
-// afterwards, both with versions below those the box has already read and with versions above them.
+// expectChangesSeen restores the store from an older backup, and then calls write. It expects the box to apply that
+// change, whether the store's version is then below the version that the box has already read or above it.
 func expectChangesSeen(t *testing.T, write func(x *relayBox), what string, seen func(x *relayBox) bool) {
 	t.Helper()
 	for name, more := range map[string]int{"behind": 0, "past": 2 * lostVersions} {
@@ -75,7 +75,8 @@
 	}, "no new requests at the leaving endpoint", func(x *relayBox) bool { return !x.serves("/b/x") })
 }
 
-// startWithLostPolicyVersion starts a box whose policies have version 2, of which the restored store has only version 1.
+// startWithLostPolicyVersion starts a box that accepted two versions of its policies. The store is then restored from a
+// backup that has only version 1. apply changes the policies through the box, and expects its answer.
 func startWithLostPolicyVersion(t *testing.T) (x *relayBox, apply func(want string)) {
 	x = startRelay(t, echo)
 	file := t.TempDir() + "/calm.star"
--- a/cmd/stoatrampd/quarantine_test.go
+++ b/cmd/stoatrampd/quarantine_test.go
@@ -16,30 +16,30 @@
 	"github.com/stoatramp/stoatramp/platform/standin"
 )
 
-// poisonBody is the body of the request that crashes every worker that runs it.
+// poisonBody is the body of the poison request, which crashes every worker that runs it.
 const poisonBody = "what no engine survives"
 
-// crashingWorker is a worker that crashes on some requests and restarts a little later.
+// crashingWorker is a worker that crashes when it runs the poison request, and restarts a little later.
 type crashingWorker struct {
 	t *testing.T
 	o standin.WorkerOptions
-	// sameID makes the worker restart under its previous id.
+	// sameID makes the worker restart under its previous ID. Otherwise each start has a new one.
 	sameID bool
 
 	mu          sync.Mutex
 	srv         *http.Server
-	stop        chan struct{} // Stops the heartbeats of this incarnation.
+	stop        chan struct{} // Stops the heartbeats of the current start.
 	incarnation int
 	up          bool
 	crashes     int
-	// poisonCalls counts the calls that carry the poison request, prefills included.
+	// poisonCalls counts the calls for the poison request, including those that only prefill its prompt.
 	poisonCalls int
 }
 
-// restartDelay is how long a crashed worker is down; its entry in the store expires sooner.
+// restartDelay is how long a crashed worker is down. Its row in the store expires sooner.
 const restartDelay = 700 * time.Millisecond
 
-// start starts the next incarnation, at the same address.
+// start starts the worker, or starts it again at the same address.
 func (m *crashingWorker) start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +67,7 @@
 	go w.SendHeartbeats(m.stop)
 }
 
-// countPoisonCalls counts the calls that carry the poison request.
+// countPoisonCalls counts the calls for the poison request and passes all calls to next.
 func (m *crashingWorker) countPoisonCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/deadly") {
@@ -79,7 +79,7 @@
 	})
 }
 
-// crash ends this incarnation and schedules the next.
+// crash ends the worker, and has it restart after restartDelay.
 func (m *crashingWorker) crash() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,8 +106,7 @@
 // crashingWorkers are the workers of a test.
 type crashingWorkers []*crashingWorker
 
-// count returns the number of crashes, the number of calls that carried the poison request, and
-// whether all workers are up.
+// count returns the number of crashes, the number of calls for the poison request, and whether all workers are running.
 func (l crashingWorkers) count() (crashes, poisonCalls int, allUp bool) {
 	allUp = true
 	for _, m := range l {
@@ -148,11 +147,11 @@
 	t       *testing.T
 	boxes   []*box.RelayBox
 	workers crashingWorkers
-	n       int // Requests so far.
+	n       int // The number of requests sent so far.
 	logs    []*logBuffer
 }
 
-// logObservedCrashes logs what the boxes logged about crashes.
+// logObservedCrashes writes what the boxes logged about crashes to the test's log.
 func (s *quarantineSite) logObservedCrashes() {
 	for n, l := range s.logs {
 		l.mu.Lock()
@@ -213,10 +212,10 @@
 	return s
 }
 
-// stateSyncTime is the time a started box needs until it acts on the state that others published: it leaves the
-// first read of the table to another box for 2.2 s. Before that, a box took an engine that had restarted
-// under its id for the incarnation whose crash another box had published, and that crash was counted once
-// only: 4 crashes instead of 3 in about one of forty runs.
+// stateSyncTime is the time that a box needs after its start until it acts on the crashes that other boxes published.
+// For 2.2 s it leaves the first read of that table to another box. Meanwhile, an engine may crash and restart under the
+// same ID. The box took the new start for the one whose crash another box had published, so that a second crash was not
+// counted: there were 4 crashes instead of 3 in about one of forty runs.
 const stateSyncTime = 3 * time.Second
 
 func (s *quarantineSite) startBox(n int, peers, store string) {
@@ -249,8 +248,8 @@
 	}
 }
 
-// send sends a request to a box under a new id and returns the answer. The status is 0 if the answer is
-// cut off.
+// send sends a request to box n under a new request ID, and returns the answer. The status is 0 if the answer is cut
+// off.
 func (s *quarantineSite) send(n int, path, body string) (status int, text string) {
 	s.t.Helper()
 	s.n++
@@ -261,7 +260,7 @@
 	r.Host = "h.example"
 	r.Header.Set("X-Request-Id", fmt.Sprintf("id-%d", s.n))
 	r.Header.Set("X-Token-Usage", "100,50")
-	// Each request comes from another address, as behind a load balancer or after a reconnect.
+	// Each request comes from another address, as it does behind a load balancer or after a reconnect.
 	from := &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(s.n))}
 	tr := &http.Transport{DialContext: (&net.Dialer{LocalAddr: from}).DialContext, DisableKeepAlives: true}
 	resp, err := (&http.Client{Transport: tr}).Do(r)
@@ -276,19 +275,20 @@
 	return resp.StatusCode, string(b)
 }
 
-// A request that crashes whatever runs it must be quarantined, though each retry has another id and reaches
-// another box: one such request crashed thirteen servers within ten seconds, because a box knew neither what
-// the request had done at other boxes nor what it had done before.
+// A request crashes every engine that runs it, and its caller repeats it under new IDs and at other boxes. It must be
+// quarantined after three crashes. One such request crashed thirteen servers within ten seconds, because a box knew
+// neither the crashes that other boxes had seen nor those of earlier tries.
 //
-// The retries share only their fingerprint. They came to boxes of all halls, although the connections of one
-// address go to one hall, and a request without an account has no caller by which a box could recognize it. Recorded logs show ten and eleven tries of two requests, each
-// with one prefill and one run that crashed another engine 63 to 270 ms later; none was refused.
+// The tries have only their content in common, from which boxes compute a fingerprint. They came to boxes of all halls,
+// although the connections of one address go to one hall. A request without a client account also has no caller by
+// which a box could recognise it. Recorded logs show ten and eleven tries of two such requests. Each try had one
+// prefill and one run that crashed another engine 63 to 270 ms later, and none was refused.
 func TestRequestThatEndsEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		name, path, peers string
 		sameID            bool
-		// maxCrashes bounds the crashes: a route with two attempts learns of a second
-		// crash only when its first attempt is over.
+		// maxCrashes is the largest allowed number of crashes. On a route with two attempts, the box learns of the
+		// crash under the first attempt only when that attempt is over, so one more crash is allowed.
 		maxCrashes int
 	}{
 		{"streams", "/stream/deadly", peerSettings, false, 3},
@@ -309,12 +309,12 @@
 					t.Fatalf("expected at most %d crashes of the endpoints, got %d after %d tries", c.maxCrashes, crashes, try+1)
 				}
 				s.until("all workers to be back", func() bool { _, _, up := s.workers.count(); return up })
-				time.Sleep(300 * time.Millisecond) // Until the endpoint list has them.
+				time.Sleep(300 * time.Millisecond) // Until the boxes' list of endpoints has the workers again.
 			}
-			// Boxes read the endpoint list every 1.1 s or less often. Until then they may send to an
-			// incarnation that is gone, which refuses.
+			// Boxes read the list of endpoints every 1.1 s or less often. Until then they may send the request to a
+			// start of a worker that has ended, which refuses it.
 			time.Sleep(2 * time.Second)
-			// From now on the request reaches no endpoint, and the caller gets a final answer at once.
+			// From now on the request reaches no endpoint. Its caller gets a final answer at once.
 			_, before, _ := s.workers.count()
 			for n := range s.boxes {
 				status, text := s.send(n, c.path, poisonBody)
--- a/cmd/stoatrampd/relay_test.go
+++ b/cmd/stoatrampd/relay_test.go
@@ -22,13 +22,13 @@
 
 const operatorKey = "the operators' key"
 
-// relayBox is a running box with a stand-in store and service.
+// relayBox is a running box with a stand-in of the store, and a service with one endpoint.
 type relayBox struct {
 	t            *testing.T
 	b            *box.RelayBox
 	store        *standin.Store
 	storeAddress string
-	// endpoint is the address of the service's one endpoint.
+	// endpoint is the address of the service's only endpoint.
 	endpoint     string
 	settingsFile string
 	log          logBuffer
@@ -72,7 +72,7 @@
 	return x
 }
 
-// newRelayBox prepares a box with one endpoint of a service. platform serves the store's address and passes
+// newRelayBox prepares a box and its service's only endpoint. platform is the handler at the store's address; it passes
 // calls on to store.
 func newRelayBox(t *testing.T, store *standin.Store, platform http.Handler, service http.HandlerFunc) *relayBox {
 	storeServer, endpointServer := httptest.NewServer(platform), httptest.NewServer(service)
@@ -83,12 +83,12 @@
 	return x
 }
 
-// putEndpoint writes an endpoint's entry to the store.
+// putEndpoint writes the endpoint's row to the store, under the given ID and with the given state.
 func (x *relayBox) putEndpoint(id, state string) {
 	x.store.Put("servers", id, fmt.Appendf(nil, `{"service":"s","address":%q,"zone":"h","version":"v1","slots":8,"state":%q,"coldRemainingMs":0,"sequence":0}`, x.endpoint, state), 0)
 }
 
-// settings returns the box's settings, with additional lines in the [box] section.
+// settings returns the box's settings. boxLines are additional lines for the [box] section.
 func (x *relayBox) settings(boxLines string) string {
 	return fmt.Sprintf(`
 [box]
@@ -110,7 +110,7 @@
 `, boxLines, config.KeyDigest(operatorKey), x.storeAddress)
 }
 
-// start starts the box.
+// start runs the box with its settings in a file.
 func (x *relayBox) start() {
 	x.t.Helper()
 	x.settingsFile = x.t.TempDir() + "/box.ini"
@@ -137,7 +137,7 @@
 	x.store.Put("op", "config", fmt.Appendf(nil, `{"version":%d,"routes":[{"name":"r","hostname":"h.example","pathPrefix":%q,"kind":"unsafe","timeoutMs":60000,"targetLatencyMs":300,"service":"s","maxAttempts":1}],"services":[{"name":"s"}],"limits":{"maxBodyBytes":1000}}`, version, prefix), 0)
 }
 
-// awaitReadiness waits until the readiness address answers with a status.
+// awaitReadiness waits until the box answers with the given status at its readiness address.
 func (x *relayBox) awaitReadiness(status int) {
 	x.t.Helper()
 	x.until(fmt.Sprintf("readiness status %d", status), func() bool {
@@ -191,10 +191,10 @@
 	return out
 }
 
-// runToolWithKey runs the tool with a key and returns its output and exit code.
+// runToolWithKey runs the operators' tool with an operator key, and returns the tool's output and exit code.
 func (x *relayBox) runToolWithKey(key string, args ...string) (string, int) {
 	var out bytes.Buffer
-	// The first box does not answer, so 'why' has to ask the second.
+	// The first of the two boxes does not answer, so 'why' has to ask the second.
 	boxes := "http://" + x.b.Operators
 	if args[0] == "why" {
 		boxes = "http://127.0.0.1:1," + boxes
@@ -203,8 +203,8 @@
 	return out.String(), code
 }
 
-// A box on the platform serves, picks up configuration changes after an outage of the store,
-// answers its operators, and stops on a signal without interrupting a request.
+// A box on the platform serves requests and answers its operators. It applies a configuration change after an outage of
+// the store. It stops on a signal without interrupting a running request.
 func TestRelayBox(t *testing.T) {
 	slow := make(chan struct{})
 	x := startRelay(t, func(w http.ResponseWriter, r *http.Request) {
@@ -235,8 +235,8 @@
 	x.expectGracefulStop(slow)
 }
 
-// A box picks up the evacuation of a hall without a change of the configuration's version, and
-// keeps to it while the store is down.
+// A hall is evacuated, and the configuration's version stays the same. The box stops sending requests to the hall, also
+// while the store is down.
 func TestRelayEvacuation(t *testing.T) {
 	x := startRelay(t, echo)
 	expect := func(what string, status int) {
@@ -259,7 +259,8 @@
 	<-x.exited
 }
 
-// expectGracefulStop stops the box while a request runs.
+// expectGracefulStop stops the box while a request runs. It expects the request to be answered and the box to exit
+// cleanly.
 func (x *relayBox) expectGracefulStop(slow chan struct{}) {
 	got := make(chan int, 1)
 	go func() {
@@ -294,8 +295,8 @@
 expect("a stream runs", admit(request(), pool()), run())
 `
 
-// Policies and keys are changed through a box while the store is up and stay in force while it is
-// down. A policy whose cases fail is rejected and changes nothing.
+// Operators change policies and issue keys through a box while the store is up. These stay in force while the store is
+// down. A policy whose test cases fail is rejected and changes nothing.
 func TestRelayPolicies(t *testing.T) {
 	x := startRelay(t, echo)
 	dir := t.TempDir()
@@ -362,8 +363,8 @@
 	return strings.TrimSpace(key)
 }
 
-// SIGHUP reloads the settings: what can change at run time changes, the rest is logged as needing
-// a restart, and invalid settings change nothing. Running requests are not interrupted.
+// SIGHUP makes the box read its settings again. It applies what can change while it runs, and logs which other settings
+// need a restart. Invalid settings change nothing. Running requests are not interrupted.
 func TestRelayReload(t *testing.T) {
 	slow := make(chan struct{})
 	x := startRelay(t, func(w http.ResponseWriter, r *http.Request) {
@@ -410,7 +411,7 @@
 	}
 }
 
-// delayedListStore is a store that doesn't answer reads of the endpoint list until it is released.
+// delayedListStore is a store that answers no read of the list of endpoints until released is closed.
 type delayedListStore struct {
 	*standin.Store
 	released chan struct{}
