--- a/cmd/stoatrampd/demo.go
+++ b/cmd/stoatrampd/demo.go
@@ -58,7 +58,7 @@
 // decode engines.
 func (c *demoCmd) runPlatform() error {
 	store := standin.NewStore()
-	storeAt, err := serve(store)
+	storeAddress, err := serve(store)
 	if err != nil {
 		return err
 	}
@@ -68,20 +68,20 @@
 	for i, stage := range []string{"", "", "prefill", "prefill", "decode", "decode", "decode"} {
 		o := standin.WorkerOptions{
 			ID: fmt.Sprintf("i-%d", i+1), Service: "desk", Zone: "malaga-hall", Stage: stage, Slots: 32,
-			KVTokens: 90000, WorkMS: 20, StepMS: 10, HandleMS: 500, Store: storeAt, HeartbeatMS: 1200,
+			KVTokens: 90000, WorkMS: 20, StepMS: 10, HandleMS: 500, Store: storeAddress, HeartbeatMS: 1200,
 		}
 		if stage != "" {
 			o.Service = "verdicts"
 		}
 		w := standin.NewWorker(o)
-		at, err := serve(w)
+		address, err := serve(w)
 		if err != nil {
 			return err
 		}
-		w.SetAddress(at)
+		w.SetAddress(address)
 		go w.SendHeartbeats(stop)
 	}
-	cfg, err := config.ParseRelay("demo", fmt.Appendf(nil, demoPlatformSettings, c.Callers, c.Operators, config.KeyDigest(demo.OperatorKey), storeAt))
+	cfg, err := config.ParseRelay("demo", fmt.Appendf(nil, demoPlatformSettings, c.Callers, c.Operators, config.KeyDigest(demo.OperatorKey), storeAddress))
 	if err != nil {
 		return err
 	}
--- a/cmd/stoatrampd/older_test.go
+++ b/cmd/stoatrampd/older_test.go
@@ -38,9 +38,9 @@
 
 // expectChangesSeen restores the store from an older backup, and then calls write. It expects the box to apply that
 // change, whether the store's version is then below the version that the box has already read or above it.
-func expectChangesSeen(t *testing.T, write func(x *relayBox), what string, seen func(x *relayBox) bool) {
+func expectChangesSeen(t *testing.T, write func(x *relayBox), what string, applied func(x *relayBox) bool) {
 	t.Helper()
-	for name, more := range map[string]int{"behind": 0, "past": 2 * lostVersions} {
+	for name, rows := range map[string]int{"behind": 0, "past": 2 * lostVersions} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			x := startRelay(t, echo)
@@ -51,9 +51,9 @@
 				x.until("a new endpoint to be known", func() bool { return x.log.has("belief", "i-2") })
 			}, func() {
 				write(x)
-				x.putUnrelatedRows(more)
+				x.putUnrelatedRows(rows)
 			})
-			x.until(what, func() bool { return seen(x) })
+			x.until(what, func() bool { return applied(x) })
 		})
 	}
 }
--- a/cmd/stoatrampd/quarantine_test.go
+++ b/cmd/stoatrampd/quarantine_test.go
@@ -21,8 +21,8 @@
 
 // crashingWorker is a worker that crashes when it runs the poison request, and restarts a little later.
 type crashingWorker struct {
-	t *testing.T
-	o standin.WorkerOptions
+	t       *testing.T
+	options standin.WorkerOptions
 	// sameID makes the worker restart under its previous ID. Otherwise each start has a new one.
 	sameID bool
 
@@ -43,20 +43,20 @@
 func (m *crashingWorker) start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	at := m.o.Address
-	if at == "" {
-		at = "127.0.0.1:0"
+	address := m.options.Address
+	if address == "" {
+		address = "127.0.0.1:0"
 	}
-	lis, err := net.Listen("tcp", at)
+	lis, err := net.Listen("tcp", address)
 	if err != nil {
 		m.t.Error(err)
 		return
 	}
 	m.incarnation++
-	m.o.Address = lis.Addr().String()
-	o := m.o
+	m.options.Address = lis.Addr().String()
+	o := m.options
 	if !m.sameID {
-		o.ID = fmt.Sprintf("%s-%d", m.o.ID, m.incarnation)
+		o.ID = fmt.Sprintf("%s-%d", m.options.ID, m.incarnation)
 	}
 	w := standin.NewWorker(o)
 	w.CrashesOn = func(_ *http.Request, body []byte) bool { return string(body) == poisonBody }
@@ -144,11 +144,11 @@
 
 // quarantineSite is a set of boxes that share a store and workers.
 type quarantineSite struct {
-	t       *testing.T
-	boxes   []*box.RelayBox
-	workers crashingWorkers
-	n       int // The number of requests sent so far.
-	logs    []*logBuffer
+	t        *testing.T
+	boxes    []*box.RelayBox
+	workers  crashingWorkers
+	requests int // The number of requests sent so far.
+	logs     []*logBuffer
 }
 
 // logObservedCrashes writes what the boxes logged about crashes to the test's log.
@@ -190,7 +190,7 @@
 		if stage != "" {
 			o.Service = "llm"
 		}
-		m := &crashingWorker{t: t, o: o, sameID: sameID}
+		m := &crashingWorker{t: t, options: o, sameID: sameID}
 		m.start()
 		t.Cleanup(m.close)
 		s.workers = append(s.workers, m)
@@ -252,18 +252,18 @@
 // off.
 func (s *quarantineSite) send(n int, path, body string) (status int, text string) {
 	s.t.Helper()
-	s.n++
+	s.requests++
 	r, err := http.NewRequest(http.MethodPost, "http://"+s.boxes[n].Callers+path, strings.NewReader(body))
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	r.Host = "h.example"
-	r.Header.Set("X-Request-Id", fmt.Sprintf("id-%d", s.n))
+	r.Header.Set("X-Request-Id", fmt.Sprintf("id-%d", s.requests))
 	r.Header.Set("X-Token-Usage", "100,50")
-	// Each request comes from another address, as it does behind a load balancer or after a reconnect.
-	from := &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(s.n))}
-	tr := &http.Transport{DialContext: (&net.Dialer{LocalAddr: from}).DialContext, DisableKeepAlives: true}
-	resp, err := (&http.Client{Transport: tr}).Do(r)
+	// Each request comes callerAddress another address, as it does behind a load balancer or after a reconnect.
+	callerAddress := &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(s.requests))}
+	transport := &http.Transport{DialContext: (&net.Dialer{LocalAddr: callerAddress}).DialContext, DisableKeepAlives: true}
+	resp, err := (&http.Client{Transport: transport}).Do(r)
 	if err != nil {
 		return 0, err.Error()
 	}
--- a/cmd/stoatrampd/relay_test.go
+++ b/cmd/stoatrampd/relay_test.go
@@ -379,22 +379,22 @@
 		got <- status
 	}()
 	x.until("the slow request to run", func() bool { return x.b.Relay.Running() == 1 })
-	hup := func(settings string) {
+	reload := func(settings string) {
 		t.Helper()
 		x.save(settings)
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hup(x.settings("queue = nonsense"))
+	reload(x.settings("queue = nonsense"))
 	x.until("the invalid setting to be logged", func() bool { return x.log.has(`"msg":"reload"`, "nothing changed", "queue") })
-	hup(strings.Replace(x.settings("queue = 7"), "hall = h", "hall = elsewhere", 1))
+	reload(strings.Replace(x.settings("queue = 7"), "hall = h", "hall = elsewhere", 1))
 	x.until("the change to be logged", func() bool {
 		return x.log.has(`"msg":"reload"`, `"changed":["queue"]`, `"needs_restart":["hall"]`)
 	})
-	other := "another key"
-	hup(strings.Replace(x.settings("queue = 7"), config.KeyDigest(operatorKey), config.KeyDigest(other), 1))
-	x.until("the new key to be accepted", func() bool { _, code := x.runToolWithKey(other, "status"); return code == 0 })
+	newKey := "another key"
+	reload(strings.Replace(x.settings("queue = 7"), config.KeyDigest(operatorKey), config.KeyDigest(newKey), 1))
+	x.until("the new key to be accepted", func() bool { _, code := x.runToolWithKey(newKey, "status"); return code == 0 })
 	if _, code := x.runToolWithKey(operatorKey, "status"); code != 1 {
 		t.Errorf("expected the old key to be rejected, got exit code %d", code)
 	}
