--- a/cmd/stoatrampd/quarantine_test.go
+++ b/cmd/stoatrampd/quarantine_test.go
@@ -260,7 +260,7 @@
 	r.Host = "h.example"
 	r.Header.Set("X-Request-Id", fmt.Sprintf("id-%d", s.requests))
 	r.Header.Set("X-Token-Usage", "100,50")
-	// Each request comes callerAddress another address, as it does behind a load balancer or after a reconnect.
+	// Each request comes from another address, as it does behind a load balancer or after a reconnect.
 	callerAddress := &net.TCPAddr{IP: net.IPv4(127, 0, 1, byte(s.requests))}
 	transport := &http.Transport{DialContext: (&net.Dialer{LocalAddr: callerAddress}).DialContext, DisableKeepAlives: true}
 	resp, err := (&http.Client{Transport: transport}).Do(r)
