--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -12,10 +12,10 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// completionWriter writes chunks to the caller in the requested form.
+// completionWriter writes the chunks of an engine's answer to the caller, as a stream of events or as one JSON document.
 type completionWriter interface {
 	chunk(c *engine.Chunk, flush bool) error
-	// end completes the response; it is called only when the answer is complete.
+	// end completes the response. It is called only when the engine has sent the whole answer; u may be nil.
 	end(u *engine.Usage) error
 }
 
@@ -31,8 +31,8 @@
 	return &streamWriter{x: x, rc: http.NewResponseController(x.w), id: string(quoted), usage: req.IncludeUsage}
 }
 
-// streamWriter forwards chunks as server-sent events. It writes nothing before the first
-// token, so that a request that fails before it can be refused with an HTTP status.
+// streamWriter forwards chunks as server-sent events. It writes nothing before the first token, so that a request
+// that fails before its first token can still be refused with an HTTP status.
 type streamWriter struct {
 	x             *exchange
 	rc            *http.ResponseController
@@ -66,9 +66,8 @@
 	s.x.w.WriteHeader(http.StatusOK)
 }
 
-// write sends buf under a deadline that bounds how long a caller may leave the response
-// unread. The deadline is extended only after half of it has passed, because each
-// extension resets a timer.
+// write sends buf under a write deadline, which bounds how long a caller may leave the response unread. The deadline
+// is moved only after half of it has passed, because each move resets a timer.
 func (s *streamWriter) write(flush bool) error {
 	timeout := s.x.g.box.WriteTimeout
 	if now := time.Now(); s.writeDeadline.Sub(now) < timeout/2 {
@@ -122,7 +121,7 @@
 	Usage   *engine.Usage `json:"usage,omitempty"`
 }
 
-// choice collects the pieces of one choice.
+// choice collects the pieces of one of the alternative answers ("choices") that a request may ask for.
 type choice struct {
 	text         strings.Builder
 	reasoning    strings.Builder
@@ -188,8 +187,8 @@
 	})
 }
 
-// addToolCall adds a piece of a tool call: the first has the name, later ones append to
-// the arguments.
+// addToolCall adds a piece of a tool call. The first piece of a call carries the function's name; later pieces append
+// to the function's arguments.
 func (c *choice) addToolCall(t gjson.Result) {
 	i := int(t.Get("index").Int())
 	if i < 0 || i > len(c.toolCalls) {
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -19,15 +19,15 @@
 const (
 	// maxResumes bounds how often one stream is resumed after a lost connection.
 	maxResumes = 2
-	// The silence timeout between two chunks is silenceTimeoutBase plus silenceTimeoutGaps
-	// times the between-tokens target. After it the engine is treated as crashed.
+	// A stream is silent too long if no chunk arrives for silenceTimeoutBase plus silenceTimeoutGaps times the route's
+	// target for the time between tokens. The engine is then treated as crashed.
 	silenceTimeoutBase = 2 * time.Second
 	silenceTimeoutGaps = 20
-	// eventBuffer is the number of events that may queue for a caller that reads slowly.
+	// eventBuffer is the number of events that may wait while a caller reads its response slowly.
 	eventBuffer = 32
 )
 
-// serveCompletion runs a completion request through the stages.
+// serveCompletion serves a completion request, from parsing its body to the end of its response.
 func (x *exchange) serveCompletion() {
 	req, o := x.parse()
 	if req == nil {
@@ -81,7 +81,7 @@
 	x.rec.FirstTarget, x.rec.GapTarget = route.FirstToken, route.BetweenTokens
 }
 
-// flight is one completion request while engines work on it.
+// flight is one completion request while engines work on it. An attempt is one call to an engine for the request.
 type flight struct {
 	x      *exchange
 	req    *completionRequest
@@ -92,34 +92,34 @@
 	events chan flightEvent
 	out    completionWriter
 
-	prefillAttempt decide.Attempt // The current prefill attempt.
-	decodeAttempt  decide.Attempt // The current decode attempt.
+	prefillAttempt decide.Attempt // The current prefill attempt; 0 if there was none.
+	decodeAttempt  decide.Attempt // The current decode attempt; 0 if there was none.
 	kv             engine.KVParams
 	decodeEngine   string
 
-	firstTokenAt    time.Time // When the first token was written; zero before.
-	lastTokenAt     time.Time // When the latest token was written.
-	finishedChoices int       // Choices that are complete.
+	firstTokenAt    time.Time // When the first token was written to the caller; zero before.
+	lastTokenAt     time.Time // When the latest token was written to the caller.
+	finishedChoices int       // The number of choices whose last chunk has been written.
 	usage           *engine.Usage
 }
 
-// flightEvent is reported by the calls to engines.
+// flightEvent is what a call to an engine reports to the request's loop. Besides attempt, one field is set.
 type flightEvent struct {
 	attempt decide.Attempt
 	prefill *engine.PrefillResponse
 	chunk   *engine.Chunk
-	resumed *engine.CallError // The failure after which the stream was resumed.
-	done    bool              // The end marker arrived.
+	resumed *engine.CallError // The failure after which the same engine resumed the stream.
+	done    bool              // The stream's end marker arrived.
 	err     error
 }
 
-// run submits the request to the core and carries out its actions until the request ends.
-// Every return frees whatever is still reserved.
+// run submits the request to the decision core and carries out the core's actions until the request ends. However it
+// returns, the engine memory that is still reserved for the request is freed.
 func (x *exchange) run(route *config.Route, req *completionRequest) (o outcome.Outcome) {
 	ctx, cancel := context.WithCancel(x.r.Context())
 	f := &flight{x: x, req: req, route: route, ctx: ctx, events: make(chan flightEvent, eventBuffer), out: newCompletionWriter(x, req)}
 	f.id, f.call = x.g.disp.Submit(x.rec.ID, f.request())
-	// Deferred, so that even a panic in the loop frees the engine memory.
+	// This is deferred, so that even a panic in the loop frees the engine memory.
 	defer func() {
 		x.g.disp.Remove(f.id)
 		f.recordRemaining()
@@ -167,14 +167,14 @@
 	}
 }
 
-// recordRemaining records the actions that came with the end of the request.
+// recordRemaining records the core's actions that the loop had not yet handled when the request ended.
 func (f *flight) recordRemaining() {
 	for _, a := range f.call.TakeActions() {
 		f.recordAction(a)
 	}
 }
 
-// handleAction carries out an action of the core.
+// handleAction carries out an action of the decision core. The bool reports whether the request has ended.
 func (f *flight) handleAction(a decide.Action) (outcome.Outcome, bool) {
 	f.recordAction(a)
 	switch a := a.(type) {
@@ -190,7 +190,7 @@
 	return outcome.Outcome{}, false
 }
 
-// recordAction adds an action to the request's record and metrics.
+// recordAction counts an action in the metrics and adds it to the record, which lists the steps of the request.
 func (f *flight) recordAction(a decide.Action) {
 	switch a := a.(type) {
 	case decide.StartDecode:
@@ -207,8 +207,8 @@
 	}
 }
 
-// handleEvent processes an event of a call. Late events, those of an attempt that is no
-// longer current, are dropped.
+// handleEvent processes an event of a call to an engine. It drops the events of attempts that are no longer current.
+// The bool reports whether the request has ended.
 func (f *flight) handleEvent(ev flightEvent) (outcome.Outcome, bool) {
 	if ev.attempt != f.prefillAttempt && ev.attempt != f.decodeAttempt {
 		return outcome.Outcome{}, false
@@ -262,7 +262,7 @@
 	return ""
 }
 
-// handleChunk writes one chunk to the caller, unless its call was given up before its first chunk.
+// handleChunk writes one chunk to the caller. If the core gave the call up before its first chunk, nothing is written.
 func (f *flight) handleChunk(ev flightEvent) (outcome.Outcome, bool) {
 	if f.firstTokenAt.IsZero() && !f.x.g.disp.AcceptFirstToken(decide.FirstToken{ID: f.id, Attempt: ev.attempt}) {
 		return outcome.Outcome{}, false
@@ -276,7 +276,7 @@
 	return outcome.Outcome{}, false
 }
 
-// countChunk updates the record and metrics with a chunk.
+// countChunk updates the request's record and the metrics with a chunk that was written.
 func (f *flight) countChunk(ev flightEvent) {
 	now := clock.Now()
 	if f.firstTokenAt.IsZero() {
@@ -301,7 +301,7 @@
 	}
 }
 
-// handleDone checks that the answer is complete before it ends the response.
+// handleDone ends the response, if the engine has finished every choice. Otherwise the call counts as failed.
 func (f *flight) handleDone(ev flightEvent) (outcome.Outcome, bool) {
 	if f.finishedChoices < f.req.Choices {
 		f.handleFailure(flightEvent{attempt: ev.attempt, err: &engine.CallError{Reason: outcome.Truncated, MayHaveRun: true, Err: errors.New("the end marker came before the finish reason")}})
@@ -317,7 +317,8 @@
 	return outcome.Outcome{Kind: outcome.Answered}, true
 }
 
-// chargeTokens counts the used tokens against the client's limit.
+// chargeTokens counts the tokens that the request used against the client's token limit, and counts goodput: requests
+// that were answered within both latency targets.
 func (f *flight) chargeTokens(o outcome.Outcome) {
 	f.x.g.m.OutputTokens.Add(f.x.rec.Output)
 	if o.Kind == outcome.NotRun {
@@ -343,7 +344,7 @@
 	return f.lastTokenAt.Sub(f.firstTokenAt) / time.Duration(f.x.rec.Output-1)
 }
 
-// send passes an event to the loop, or fails when ctx ends.
+// send passes an event to the request's loop. It returns an error if ctx ends first.
 func (f *flight) send(ctx context.Context, ev flightEvent) error {
 	select {
 	case f.events <- ev:
@@ -372,7 +373,7 @@
 	_ = f.send(ctx, flightEvent{attempt: a.Attempt, prefill: ans, err: err})
 }
 
-// callDecode streams the answer and resumes it after a lost connection.
+// callDecode streams the answer from a decode engine. After a lost connection it resumes the stream there.
 func (f *flight) callDecode(ctx context.Context, a decide.StartDecode, kv engine.KVParams) {
 	call := f.engineCall(a.Decode, a.Attempt, a.Priority)
 	s, err := f.x.g.engines.Decode(ctx, call, kv)
@@ -403,8 +404,8 @@
 	_ = f.send(ctx, flightEvent{attempt: a.Attempt, err: err})
 }
 
-// resumable returns the failure if the engine may still be running the stream: the
-// connection or a chunk was lost after the request was sent.
+// resumable returns the failure of a stream if the stream may be resumed, otherwise nil. A stream may be resumed if
+// its connection or a chunk was lost after the request was sent, because the engine may still be running it.
 func resumable(err error) *engine.CallError {
 	var ce *engine.CallError
 	if !errors.As(err, &ce) || !ce.MayHaveRun {
@@ -416,8 +417,8 @@
 	return nil
 }
 
-// readStream reads one connection of a stream to its end. It closes the connection if the
-// engine sends nothing for too long, since a connection can stay open after its peer is gone.
+// readStream reads a stream until its connection ends. It closes the connection if the engine sends nothing for too
+// long, since a connection can stay open after the engine is gone.
 func (f *flight) readStream(ctx context.Context, s *engine.Stream, a decide.Attempt) error {
 	var timedOut atomic.Bool
 	limit := silenceTimeoutBase + silenceTimeoutGaps*f.route.BetweenTokens
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,14 @@
-// Package gateway is the path of a request through a box. Its stages run one after another
-// as plain function calls with typed results:
+// Package gateway is the path of a request through a box (a machine that runs the router). Its stages run one after
+// another as plain function calls with typed results:
 //
 //	identify ► parse ► limit ► claim ► place ► prefill ► transfer ► decode ► answer
 //
-// A stage either passes on its result or ends the request with an outcome.Outcome.
+// A stage either passes on its result or ends the request with an outcome.Outcome. To "claim" is to reserve the
+// idempotency key of a request that may run only once, so that no box runs a second request with that key. To "place"
+// is to choose the two engines: one for the prefill (processing the prompt) and one for the decode (generating the
+// answer). The prefill engine's KV cache of the prompt is then transferred to the decode engine.
+//
+// The decision core (package decide) makes these choices; this package carries them out.
 package gateway
 
 import (
@@ -31,37 +36,38 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Paths served to callers beside the configured services.
+// Paths that the router answers itself. The paths of plain services are configured.
 const (
 	modelsPath = "/v1/models"
 	healthPath = "/healthz"
 	readyPath  = "/readyz"
 )
 
-// Headers of the router itself.
+// Headers that the router defines or reads.
 const (
 	// HeaderRequestID carries the request id on every response.
 	HeaderRequestID = "X-Request-Id"
 	// HeaderRepeatable set to "no" makes a request run at most once.
 	HeaderRepeatable = "Stoatramp-Repeatable"
-	// HeaderIdempotencyKey identifies the same request across retries.
+	// HeaderIdempotencyKey carries a key that the caller chooses and keeps when it sends the same request again.
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// PolicySource compiles the policies of a configuration.
+// PolicySource holds the compiled policies of one configuration. A policy is an operator's program that may refuse or
+// change the routing of requests.
 type PolicySource interface {
 	// Policy returns the compiled program of a policy; nil if there is none.
 	Policy(name string) decide.Policy
 }
 
-// configSnapshot is one accepted configuration with its compiled policies. It is replaced
-// as a whole and never modified, so requests read it without a lock.
+// configSnapshot is one accepted configuration with its compiled policies. It is never modified after it is stored, so
+// requests read it without a lock.
 type configSnapshot struct {
 	cfg      *config.Shared
 	policies PolicySource
 }
 
-// Gateway serves callers. New sets all fields.
+// Gateway serves the requests of callers on one box.
 type Gateway struct {
 	box      *config.Box
 	snapshot atomic.Pointer[configSnapshot]
@@ -87,7 +93,7 @@
 	Engines *engine.Client
 	Claims  *claim.Claims
 	Limits  *limit.Table
-	// Recorder opens the trace of each request.
+	// Recorder opens the trace of each request, which collects the request's record, log lines and metrics.
 	Recorder *account.Recorder
 	Log      *zap.Logger
 }
@@ -110,9 +116,9 @@
 	}
 }
 
-// SetConfig applies a configuration to every request that starts from now on. The snapshot
-// is stored last: it makes the box ready, and a request that finds its route in it must
-// also find the route's engines in the core.
+// SetConfig applies a configuration to every request that starts from now on. It stores the snapshot last, because a
+// stored snapshot makes the box ready: a request that finds its route in the snapshot must also find the route's
+// engines in the decision core.
 func (g *Gateway) SetConfig(c *config.Shared, p PolicySource) {
 	g.disp.SetFleet(fleetOf(c), addressesOf(c))
 	g.plain.setConfig(c)
@@ -135,19 +141,19 @@
 	return 0
 }
 
-// HandleLoadReport passes an engine's load report to the core.
+// HandleLoadReport passes an engine's load report to the decision core.
 func (g *Gateway) HandleLoadReport(r decide.LoadReport) { g.disp.Step(r) }
 
 // Evicted tells the core that an engine evicted prefixes from its cache.
 func (g *Gateway) Evicted(ev decide.Evicted) { g.disp.Step(ev) }
 
-// ProbeFailed tells the core that an engine did not answer a probe.
+// ProbeFailed tells the core that an engine did not answer a probe, a query of its load outside any request.
 func (g *Gateway) ProbeFailed(engine string) { g.disp.Step(decide.ProbeFailed{Engine: engine}) }
 
 // NotifyBusy returns a channel that receives when the number of running requests rises from zero.
 func (g *Gateway) NotifyBusy() <-chan struct{} { return g.gate.NotifyBusy() }
 
-// Tick lets the core process its time-outs.
+// Tick lets the core process the time-outs that have passed.
 func (g *Gateway) Tick() { g.disp.Step(decide.Tick{}) }
 
 // Running returns the number of requests in progress.
@@ -176,7 +182,7 @@
 		return
 	}
 	defer g.gate.Leave()
-	// The write deadline must not outlive this request on its connection.
+	// Clear the write deadline at the end, because the next request on this connection would inherit it.
 	defer func() { _ = http.NewResponseController(w).SetWriteDeadline(time.Time{}) }()
 	x.serve()
 }
@@ -197,14 +203,14 @@
 	r        *http.Request
 	snapshot *configSnapshot
 	client   *config.Client
-	// trace is the account of the request; rec is the record in it.
+	// trace collects what happens to the request; rec is the record in it, which operators can read later.
 	trace   *account.Trace
 	rec     *record.Record
 	arrived time.Time
 	// responseStarted is set once any byte of a response was written; from then on a
 	// failure can no longer be answered with a refusal.
 	responseStarted bool
-	// repeatable false means that the request may be run at most once.
+	// repeatable is false if the request may be run at most once.
 	repeatable bool
 	claim      *claim.Claim
 }
@@ -222,7 +228,7 @@
 	}
 }
 
-// serve runs the stages common to all requests, then those for its kind.
+// serve identifies the client, then serves the request according to its path.
 func (x *exchange) serve() {
 	if x.snapshot == nil {
 		x.refuse(outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.NoConfig, RetryAfter: time.Second})
@@ -291,7 +297,7 @@
 	x.finish(outcome.Outcome{Kind: outcome.Answered})
 }
 
-// checkLimits takes the request from the client's rate limit.
+// checkLimits counts the request against the client's limits, and reports whether the limits allow it.
 func (x *exchange) checkLimits() (outcome.Outcome, bool) {
 	refusal, ok := x.g.limits.Take(x.arrived, x.client.Name, limitsOf(x.client))
 	if ok {
@@ -311,7 +317,8 @@
 	}
 }
 
-// acquireClaim claims the idempotency key of a request that may run only once.
+// acquireClaim reserves the idempotency key of a request that may run only once. The bool is false if the key is
+// already in use or could not be reserved.
 func (x *exchange) acquireClaim() (outcome.Outcome, bool) {
 	key := x.r.Header.Get(HeaderIdempotencyKey)
 	if key == "" || x.repeatable {
@@ -330,10 +337,10 @@
 	x.finish(o)
 }
 
-// claimCloseTimeout bounds closing a claim.
+// claimCloseTimeout bounds storing how a request ended in the claim on its idempotency key.
 const claimCloseTimeout = 2 * time.Second
 
-// finish closes the claim and the account.
+// finish stores how the request ended in the claim on its idempotency key, if it has one, and closes the trace.
 func (x *exchange) finish(o outcome.Outcome) {
 	if x.claim != nil {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), claimCloseTimeout)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,8 +12,8 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Guards against a box that reports ready before the core knows the engines of its
-// configuration: a request in between was refused with unknown_model.
+// Guards against a box that reports ready before its decision core knows the engines of its configuration: a request
+// that arrived in between was refused with unknown_model.
 func TestReadyKnowsEngines(t *testing.T) {
 	shared := &config.Shared{
 		Pools:     []*config.Pool{{Name: "p", Model: "m"}},
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -23,15 +23,15 @@
 	Model        string
 	Stream       bool
 	IncludeUsage bool
-	MaxTokens    int // 0 where the caller gave no limit.
+	MaxTokens    int // 0 if the caller gave no limit.
 	Choices      int
 	PromptTokens int // Estimated from the length of the prompt.
 	Blocks       []uint64
-	// CallerFields is a JSON object of the caller's fields, without those in engine.OverriddenFields.
+	// CallerFields is a JSON object with the fields of the caller's body, without those in engine.OverriddenFields.
 	CallerFields []byte
 }
 
-// completionFields are the fields that the router reads.
+// completionFields are the fields of a body that the router reads.
 type completionFields struct {
 	Model               string                `json:"model"`
 	Messages            json.RawMessage       `json:"messages"`
@@ -44,12 +44,13 @@
 }
 
 const (
-	// bytesPerToken estimates the tokens of JSON text. Only predictions use it; rate limits
-	// count the tokens that the engine reports.
+	// bytesPerToken is used to estimate the number of tokens of a prompt from its length. The estimate serves routing
+	// only; rate limits count the tokens that the engine reports.
 	bytesPerToken = 4
-	// maxPrefixBlocks bounds the prompt prefix that is hashed for cache affinity: 16,384 tokens.
+	// maxPrefixBlocks bounds how many blocks of a prompt are hashed to find engines that have them cached. 128 blocks
+	// are 16,384 tokens.
 	maxPrefixBlocks = 128
-	// maxChoices bounds the choices of one request.
+	// maxChoices bounds the number of alternative answers ("choices") that one request may ask for.
 	maxChoices = 16
 )
 
@@ -62,8 +63,8 @@
 	return parseCompletion(b, x.r.URL.Path == engine.ChatPath)
 }
 
-// readBody buffers the whole body, because the routing decision needs its length and
-// prefix. Its size and read time are bounded.
+// readBody buffers the whole body, because the choice of engines needs its length and its prefix. Its size and read
+// time are bounded.
 func (x *exchange) readBody() ([]byte, outcome.Outcome) {
 	rc := http.NewResponseController(x.w)
 	_ = rc.SetReadDeadline(time.Now().Add(x.g.box.BodyTimeout))
@@ -118,9 +119,8 @@
 	return req, outcome.Outcome{}
 }
 
-// encodeFields writes a JSON object of fields byte for byte as the caller wrote them.
-// encoding/json would escape and compact them, and the hash of the prefix would no longer
-// match what engines report.
+// encodeFields writes a JSON object whose values are byte for byte as the caller wrote them. encoding/json would escape
+// and compact the values. Then the hashes of the prompt's blocks would differ from those that engines report.
 func encodeFields(all map[string]json.RawMessage) []byte {
 	out := []byte{'{'}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -168,7 +168,8 @@
 	return 0
 }
 
-// hashBlocks returns a chained hash for each leading block of the prompt.
+// hashBlocks returns a hash for each whole block at the start of the prompt, up to maxPrefixBlocks. Each hash covers
+// all blocks up to and including its own.
 func hashBlocks(text []byte) []uint64 {
 	const size = engine.CacheBlockBytes // One block holds decide.BlockTokens tokens.
 	n := min(len(text)/size, maxPrefixBlocks)
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -23,21 +23,21 @@
 	plainDialTimeout = 500 * time.Millisecond
 	plainMaxAttempts = 3
 	copyBufferBytes  = 32 << 10
-	// plainRetryAfter is the Retry-After of a call that no endpoint accepted.
+	// plainRetryAfter is the Retry-After value of the refusal if no endpoint of a plain service accepted the call.
 	plainRetryAfter = time.Second
 )
 
-// plainPool calls the endpoints of plain services.
+// plainPool calls the endpoints of plain services, that is, of services that are not language models.
 type plainPool struct {
-	// keepAlive reuses connections and is used for repeatable calls only: net/http resends
-	// such a call when a reused connection turns out to be closed.
+	// keepAlive reuses connections. It is used for repeatable calls only, because net/http resends a call when a
+	// reused connection turns out to be closed.
 	keepAlive *http.Client
 	// singleUse opens a connection for each call. net/http resends a request only on a
 	// reused connection, so this client sends a call at most once.
 	singleUse *http.Client
 
 	mu   sync.Mutex
-	load map[string]*atomic.Int64 // Calls in progress, by endpoint name.
+	load map[string]*atomic.Int64 // The number of calls in progress, by endpoint name.
 	cfg  *config.Shared
 }
 
@@ -70,8 +70,8 @@
 	}
 }
 
-// choose returns the less loaded of two random endpoints among those that are in the
-// region, are not leaving and have not failed this call yet.
+// choose picks two random endpoints of the service and returns the less loaded of them. It considers only endpoints in
+// the region that are not leaving and not in tried, the endpoints on which this call has failed.
 func (p *plainPool) choose(service, region string, tried []string) (*config.Endpoint, *atomic.Int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,8 +123,8 @@
 	x.copyResponse(resp)
 }
 
-// callService tries endpoints until one answers. It tries another one only if the call did
-// not run, or if it is repeatable and has no body that was already read.
+// callService tries endpoints until one of them answers. After a failure it tries another endpoint only if no byte of
+// the call was sent, or if the call is repeatable and has no body.
 func (x *exchange) callService(ctx context.Context, s *config.Service) (*http.Response, outcome.Outcome) {
 	var tried []string
 	ran := false
@@ -179,12 +179,12 @@
 		return nil, false, err
 	}
 	if x.r.ContentLength != 0 {
-		// The body is streamed. It has no GetBody, so net/http cannot resend it.
+		// The body is streamed. Without GetBody, net/http cannot resend it.
 		req.Body = io.NopCloser(x.r.Body)
 		req.ContentLength = x.r.ContentLength
 	}
 	h1.CopyHeaders(req.Header, x.r.Header)
-	req.Header.Del("Authorization") // The key authenticates to the router, not to the service.
+	req.Header.Del("Authorization") // The API key is meant for the router, not for the service.
 	req.Header.Set(HeaderRequestID, x.rec.ID)
 	client := x.g.plain.singleUse
 	if x.repeatable {
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -9,7 +9,7 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// refusalBody is the OpenAI error format with additional fields of the router.
+// refusalBody is the OpenAI error format with the router's own fields added.
 type refusalBody struct {
 	Error refusalError `json:"error"`
 }
@@ -19,7 +19,7 @@
 	Type    string  `json:"type"`
 	Param   *string `json:"param"`
 	Code    string  `json:"code"`
-	// Reason is one of the reasons of package outcome; Run says whether the request ran.
+	// Reason is one of the reasons of package outcome. Run says whether an engine or service ran the request.
 	Reason    outcome.Reason `json:"reason"`
 	Run       string         `json:"run"`
 	RequestID string         `json:"request_id"`
