--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -17,12 +17,13 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// CallError describes how a call failed and whether it may have run.
+// CallError describes how a call to an engine failed, and whether the engine may have run the request.
 type CallError struct {
 	Reason outcome.Reason
-	// MayHaveRun is false only if no byte of the request was sent, or the engine said it did not run.
+	// MayHaveRun is false only if no byte of the request was sent, or the engine said that it did not run the request.
 	MayHaveRun bool
-	KVExpired  bool
+	// KVExpired means that the prefill engine had dropped the KV cache before the decode engine fetched it.
+	KVExpired bool
 	// Code is the engine's own error code, if it answered with one.
 	Code string
 	Err  error
@@ -35,11 +36,11 @@
 type Call struct {
 	Address string // ip:port
 	Path    string
-	// RequestID is unique to the attempt; the engine includes it in every response.
+	// RequestID identifies this call: an engine includes it in every response, and the calls for one request differ.
 	RequestID    string
 	MaxTokens    int
 	Priority     int
-	CallerFields []byte // The caller's own fields, as a JSON object.
+	CallerFields []byte // The fields of the caller's body that are passed on, as a JSON object.
 }
 
 const (
@@ -52,24 +53,25 @@
 // Client calls engines. It is safe for concurrent use.
 type Client struct {
 	hc *http.Client
-	// probeClient queries load and cache events on connections separate from the request path.
+	// probeClient queries load and cache events, on connections that no request uses.
 	probeClient *http.Client
-	// OnLoad receives the load report that came with a response, by the engine's
-	// address. It must be set before the first call; it may be nil.
+	// OnLoad is called with the load report of each response and the engine's address. It must be set before the
+	// first call; it may be nil.
 	OnLoad func(address string, l Load)
 }
 
-// NewClient returns a client with its own connection pool. It uses only HTTP/1.1
-// and ignores proxy settings of the environment.
+// NewClient returns a client with its own connection pool. The client uses only HTTP/1.1 and ignores the proxy settings
+// of the environment.
 func NewClient() *Client {
 	dial := (&net.Dialer{Timeout: dialTimeout}).DialContext
 	return &Client{hc: httpClient(dial, maxIdlePerHost), probeClient: httpClient(dial, 1)}
 }
 
-// Dial opens a connection, like net.Dialer.DialContext.
+// Dial is a function that opens a connection, like net.Dialer.DialContext.
 type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// WrapProbeDial wraps the dial function of probes, so that their bytes can be counted.
+// WrapProbeDial wraps the function that opens the connections for probes (queries of load and cache events), so that
+// their bytes can be counted.
 func (c *Client) WrapProbeDial(wrap func(Dial) Dial) {
 	c.probeClient = httpClient(wrap((&net.Dialer{Timeout: dialTimeout}).DialContext), 1)
 }
@@ -82,7 +84,7 @@
 			IdleConnTimeout:     time.Minute,
 			DisableCompression:  true,
 		},
-		// Following a redirect would send the request to an endpoint that was not selected.
+		// Following a redirect would send the request to an endpoint that the router did not select.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
@@ -90,11 +92,11 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.hc.CloseIdleConnections() }
 
-// post sends a body. No call carries an Idempotency-Key, so net/http resends a POST only
-// if it had written none of it to a reused connection that the engine had closed. Each
-// call therefore reaches an engine at most once.
+// post sends a request with the body b. Each call reaches an engine at most once: no request carries an
+// Idempotency-Key, so net/http resends a POST only if it had written none of it to a reused connection that the
+// engine had closed.
 func (c *Client) post(ctx context.Context, address, path string, b []byte, header http.Header) (*http.Response, error) {
-	// maybeSent is set once a connection is obtained: from then on bytes may be sent.
+	// maybeSent is set when a connection is obtained, because bytes may be sent from then on.
 	var maybeSent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { maybeSent.Store(true) },
@@ -134,8 +136,8 @@
 	}
 }
 
-// parseRefusal reads an error response. The request counts as not run only if the engine
-// says so with an error code; a bare 500 may come from the middle of a run.
+// parseRefusal reads an error response. The request counts as not run only if the engine says so with an error code.
+// A 500 without such a code may come from the middle of a run.
 func parseRefusal(resp *http.Response) error {
 	var body ErrorBody
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
@@ -155,7 +157,7 @@
 	return e
 }
 
-// Prefill makes an engine process the prompt and keep its KV cache.
+// Prefill makes an engine process the prompt and keep its KV cache for a decode engine.
 func (c *Client) Prefill(ctx context.Context, call Call) (*PrefillResponse, error) {
 	b, err := encodeBody(Params{
 		RequestID: call.RequestID,
@@ -185,7 +187,7 @@
 	return ans, nil
 }
 
-// Decode makes an engine take over a KV cache and stream the answer.
+// Decode makes an engine fetch the KV cache described by kv and stream the answer.
 func (c *Client) Decode(ctx context.Context, call Call, kv KVParams) (*Stream, error) {
 	b, err := encodeBody(Params{
 		RequestID:     call.RequestID,
@@ -205,8 +207,8 @@
 	return newStream(resp.Body, call.RequestID, 0), nil
 }
 
-// Resume continues a stream whose connection was lost, from the first chunk not yet
-// received. The engine keeps such a stream running for a short while.
+// Resume continues a stream whose connection was lost. next is the number of the first chunk not yet received. The
+// engine keeps running a stream without a connection for a short while.
 func (c *Client) Resume(ctx context.Context, address, requestID string, next int) (*Stream, error) {
 	b, err := json.Marshal(AbortRequest{RequestID: requestID})
 	if err != nil {
@@ -220,8 +222,8 @@
 	return newStream(resp.Body, requestID, next), nil
 }
 
-// Abort frees whatever the engine keeps for a call. An engine that does not know the call
-// answers the same, so Abort may be repeated.
+// Abort frees the memory that the engine reserves for a call. It may be repeated, because an engine gives the same
+// answer for a call that it does not know.
 func (c *Client) Abort(ctx context.Context, address, requestID string) error {
 	b, err := json.Marshal(AbortRequest{RequestID: requestID})
 	if err != nil {
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -10,13 +10,14 @@
 	"strconv"
 )
 
-// Paths and codes of orders and cache events.
+// The path of orders, and the error code of a refused order. An epoch numbers the right to give orders: a sender that
+// takes over this right from another one uses a higher epoch.
 const (
 	OrderPath    = "/orders"
-	CodeOldEpoch = "old_epoch" // An order of a newer epoch was received before.
+	CodeOldEpoch = "old_epoch" // The engine has seen an order of a higher epoch.
 )
 
-// CacheBlockBytes is the number of bytes of prompt text that one block of a cache event covers.
+// CacheBlockBytes is the number of bytes of prompt text that one block of the prefix cache covers.
 const CacheBlockBytes = 512
 
 // OrderKind is the kind of an order to an engine.
@@ -29,8 +30,8 @@
 	OrderRole   OrderKind = "set_role"
 )
 
-// Order is a command to an engine. An engine that supports fencing refuses an order whose
-// Epoch is below the highest it has seen.
+// Order is a command to an engine. Epoch numbers the sender's right to give orders: a sender that takes over this right
+// uses a higher epoch. An engine that supports fencing refuses an order whose Epoch is below the highest it has seen.
 type Order struct {
 	Epoch   int64     `json:"epoch"`
 	Kind    OrderKind `json:"kind"`
@@ -39,11 +40,11 @@
 	Role    string    `json:"role,omitempty"`
 }
 
-// ErrOldEpoch means that the engine refused an order because it had seen a newer epoch.
+// ErrOldEpoch means that the engine refused an order because it had seen an order of a higher epoch.
 var ErrOldEpoch = errors.New("engine: a newer epoch has given orders")
 
-// Order sends an order. After any error but ErrOldEpoch it is not known whether the order
-// was carried out. Orders are idempotent, since each sets a state, and may be repeated.
+// Order sends an order. After an error other than ErrOldEpoch it is not known whether the engine carried out the order.
+// The order may be sent again, because each order sets a state.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
 	b, err := json.Marshal(o)
 	if err != nil {
@@ -63,24 +64,24 @@
 	return errors.Join(err, resp.Body.Close())
 }
 
-// CacheEvents are the blocks that an engine evicted from its prefix cache. They arrive with
-// a delay, and events are lost (Gap) if they are queried too rarely.
+// CacheEvents lists the blocks that an engine evicted from its prefix cache. The engine publishes them with a delay. It
+// keeps a limited number, so some are lost if the events are queried too rarely.
 type CacheEvents struct {
 	Removed []uint64 `json:"removed"`
-	// Next is the value of after for the next query.
+	// Next is the sequence number to pass as after in the next query.
 	Next int64 `json:"next"`
-	// Gap means that earlier events were lost.
+	// Gap means that the engine no longer had some of the events after the requested number.
 	Gap bool `json:"gap"`
 }
 
-// CacheEvents queries the events after the given sequence number.
+// CacheEvents queries the events that follow the event with the sequence number after.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int64) (CacheEvents, error) {
 	var ev CacheEvents
 	err := c.probe(ctx, address, EventsPath+"?after="+strconv.FormatInt(after, 10), &ev)
 	return ev, err
 }
 
-// probe sends a GET outside the request path.
+// probe sends a GET request on the connections that are reserved for such queries.
 func (c *Client) probe(ctx context.Context, address, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, shortCallTimeout)
 	defer cancel()
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -15,34 +15,33 @@
 // maxEventBytes bounds one server-sent event.
 const maxEventBytes = 1 << 20
 
-// doneMarker is the data of the event that ends a complete stream.
+// doneMarker is the data of the event with which a complete stream ends.
 const doneMarker = "[DONE]"
 
 // Chunk is one piece of an answer.
 type Chunk struct {
 	// Data is the JSON of the chunk as the engine sent it.
 	Data string
-	// IDStart and IDEnd delimit the JSON string of the id in Data, quotes included.
+	// IDStart and IDEnd are the bounds of the id's JSON string in Data, quotes included.
 	IDStart, IDEnd int
-	// Offset is the sequence number of the chunk, from 0.
+	// Offset is the number of the chunk in its stream, from 0.
 	Offset int
-	// Finished means that a choice ends with this chunk.
+	// Finished means that a choice (one of the alternative answers) ends with this chunk.
 	Finished bool
-	// Usage is set on the chunk that ends the stream.
+	// Usage is the token counts; the engine sets it on the last chunk of the stream.
 	Usage *Usage
 	// HasChoices is false for a chunk that carries only the usage.
 	HasChoices bool
 }
 
-// Stream reads the chunks of one answer. It accepts only chunks that belong to the
-// answer, each once and in order.
+// Stream reads the chunks of one answer. It passes on each chunk once and in order, and drops chunks of other requests.
 type Stream struct {
 	body      io.ReadCloser
 	requestID string
-	next      int // Offset of the next chunk.
+	next      int // The number of the next chunk.
 
-	// Foreign and Repeated count dropped chunks: those of another request, and those
-	// received before.
+	// Foreign counts the dropped chunks of other requests, and Repeated the dropped chunks that had been received
+	// before.
 	Foreign, Repeated int
 }
 
@@ -50,16 +49,16 @@
 	return &Stream{body: body, requestID: requestID, next: next}
 }
 
-// Close closes the connection and so ends Read.
+// Close closes the connection, which makes Read return.
 func (s *Stream) Close() error { return s.body.Close() }
 
-// Next returns the offset of the first chunk not yet received.
+// Next returns the number of the first chunk not yet received.
 func (s *Stream) Next() int { return s.next }
 
 var errNoEndMarker = errors.New("the stream closed before its end marker")
 
-// Read calls fn for each chunk until the end marker and returns nil only if the end
-// marker arrived. An error from fn ends reading and is returned unchanged.
+// Read calls fn for each chunk. It returns nil only if the end marker arrived. If fn returns an error, Read stops and
+// returns that error.
 func (s *Stream) Read(fn func(Chunk) error) error {
 	for ev, err := range sse.Read(s.body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
@@ -85,11 +84,11 @@
 	return &CallError{Reason: outcome.Truncated, MayHaveRun: true, Err: errNoEndMarker}
 }
 
-// accept checks that an event is the next chunk of this answer.
+// accept returns the chunk in an event. The bool is false if the event is dropped. A missing chunk is an error, so that
+// the stream can be resumed from that chunk.
 //
-// Example: after chunk 4, an event with id 4 is a duplicate and is dropped; id 5 is
-// accepted; id 6 means that 5 was lost, which is an error, so that the stream can be
-// resumed from 5.
+// Example: after chunk 4, an event with id 4 is a duplicate and is dropped; the event with id 5 is accepted. An event
+// with id 6 means that chunk 5 was lost; the stream is then resumed from chunk 5.
 func (s *Stream) accept(ev sse.Event) (Chunk, bool, error) {
 	if !gjson.Valid(ev.Data) {
 		return Chunk{}, false, &CallError{Reason: outcome.Truncated, MayHaveRun: true, Err: errors.New("a chunk is not JSON")}
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -1,10 +1,10 @@
-// Package engine is the adapter for model engines: it implements their streaming
-// completion API over HTTP and maps every failure of a call to a typed CallError.
+// Package engine calls language model engines: it implements their streaming completion API over HTTP and maps every
+// failure of a call to a typed CallError.
 //
-// The protocol is that of engines with separate prefill and decode: a prefill is a
-// completion of one token whose response has kv_transfer_params; a decode is a completion
-// whose request has them. The id of each server-sent event is the token offset of its
-// chunk, so a stream can be resumed with Last-Event-ID.
+// A prefill engine processes the prompt, and a decode engine generates the answer. A prefill call is a completion of
+// one token, and its response contains kv_transfer_params; the decode call repeats them in its request. They contain a
+// handle, with which the decode engine fetches the prompt's KV cache from the prefill engine. The id of each
+// server-sent event is the number of its chunk, so a stream can be resumed with Last-Event-ID.
 package engine
 
 import "encoding/json"
@@ -20,24 +20,24 @@
 	EventsPath     = "/cache_events"
 )
 
-// LoadHeader carries a Load as JSON on every response of an engine, so that the load is
-// known without a probe.
+// LoadHeader is a header that engines set on every response. It carries a Load as JSON, so that the router learns the
+// load without a probe (a query of its own).
 const LoadHeader = "X-Engine-Load"
 
-// KVParams describe the transfer of a KV cache between engines.
+// KVParams describe how the KV cache of a prompt gets from a prefill engine to a decode engine.
 type KVParams struct {
-	// Prefill tells the engine to keep the KV cache for another engine.
+	// Prefill tells the engine to keep the KV cache of the prompt until a decode engine fetches it.
 	Prefill bool `json:"do_remote_decode,omitempty"`
-	// Handle identifies the KV cache kept on the engine at Remote.
+	// Handle identifies the KV cache on the prefill engine, whose address is Remote.
 	Handle string `json:"handle,omitempty"`
 	Remote string `json:"remote_addr,omitempty"`
-	// ExpiresMS is how long the KV cache is kept after the response, in milliseconds.
+	// ExpiresMS is how long the prefill engine keeps the KV cache after its response, in milliseconds.
 	ExpiresMS int64 `json:"expires_ms,omitempty"`
 	// Bytes is the size of the KV cache.
 	Bytes int64 `json:"bytes,omitempty"`
 }
 
-// Params are the fields that the router sets on every call; they replace the caller's.
+// Params are the fields that the router sets in every call. They replace the caller's fields of the same names.
 type Params struct {
 	RequestID     string         `json:"request_id"`
 	Stream        bool           `json:"stream"`
@@ -47,15 +47,15 @@
 	KV            KVParams       `json:"kv_transfer_params"`
 }
 
-// OverriddenFields lists the caller's fields that Params replaces.
+// OverriddenFields lists the fields that are removed from the caller's body, because the router sets them in Params.
 var OverriddenFields = []string{"request_id", "stream", "stream_options", "max_tokens", "max_completion_tokens", "priority", "kv_transfer_params"}
 
-// StreamOptions requests the usage at the end of a stream.
+// StreamOptions asks for a last chunk with the token counts of the stream.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// PrefillResponse is the response to a prefill.
+// PrefillResponse is an engine's response to a prefill call.
 type PrefillResponse struct {
 	ID    string   `json:"id"`
 	Usage Usage    `json:"usage"`
@@ -75,7 +75,7 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Load is an engine's load report. AgeMS is the age of the figures in milliseconds.
+// Load is an engine's load report. AgeMS is how old the other fields are, in milliseconds.
 type Load struct {
 	AgeMS        int64 `json:"age_ms"`
 	QueuedTokens int   `json:"queued_tokens"`
@@ -84,7 +84,7 @@
 	Leaving      bool  `json:"leaving"`
 }
 
-// AbortRequest identifies the call to abort or to resume.
+// AbortRequest names the call to abort, or the call whose stream to resume.
 type AbortRequest struct {
 	RequestID string `json:"request_id"`
 }
@@ -96,7 +96,7 @@
 
 // Error codes of an engine, in the OpenAI error format.
 const (
-	CodeNotRun    = "not_run" // The engine guarantees that it ran nothing of the request.
+	CodeNotRun    = "not_run" // The engine guarantees that it ran no part of the request.
 	CodeKVExpired = "kv_expired"
 )
 
@@ -112,8 +112,8 @@
 	Code    string `json:"code"`
 }
 
-// encodeBody merges the router's fields with the remaining fields of the caller. rest is
-// a JSON object without any overridden field.
+// encodeBody merges the router's fields with rest, a JSON object of the caller's fields without those in
+// OverriddenFields.
 func encodeBody(p Params, rest []byte) ([]byte, error) {
 	own, err := json.Marshal(p)
 	if err != nil {
