--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,6 @@
-// Package dispatch runs the decision core for the requests of a box: it serialises
-// events, routes each action to the request it concerns, and carries out aborts.
+// Package dispatch runs the decision core (package decide) for the requests of one box. The core takes one event at a
+// time and returns actions. This package passes the events to the core one after another, hands each action to the
+// request that it concerns, and carries out aborts: orders to an engine to stop a call.
 package dispatch
 
 import (
@@ -16,17 +17,15 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Aborter tells an engine to free the resources it keeps for a call.
+// Aborter tells an engine to free the resources that it reserves for a call.
 type Aborter func(ctx context.Context, address, call string) error
 
-// Dispatcher drives one core for many concurrent requests.
+// Dispatcher runs one decision core for many concurrent requests.
 type Dispatcher struct {
-	sendAbort Aborter // Nil where closing a call's connection is the only way to abort it.
-	// OnStateChange is called when the core changes the observed state of an engine. It must not
-	// block; nil if nobody listens.
+	sendAbort Aborter // Nil if a call can only be aborted by closing its connection.
+	// OnStateChange is called when the core changes its view of an engine's state. It must not block; it may be nil.
 	OnStateChange func(decide.StateChange)
-	// OnEstimatesChanged is called when the core updates its statistics of a pool. It must not block;
-	// nil if nobody listens.
+	// OnEstimatesChanged is called when the core updates its statistics of a pool. It must not block; it may be nil.
 	OnEstimatesChanged func(decide.Estimates)
 	m                  *telemetry.Metrics
 	aborts             sync.WaitGroup
@@ -35,14 +34,15 @@
 	core   *decide.Core
 	calls  map[decide.ID]*Call
 	lastID decide.ID
-	// addresses also keeps engines that have left the fleet: aborts must still reach them.
+	// addresses maps engine names to addresses. It keeps engines that have left the fleet, since aborts must still
+	// reach them.
 	addresses map[string]string
 }
 
 // Call is the dispatcher's state of one request.
 type Call struct {
 	requestID string
-	// Wake has an entry while TakeActions has something to return.
+	// Wake receives a value when TakeActions has something to return.
 	Wake chan struct{}
 
 	mu      sync.Mutex
@@ -50,7 +50,7 @@
 	cancels map[decide.Attempt]context.CancelFunc
 }
 
-// New returns a dispatcher that drives core.
+// New returns a dispatcher that runs the given core.
 func New(core *decide.Core, abort Aborter, m *telemetry.Metrics) *Dispatcher {
 	return &Dispatcher{
 		sendAbort: abort,
@@ -61,7 +61,7 @@
 	}
 }
 
-// SetFleet replaces the known pools and engines; addresses maps engine names to addresses.
+// SetFleet replaces the pools and engines that the core knows. addresses maps engine names to addresses.
 func (d *Dispatcher) SetFleet(f decide.Fleet, addresses map[string]string) {
 	d.mu.Lock()
 	maps.Copy(d.addresses, addresses)
@@ -76,7 +76,7 @@
 	return d.addresses[name]
 }
 
-// Submit submits a request to the core.
+// Submit submits a request to the core. It returns the id under which the core knows the request.
 func (d *Dispatcher) Submit(requestID string, r decide.Request) (decide.ID, *Call) {
 	c := &Call{requestID: requestID, Wake: make(chan struct{}, 1), cancels: map[decide.Attempt]context.CancelFunc{}}
 	d.mu.Lock()
@@ -95,15 +95,16 @@
 	return d.core.CanResume(clock.Now(), id)
 }
 
-// TakeRetries takes n retries from the retry budget, all or none, and reports whether it succeeded.
+// TakeRetries takes n retries from the retry budget, which limits the retries of this box. If fewer are left, it takes
+// none and returns false.
 func (d *Dispatcher) TakeRetries(n int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.TakeRetries(clock.Now(), n)
 }
 
-// Remove removes a request from the core, whatever its outcome. Work that engines still do
-// for it is aborted; for an answered request there is none.
+// Remove removes a request from the core, however the request ended. If engines still work on the request, that work is
+// aborted.
 func (d *Dispatcher) Remove(id decide.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,9 +112,8 @@
 	delete(d.calls, id)
 }
 
-// Admit evaluates a policy for a request that does not pass through the core. It takes the
-// lock because policy programs are not safe for concurrent use and the core may be running
-// the same one.
+// Admit evaluates a policy for a request that is not submitted to the core. It holds the lock, because a policy program
+// is not safe for concurrent use and the core may be running the same program.
 func (d *Dispatcher) Admit(p decide.Policy, r *decide.Request, v decide.View) decide.Verdict {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,7 +134,7 @@
 	d.core.SetGossipConnected(yes)
 }
 
-// SetRetryLimits limits retries to this box's share of a budget that all boxes have in common.
+// SetRetryLimits limits the retries of this box to its share of a budget that all boxes have in common.
 func (d *Dispatcher) SetRetryLimits(l retry.Limits, boxes int, started time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,9 +148,9 @@
 	d.stepLocked(ev)
 }
 
-// AcceptFirstToken reports the first token of a decode call to the core and returns whether its response
-// may be written to the caller. The core may have just given the call up as stalled: then its
-// chunks must not reach the caller, who receives the response of the next call.
+// AcceptFirstToken reports the first token of a decode call to the core, and returns whether the call's response may be
+// written to the caller. It returns false if the core has given the call up as stalled: the caller then receives the
+// response of the next call.
 func (d *Dispatcher) AcceptFirstToken(ev decide.FirstToken) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,15 +158,15 @@
 	return d.core.IsAnswering(ev.ID, ev.Attempt)
 }
 
-// stepLocked passes an event to the core and dispatches the resulting actions. A panic in the
-// core means a broken invariant. net/http would recover it and leave requests and ledgers
-// half updated, so it is raised again on a goroutine where nothing recovers it.
+// stepLocked passes an event to the core and dispatches the resulting actions. A panic in the core means that one of
+// its invariants is broken. net/http would recover from the panic and leave requests and reservations half updated.
+// Therefore the panic is raised again on a goroutine where nothing recovers from it.
 func (d *Dispatcher) stepLocked(ev decide.Event) {
 	defer func() {
 		if v := recover(); v != nil {
 			stack := debug.Stack()
 			go panic(fmt.Sprintf("broken invariant at %T: %v\n%s", ev, v, stack))
-			select {} // Keeps the lock until the process has exited.
+			select {} // Keeps the lock until the panic has ended the process.
 		}
 	}()
 	for _, a := range d.core.Step(clock.Now(), ev) {
@@ -210,9 +210,9 @@
 	abortRetryDelay = 250 * time.Millisecond
 )
 
-// abort closes the call's own connection, then tells the engine to free its resources. It
-// continues after the request has ended, retries while the engine does not answer, and a
-// drain waits for it. If all tries fail, the engine's own expiry frees the memory.
+// abort closes the connection of a call, then tells the engine in the background to free the call's resources. It tries
+// again while the engine does not answer, also after the request has ended. A planned stop of the box waits for these
+// tries. If all fail, the engine frees the memory when its own time limit expires.
 func (d *Dispatcher) abort(a decide.Abort) {
 	c := d.calls[a.ID]
 	c.cancel(a.Attempt)
@@ -233,7 +233,7 @@
 	})
 }
 
-// CallID returns the id of one attempt of a request, as sent to an engine.
+// CallID returns the id that an engine receives for one attempt (one call to an engine) of a request.
 func CallID(request string, a decide.Attempt) string { return fmt.Sprintf("%s-%d", request, a) }
 
 func (c *Call) push(a decide.Action) {
@@ -246,7 +246,7 @@
 	}
 }
 
-// TakeActions returns the actions received since the last call.
+// TakeActions returns the actions that have arrived since the previous call of TakeActions.
 func (c *Call) TakeActions() []decide.Action {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -255,8 +255,8 @@
 	return out
 }
 
-// AttemptContext returns the context of an attempt, which is cancelled when the core aborts the attempt.
-// If the abort came before the attempt started, the context is cancelled already.
+// AttemptContext returns the context for one attempt, that is, for one call to an engine. The context is cancelled when
+// the core aborts the attempt. If the abort came first, the returned context is already cancelled.
 func (c *Call) AttemptContext(ctx context.Context, a decide.Attempt) context.Context {
 	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
@@ -278,11 +278,11 @@
 	c.cancels[a] = func() {}
 }
 
-// WaitAborts waits until every abort has succeeded or been given up.
+// WaitAborts waits until every abort has reached its engine or has used up its tries.
 func (d *Dispatcher) WaitAborts() { d.aborts.Wait() }
 
-// Engines returns the engines as the core sees them, the number of waiting requests, and
-// a plain-text description of each role that is short of capacity.
+// Engines returns the engines as the core sees them, the number of requests that wait for an engine, and a sentence for
+// each role (prefill or decode) that is short of capacity.
 func (d *Dispatcher) Engines() ([]decide.EngineState, int, []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -291,21 +291,22 @@
 	return engines, waiting, d.core.Imbalance(now)
 }
 
-// Waiting returns the number of waiting requests.
+// Waiting returns the number of requests that wait for an engine.
 func (d *Dispatcher) Waiting() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Waiting()
 }
 
-// RecommendRoleChange returns a recommended role change of an engine, if there is one.
+// RecommendRoleChange returns an engine that should change its role (prefill or decode). The bool is false if none
+// should.
 func (d *Dispatcher) RecommendRoleChange() (decide.RoleChange, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.RecommendRoleChange()
 }
 
-// Grant reserves capacity on an engine for a request of another box and reports whether there was enough.
+// Grant reserves capacity on an engine for a request of another box. It reports whether there was enough capacity.
 func (d *Dispatcher) Grant(engine string, r decide.Request) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
