--- a/internal/h1/body.go
+++ b/internal/h1/body.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// body is a response body that returns its connection to the pool after it was read to its end.
+// body is a response body. Closing it returns its connection to the pool if the body was read to its end.
 type body struct {
 	io.ReadCloser
 	p           *Pool
@@ -31,13 +31,12 @@
 	return n, err
 }
 
-// restWriteTimeout bounds how long an endpoint that has already answered may take to
-// receive the rest of the request.
+// restWriteTimeout bounds how long an endpoint that has already answered may take to receive the rest of the request.
 const restWriteTimeout = 200 * time.Millisecond
 
-// Close keeps the connection only if the response was read to its end, the request was
-// sent completely and ctx has not closed the connection. Otherwise the next request on it
-// would read bytes that belong to this one.
+// Close returns the connection to the pool if the response was read to its end, the request was sent completely and the
+// request's context has not closed the connection. In all other cases it closes the connection, because the next
+// request could read bytes of this response.
 func (b *body) Close() error {
 	b.once.Do(func() {
 		if b.cancelClose() && b.reachedEOF && b.fullySent() {
@@ -58,7 +57,7 @@
 	}
 }
 
-// ReadLimited reads and closes a body of at most maxBytes. A longer one is an error and its connection is closed.
+// ReadLimited reads and closes a body of at most maxBytes. A longer body is an error, and its connection is closed.
 func ReadLimited(resp *http.Response, maxBytes int64) ([]byte, error) {
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
@@ -70,7 +69,7 @@
 
 var errTooLong = errors.New("the answer is longer than expected")
 
-// DoShort sends a request that has a short response, within its own timeout.
+// DoShort sends a request, reads the whole response of at most maxBytes, and gives up after the timeout.
 func (p *Pool) DoShort(ctx context.Context, timeout time.Duration, r *Request, maxBytes int64) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -1,9 +1,8 @@
-// Package h1 sends HTTP/1.1 requests to endpoints so that each is sent at most once.
+// Package h1 sends HTTP/1.1 requests to endpoints (back ends) so that each request is sent at most once.
 //
-// It has its own connection pool because net/http's Transport resends a request when a
-// reused connection turns out to be closed, gives a surplus response to the next request
-// on its connection, and does not report whether bytes were sent. Messages are still
-// parsed and formatted by net/http.
+// It has its own connection pool, because net/http's Transport has three faults for this purpose. It resends a request
+// when a reused connection turns out to be closed. It takes a surplus response on a connection for the response to the
+// next request. It does not report whether bytes were sent. Messages are still parsed and formatted by net/http.
 package h1
 
 import (
@@ -29,36 +28,34 @@
 	dialTimeout = 700 * time.Millisecond
 	// tcpUserTimeout is how long sent bytes may remain unacknowledged.
 	tcpUserTimeout = 2500 * time.Millisecond
-	// defaultIdleTimeout is how long an idle connection is kept if the endpoint does
-	// not announce its own time.
+	// defaultIdleTimeout is how long an idle connection is kept if the endpoint announces no keep-alive time.
 	defaultIdleTimeout = 4 * time.Second
-	// idleTimeoutFraction is the fraction of the endpoint's announced keep-alive time
-	// after which a connection is no longer reused, so that a request does not cross
-	// the endpoint's close.
+	// idleTimeoutFraction is the fraction of the endpoint's announced keep-alive time after which an idle connection
+	// is no longer used. The margin keeps a request from being sent while the endpoint closes the connection.
 	idleTimeoutFraction = 0.6
 	// maxIdlePerAddress bounds the idle connections to one address.
 	maxIdlePerAddress = 16
-	// maxSurplusResponses bounds the responses read in search of the request's own.
+	// maxSurplusResponses bounds how many responses are read until one belongs to the request.
 	maxSurplusResponses = 3
 	bufferBytes         = 4 << 10
 )
 
-// ErrSurplus means that an endpoint kept sending responses to other requests.
+// ErrSurplus means that an endpoint sent maxSurplusResponses responses and none belonged to the request.
 var ErrSurplus = errors.New("the endpoint sent answers to other requests")
 
 // Request is one request to an endpoint.
 type Request struct {
 	Address string // ip:port
 	Method  string
-	Target  string // The request target, byte for byte.
+	Target  string // The path and query in the request line, byte for byte.
 	Host    string
 	Header  http.Header
-	// Body is sent completely, with a Content-Length; nil sends none.
+	// Body is sent whole, with a Content-Length; nil sends no body.
 	Body []byte
-	// Endpoint is the ID of the endpoint at Address, for OnResponse; may be empty.
+	// Endpoint is the ID of the endpoint at Address, for use in OnResponse; it may be empty.
 	Endpoint string
-	// Matches reports from the headers of a response whether it belongs to this request.
-	// Nil accepts the first response.
+	// Matches reports, from the headers of a response, whether the response belongs to this request. If Matches is
+	// nil, the first response counts as the request's own.
 	Matches func(http.Header) bool
 }
 
@@ -77,16 +74,14 @@
 	dialer net.Dialer
 	// OnDial is called for each new connection; it may be nil.
 	OnDial func()
-	// OnSurplus is called for each response that did not belong to the request being
-	// sent on its connection; it may be nil.
+	// OnSurplus is called for each response that did not belong to the request sent on its connection; it may be nil.
 	OnSurplus func()
-	// OnResponse is called with the head of each response that belongs to its request, whether or not
-	// its body can be read, and with the time at which the request was sent. It must not block; it
-	// may be nil.
+	// OnResponse is called when the headers of a request's own response have arrived, before the body is read. sent is
+	// the time at which the request was sent. OnResponse must not block; it may be nil.
 	OnResponse func(r *Request, resp *http.Response, sent time.Time)
 
 	mu   sync.Mutex
-	idle map[string][]*conn // By address; the most recently used is last.
+	idle map[string][]*conn // By address; the most recently used connection is last.
 }
 
 // NewPool returns an empty pool.
@@ -99,7 +94,7 @@
 		},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			return c.Control(func(fd uintptr) {
-				// If the option cannot be set, the timeouts of each call still apply.
+				// If the option cannot be set, the timeouts of each request still apply.
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 			})
 		},
@@ -116,8 +111,8 @@
 	reuseDeadline time.Time
 }
 
-// Do sends the request and returns the head of its response. The caller must close the
-// response body. Cancelling ctx closes the connection, also while the body is read.
+// Do sends the request and returns its response as soon as the headers have arrived. The caller must close the response
+// body. Cancelling ctx closes the connection, also while the body is read.
 func (p *Pool) Do(ctx context.Context, r *Request) (*http.Response, error) {
 	c, err := p.acquire(ctx, r.Address)
 	if err != nil {
@@ -142,8 +137,8 @@
 	return resp, nil
 }
 
-// write sends the request. A long one is sent in the background, because an endpoint may
-// answer before it has read the whole body.
+// write sends the request. A request longer than bufferBytes is sent in the background, because an endpoint may answer
+// before it has read the whole body.
 func (p *Pool) write(c *conn, r *Request, sendResult chan<- error) {
 	var head strings.Builder
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
@@ -165,7 +160,7 @@
 	}()
 }
 
-// readResponse reads responses until one belongs to the request.
+// readResponse reads responses until one belongs to the request, and skips informational (1xx) responses.
 func (c *conn) readResponse(r *Request, surplus func()) (*http.Response, error) {
 	req := &http.Request{Method: r.Method}
 	for range maxSurplusResponses {
@@ -193,7 +188,7 @@
 	}
 }
 
-// acquire returns an idle connection that is still usable, or a new one.
+// acquire returns an idle connection that can still be used, or opens a new one.
 func (p *Pool) acquire(ctx context.Context, addr string) (*conn, error) {
 	for {
 		c := p.pop(addr)
@@ -227,8 +222,8 @@
 	return c
 }
 
-// isQuiet reports whether the endpoint has neither closed the idle connection nor sent
-// anything on it; unsolicited bytes belong to no request.
+// isQuiet reports whether the endpoint has left the idle connection open and has sent nothing on it. Bytes on an idle
+// connection belong to no request.
 func (c *conn) isQuiet() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -251,7 +246,8 @@
 	return err == nil && quiet
 }
 
-// release returns a connection to the pool after its response was read to its end.
+// release puts a connection back into the pool after its response was read to its end, or closes the connection if it
+// cannot be used again.
 func (p *Pool) release(c *conn, resp *http.Response) {
 	idle := idleTimeout(resp.Header)
 	if resp.Close || idle <= 0 || c.r.Buffered() > 0 {
@@ -269,7 +265,7 @@
 	p.idle[c.addr] = append(list, c)
 }
 
-// idleTimeout returns how long the connection may be kept idle, according to the response headers.
+// idleTimeout returns how long the connection may be kept idle after a response with these headers.
 func idleTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
@@ -283,7 +279,7 @@
 	return defaultIdleTimeout
 }
 
-// Prune closes idle connections that have expired and those to addresses not in keep.
+// Prune closes idle connections that are too old to be used, and those to addresses that are not in keep.
 func (p *Pool) Prune(now time.Time, keep map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
