--- a/internal/config/box.go
+++ b/internal/config/box.go
@@ -7,15 +7,17 @@
 	"time"
 )
 
-// Box holds the settings of one box. They are read once at start.
+// Box holds the settings of one box that works with the configuration in Shared. A box is a machine that runs the
+// router. The settings are read once, when the box starts.
 type Box struct {
-	// Name is unique among the running boxes; every request id of this box starts with it.
+	// Name is unique among the running boxes. Each request id starts with the name of the box that received the
+	// request.
 	Name   string
 	Region string
 	Hall   string
 
-	// Callers is the listen address for callers; Operators is the one for operators and
-	// metrics only. Both are "ip:port"; port 0 selects any free one.
+	// Callers is the listen address for callers. Operators is the listen address for operators, metrics and the other
+	// boxes. Both are "ip:port"; port 0 selects any free port.
 	Callers   string
 	Operators string
 	// OperatorKeySHA256 is the hex SHA-256 of the operators' key.
@@ -24,27 +26,27 @@
 	CallerTLS   TLSFiles
 	OperatorTLS TLSFiles
 
-	// PeerKey authenticates boxes to each other; empty means that the box has no peers.
+	// PeerKey is the key with which boxes authenticate to each other; empty means that the box runs alone.
 	PeerKey string
 
-	// Platform is the base URL of the table and object services.
+	// Platform is the base URL of the platform's table service and object store, which all boxes share.
 	Platform    string
 	PlatformKey string
 
-	// MaxBody bounds a request body that is buffered for the routing decision, in bytes.
+	// MaxBody is the maximum size in bytes of a request body that is buffered to choose an engine.
 	MaxBody int64
-	// HeaderTimeout bounds reading the request line and headers, BodyTimeout reading a
-	// buffered body, WriteTimeout one write to a caller.
+	// HeaderTimeout bounds reading a request line and its headers. BodyTimeout bounds reading a body that is buffered.
+	// WriteTimeout bounds one write to a caller.
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
 	WriteTimeout  time.Duration
-	// Queue is the maximum number of requests that wait for engines on this box.
+	// Queue is the maximum number of requests on this box that wait for an engine.
 	Queue int
-	// DrainTimeout bounds a planned stop; streams still running after it are cut off and logged.
+	// DrainTimeout bounds a planned stop. Streams that still run when it has passed are cut off and logged.
 	DrainTimeout time.Duration
 }
 
-// TLSFiles are the paths of a certificate and its key; both empty means plain TCP.
+// TLSFiles are the paths of a certificate file and its key file. If both are empty, connections are not encrypted.
 type TLSFiles struct{ Cert, Key string }
 
 // LoadBox reads and validates a box's settings file.
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -1,7 +1,6 @@
-// Package config parses the two kinds of settings: those of one box, from its own INI
-// file, and the shared configuration that all boxes read from the platform's table. Every
-// key is validated, and each problem names its file, line, section, key and what was
-// expected.
+// Package config parses two kinds of settings: those of one box (a machine that runs the router), from its own INI
+// file, and the shared configuration, which all boxes read from the platform's table. Every key is validated. Each
+// problem names its file, line, section and key, and what was expected.
 package config
 
 import (
@@ -15,10 +14,10 @@
 	"gopkg.in/ini.v1"
 )
 
-// Problem is one error in a settings document.
+// Problem is one error in the text of a configuration.
 type Problem struct {
 	File    string
-	Line    int // 1-based; 0 if the problem has no line, such as a missing section.
+	Line    int // Counted from 1; 0 if the problem has no line, as for a missing section.
 	Section string
 	Key     string
 	Msg     string
@@ -35,8 +34,8 @@
 	return fmt.Sprintf("%s: [%s] %s: %s", where, p.Section, p.Key, p.Msg)
 }
 
-// document is a parsed INI text. It collects all problems found in the text, so that an
-// operator sees them at once.
+// document is a parsed INI text. It collects all problems found in the text, so that an operator sees all of them at
+// once.
 type document struct {
 	file     string
 	ini      *ini.File
@@ -58,9 +57,9 @@
 	return d, nil
 }
 
-// indexLines records the line of each section and key, because the INI library does not
-// keep it. It also reports duplicate sections and keys, which the library would merge
-// silently, with the later value taking precedence.
+// indexLines stores the line of each section and key, because the INI library does not keep the lines. It also reports
+// duplicate sections and keys. The library would merge duplicates silently, and the later value would replace the
+// earlier one.
 //
 // Text inside """ is skipped, so a policy program such as
 //
@@ -111,7 +110,8 @@
 
 func (d *document) err() error { return errors.Join(d.problems...) }
 
-// sections returns the sections in document order, their names split into kind and name.
+// sections returns the sections in the order of the text. A header such as [policy late] is split into the kind
+// "policy" and the name "late".
 func (d *document) sections() []*section {
 	var out []*section
 	for _, s := range d.ini.Sections() {
@@ -127,8 +127,8 @@
 	return out
 }
 
-// section reads the keys of one section and records which were read, so that
-// reportUnknownKeys can report the rest.
+// section gives access to the keys of one section. It remembers which keys were read, so that reportUnknownKeys can
+// report the others.
 type section struct {
 	doc  *document
 	src  *ini.Section
@@ -175,7 +175,7 @@
 		return def
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	// The negated form also rejects NaN, for which every comparison is false.
+	// Comparisons with NaN are always false, so this form of the condition also rejects NaN.
 	if err != nil || !(n >= min && n <= max) {
 		s.addProblem(key, "expected a number from %g to %g, found %q", min, max, v)
 		return def
@@ -183,7 +183,8 @@
 	return n
 }
 
-// numberOrBlank reads a number that a platform's template may leave blank: def applies then.
+// numberOrBlank reads a number. It returns def if the key is missing or its value is empty, because a platform's
+// template may leave a value empty.
 func (s *section) numberOrBlank(key string, def, min, max float64) float64 {
 	if v, ok := s.raw(key); !ok || v == "" {
 		return def
@@ -220,11 +221,10 @@
 	return n
 }
 
-// msSuffix alone is what a template yields for a duration that the platform has no value for.
+// msSuffix is the unit of milliseconds. A template writes the unit alone if the platform has no value for a duration.
 const msSuffix = "ms"
 
-// parseDuration parses a Go duration or a number of milliseconds in exponent notation, which a
-// platform may write.
+// parseDuration parses a Go duration, or a number of milliseconds in exponent notation, which a platform may write.
 //
 // Example: "1.5e+04ms" is 15 seconds.
 func parseDuration(v string) (time.Duration, error) {
@@ -252,7 +252,7 @@
 	return n
 }
 
-// booleanOrBlank reads a boolean that may be left blank: def applies then.
+// booleanOrBlank reads a boolean. It returns def if the key is missing or its value is empty.
 func (s *section) booleanOrBlank(key string, def bool) bool {
 	if v, ok := s.raw(key); !ok || v == "" {
 		return def
--- a/internal/config/key.go
+++ b/internal/config/key.go
@@ -6,13 +6,13 @@
 	"encoding/hex"
 )
 
-// KeyDigest returns the form in which keys are stored: the hex SHA-256.
+// KeyDigest returns the hex SHA-256 of a key. Configurations contain this digest instead of the key.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// KeyMatches compares a key with a stored digest in constant time.
+// KeyMatches reports whether a key has the given digest. It compares in constant time.
 func KeyMatches(key, digest string) bool {
 	return subtle.ConstantTimeCompare([]byte(KeyDigest(key)), []byte(digest)) == 1
 }
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -9,89 +9,90 @@
 )
 
 const (
-	// Defaults for a platform that gives no retry budget: a share of 0.1 in 10 seconds adds
-	// little load to a failing service.
+	// Retry budget for a platform that specifies none: retries may be 0.1 of the requests in 10 seconds. This share
+	// adds little load to a failing service.
 	defaultRetryShare         = 0.1
 	defaultRetryWindowSeconds = 10
-	// Defaults for a platform without client accounts.
+	// Accuracy of limits and of key revocation for a platform that specifies none, as one without client accounts.
 	defaultLimitWindowSeconds = 10
 	defaultRevokedWithinMS    = 5000
 )
 
-// Relay holds the settings of a box that forwards requests byte for byte, according to
-// the platform's routes and lists.
+// Relay holds the settings of a relay box. It forwards requests byte for byte to the endpoints (back ends) that its
+// platform lists, by the platform's routes. A gateway box, in contrast, has its settings in Box and its routes in
+// Shared.
 type Relay struct {
 	// Name is unique among the running boxes.
 	Name   string
 	Region string
 	Hall   string
-	// Halls maps each data hall to its region. A hall that is not listed counts as part of
-	// the box's own region.
+	// Halls maps each data hall (zone) to its region. A hall that is not in the map counts as part of the box's region.
 	Halls map[string]string
 
-	// MemoryMB is the process's memory limit in megabytes, set by the platform: a process that
-	// exceeds it is killed. 0 means no limit.
+	// MemoryMB is the memory limit in megabytes that the platform sets for the process. The platform kills a process
+	// that exceeds the limit. 0 means no limit.
 	MemoryMB float64
 
-	// Callers, Readiness and Operators are the listen addresses of the box, "ip:port".
-	// Readiness reports whether the box accepts connections. Operators may be empty.
+	// Callers, Readiness and Operators are listen addresses of the box, "ip:port". Callers takes the requests,
+	// Readiness tells the platform whether the box takes requests, and Operators, which may be empty, serves status and
+	// metrics.
 	Callers   string
 	Readiness string
 	Operators string
-	// OperatorKeySHA256 is the hex SHA-256 of the operators' key; empty denies all access.
+	// OperatorKeySHA256 is the hex SHA-256 of a key that gives access to the operators' address; empty means no such
+	// key.
 	OperatorKeySHA256 string
 
-	// Peers is the listen address for other boxes; empty means that the box runs alone.
-	// PeersAddress is the address at which they reach it, if that differs. Seeds are boxes to
-	// contact while the store is unavailable, with the port of Peers; they may be out of date.
+	// Peers is the listen address for other boxes; empty means that the box runs alone. PeersAddress is the address
+	// under which the other boxes reach it, if that differs from Peers. Seeds are addresses of boxes to contact while
+	// the platform's store is unavailable; they may be out of date.
 	Peers        string
 	PeersAddress string
 	Seeds        []string
 
 	// OpenMetrics makes the metrics on the operators' address readable without a key.
 	OpenMetrics bool
-	// LoggedRate limits the successful requests that are logged, per second.
+	// LoggedRate is the maximum number of successful requests per second that are logged.
 	LoggedRate float64
 
-	// Store is the address of the platform's table service.
+	// Store is the address of the platform's store, from which the box reads its routes and lists.
 	Store string
-	// RereadWithin bounds the time after an outage of the store until the box has reread
-	// everything, LeavingWithin the time until it knows that an endpoint is leaving, and
-	// ConfigWithin the time until an accepted configuration is in force.
+	// RereadWithin bounds the time from the end of an outage of the store until the box has reread everything.
+	// LeavingWithin bounds the time until the box knows that an endpoint is leaving. ConfigWithin bounds the time until
+	// an accepted configuration is in force.
 	RereadWithin  time.Duration
 	LeavingWithin time.Duration
 	ConfigWithin  time.Duration
 
-	// RetrySlack is the number of retries that the platform allows a service in RetryWindow,
-	// over all boxes, beside RetryShare of the requests; 0 if not known. It may be a fraction.
+	// In each RetryWindow, all boxes together may send a service as many retries as RetryShare times its requests, plus
+	// RetrySlack. RetrySlack is 0 if the platform does not specify it; it may be a fraction.
 	RetrySlack float64
-	// RetryShare is the allowed ratio of retries to requests; RetryWindow is the time in which both are counted.
+	// RetryShare is the allowed ratio of retries to requests. RetryWindow is the time over which both are counted.
 	RetryShare  float64
 	RetryWindow time.Duration
 
-	// ColdRateFactor is a factor on the request rate that a cold endpoint can take, and ColdRateSlack a
-	// number of requests added to it; together they bound the requests that all boxes may
-	// send to it in any second.
+	// In any second, all boxes together may send a cold endpoint (one that has just started) at most ColdRateFactor
+	// times the requests that the endpoint can take in a second while it is cold, plus ColdRateSlack requests.
 	ColdRateFactor float64
 	ColdRateSlack  float64
 
-	// All boxes together may exceed a client account's limit in LimitWindow by LimitOverage, a
-	// share of what the limit allows in it, plus LimitSlack units.
+	// In each LimitWindow, all boxes together may exceed a client account's limit by LimitOverage times what the limit
+	// allows in the window, plus LimitSlack. The unit of LimitSlack is that of the limit.
 	LimitWindow  time.Duration
 	LimitOverage float64
 	LimitSlack   float64
-	// RevokedWithin is the time within which a revoked key must be refused. With StrictRevocation, a
-	// box that has not received the configuration for that long refuses all requests with keys.
+	// RevokedWithin is the time within which boxes must refuse a key that was revoked. If StrictRevocation is set, a
+	// box that has not received the configuration for this time refuses all requests with keys.
 	RevokedWithin    time.Duration
 	StrictRevocation bool
 
-	// Queue is the maximum number of requests that wait for engines on this box.
+	// Queue is the maximum number of requests on this box that wait for an engine.
 	Queue int
-	// GracePeriod is the grace period in which a stopping box still accepts new requests, until
-	// callers have learned that it is leaving. StopTimeout bounds the whole planned stop.
+	// GracePeriod is the time in which a stopping box still accepts new requests, because callers have to learn first
+	// that it is leaving. StopTimeout bounds the whole planned stop.
 	GracePeriod time.Duration
 	StopTimeout time.Duration
-	// HeaderTimeout bounds reading a request's head, IdleTimeout an idle connection.
+	// HeaderTimeout bounds reading a request's headers. IdleTimeout is how long a connection may be idle.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
@@ -188,7 +189,7 @@
 	}
 }
 
-// parseHalls reads the regions of data halls, each as "hall:region".
+// parseHalls reads the key "halls", a list of pairs "hall:region".
 func parseHalls(s *section) map[string]string {
 	out := map[string]string{}
 	for _, text := range s.list("halls") {
@@ -202,12 +203,12 @@
 	return out
 }
 
-// parseSeeds reads the addresses of other boxes. All boxes serve their peers on the same port, so
-// own's port replaces the one in the settings, unless own has port 0 (any free port).
+// parseSeeds reads the addresses of other boxes. All boxes listen for each other on the same port. Therefore the port
+// of own, this box's address for other boxes, replaces the ports in the list, unless it is 0 (any free port).
 func parseSeeds(s *section, own string) (out []string) {
 	self, err := netip.ParseAddrPort(own)
 	if err != nil {
-		return nil // Reported by parseListenAddress.
+		return nil // parseListenAddress has reported the problem.
 	}
 	for _, text := range s.list("seeds") {
 		a, err := netip.ParseAddrPort(text)
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -5,33 +5,32 @@
 	"strings"
 )
 
-// Rules is the shared configuration of the boxes on a platform that manages routes and
-// endpoints itself. It has only the policies, the requests they apply to, and the operators.
+// Rules is the shared configuration of relay boxes. Their platform manages routes and endpoints, so Rules has only
+// policies, the rules that assign policies to requests, and the operators.
 type Rules struct {
 	Version  int64
 	Policies []*Policy
-	// Rules are evaluated in order; the first match decides.
+	// Rules are tried in order. The first rule that matches a request decides which policy applies to it.
 	Rules     []*Rule
 	Operators []*Operator
 }
 
-// Rule assigns a policy to requests. It refers to no route by name, because the names on a
-// platform change with its configuration.
+// Rule assigns a policy to requests. It does not name a route, because a platform may rename its routes at any time.
 type Rule struct {
 	Name   string
 	Policy string
-	// Kind is once, repeatable or stream; empty matches all.
+	// Kind is a kind in ruleKinds; empty matches all requests.
 	Kind string
-	// Service is the service's name; empty matches all.
+	// Service is the name of a service; empty matches all services.
 	Service string
-	// Priority is that of the route, 0 the highest; AnyPriority matches all.
+	// Priority is the priority of the request's route, 0 being the highest; AnyPriority matches all priorities.
 	Priority int
 }
 
 // AnyPriority matches routes of every priority.
 const AnyPriority = -1
 
-// Matches reports whether the rule matches requests of such a route.
+// Matches reports whether the rule applies to a request of this kind, service and priority.
 func (r *Rule) Matches(kind, service string, priority int) bool {
 	return (r.Kind == "" || r.Kind == kind) &&
 		(r.Service == "" || r.Service == service) &&
@@ -44,10 +43,11 @@
 	KeySHA256 string
 }
 
-// The kinds of requests that a rule may match.
+// ruleKinds are the values of Rule.Kind: requests that may run only once, requests that may be repeated, and streams.
 var ruleKinds = []string{"once", "repeatable", "stream"}
 
-// ParseRules parses and validates a text. checkPolicy compiles a program and runs its test cases.
+// ParseRules parses and validates a configuration of relay boxes. checkPolicy compiles a policy's program and runs its
+// test cases.
 func ParseRules(file string, text []byte, checkPolicy func(*Policy) error) (*Rules, error) {
 	d, err := openDocument(file, text)
 	if err != nil {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// SetSection replaces a section of a document's text, or appends it.
+// SetSection returns the text with one section replaced. If the text has no such section, it is appended.
 //
 // Example: SetSection(text, "operator ana", "key_sha256 = 2d71…") keeps all other
 // sections, their order and their comments.
@@ -139,7 +139,7 @@
 	return text[:start] + section + text[end:]
 }
 
-// RemoveSection removes a section; ok is false if there is none.
+// RemoveSection returns the text without one section. ok is false if the text has no such section.
 func RemoveSection(text, name string) (out string, ok bool) {
 	start, end := findSection(text, name)
 	if start < 0 {
@@ -148,8 +148,8 @@
 	return text[:start] + text[end:], true
 }
 
-// findSection returns the offsets at which a section starts and ends; start is -1 if there
-// is none. Section headers inside """ text are ignored.
+// findSection returns the byte offsets of the start and the end of a section. start is -1 if there is no such section.
+// Lines inside """ quotes do not count as section headers.
 func findSection(text, name string) (start, end int) {
 	start, inText, at := -1, false, 0
 	for line := range strings.Lines(text) {
--- a/internal/config/rules_test.go
+++ b/internal/config/rules_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Replacing a section must keep its position and leave the rest of the text unchanged.
+// SetSection must keep the position of the section that it replaces, and leave the other text unchanged.
 func TestSetSection(t *testing.T) {
 	got := SetSection(rulesText, "rule logs", "policy = late\n")
 	want := strings.Replace(rulesText, "policy = late\nkind = stream\npriority = 1\n\n", "policy = late\n", 1)
--- a/internal/config/shared.go
+++ b/internal/config/shared.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Role is the function of an endpoint.
+// Role is what an endpoint (a back end) does.
 type Role uint8
 
 // The roles of endpoints.
@@ -20,10 +20,10 @@
 
 func (r Role) String() string { return roleNames[r] }
 
-// Shared is one accepted version of the configuration common to all boxes. It is
-// read-only once parsed: requests load it through an atomic pointer.
+// Shared is one accepted version of the configuration that all gateway boxes have in common. It is not modified after
+// it was parsed, so requests read it without a lock.
 type Shared struct {
-	// Version is the document's version in the table; it only increases.
+	// Version is the version of the configuration's row in the platform's table. It only increases.
 	Version int64
 	Text    string
 
@@ -33,7 +33,7 @@
 	Services  []*Service
 	Policies  []*Policy
 
-	clients map[string]*Client // By hex SHA-256 of the key.
+	clients map[string]*Client // By the hex SHA-256 of the client's key.
 	Clients []*Client
 }
 
@@ -41,13 +41,13 @@
 type Pool struct {
 	Name  string
 	Model string
-	// KVBytesPerToken determines the size of a transfer between engines.
+	// KVBytesPerToken is the size of the KV cache of one token, from which the time of a transfer is predicted.
 	KVBytesPerToken int
-	// PrefillExpiry is how long a prefill engine keeps the KV cache of a prefill.
+	// PrefillExpiry is how long a prefill engine keeps a prompt's KV cache for the decode engine.
 	PrefillExpiry time.Duration
 }
 
-// Endpoint is one back end: an engine of a pool, or a process of a plain service.
+// Endpoint is one back end: an engine of a pool (a language model), or a process of a plain service.
 type Endpoint struct {
 	Name    string
 	Pool    string // Empty for an endpoint of a plain service.
@@ -58,14 +58,14 @@
 	Hall    string
 	Leaving bool
 
-	// PrefillRate is the prompt tokens per second of a prefill engine.
+	// PrefillRate is how many prompt tokens per second a prefill engine processes.
 	PrefillRate float64
-	// KVTokens is the KV memory of an engine, in tokens.
+	// KVTokens is how many tokens the engine's memory for KV caches holds.
 	KVTokens int
-	// Step and StepPerStream predict the time between tokens of a decode engine.
+	// A decode engine is predicted to take Step plus StepPerStream for each running stream from one token to the next.
 	Step          time.Duration
 	StepPerStream time.Duration
-	// LinkRate is the bytes per second of its network link.
+	// LinkRate is the rate of the engine's network link in bytes per second.
 	LinkRate float64
 }
 
@@ -74,49 +74,50 @@
 	Name   string
 	Model  string
 	Policy string
-	// FirstToken and BetweenTokens are the latency targets.
+	// FirstToken and BetweenTokens are the latency targets: the time until the first token, and from token to token.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// MaxTokens applies to requests that set no limit of their own.
+	// MaxTokens is the maximum length of an answer for requests that set no limit of their own.
 	MaxTokens int
-	// Repeatable false means that every request of the route runs at most once.
+	// Repeatable is false if every request of the route may run at most once.
 	Repeatable bool
-	// ServeLate runs requests that are predicted to miss FirstToken instead of refusing them.
+	// ServeLate means that requests predicted to miss FirstToken are served instead of refused.
 	ServeLate bool
-	// Priority is passed to engines; lower values run first.
+	// Priority is passed to the engines, which serve lower values first.
 	Priority int
 }
 
-// Service routes a path prefix to plain endpoints.
+// Service routes the requests whose path has a certain prefix to the endpoints of a plain service.
 type Service struct {
 	Name   string
 	Prefix string
-	// RepeatableMethods may be retried after a failure; all others run at most once.
+	// RepeatableMethods are the HTTP methods whose calls may be retried. A call with any other method runs at most
+	// once.
 	RepeatableMethods []string
 	Timeout           time.Duration
 }
 
-// Client is one customer and its limits. A zero limit means none.
+// Client is one customer with its limits. A limit of 0 means that there is no limit.
 type Client struct {
 	Name       string
 	KeySHA256  string
 	Requests   float64 // Per second.
 	Burst      int
-	Tokens     float64 // Per second, prompt and answer together.
+	Tokens     float64 // Per second, counting prompts and answers.
 	TokenBurst int
-	// Allow lists the routes and services the client may use; empty means all.
+	// Allow lists the routes and services that the client may use; empty means all of them.
 	Allow []string
 }
 
-// Policy is an operator's program with its test cases.
+// Policy is an operator's program that takes part in routing, with its test cases.
 type Policy struct {
 	Name    string
 	Program string
 	Cases   string
 }
 
-// ParseShared parses and validates a shared configuration. checkPolicy, if not nil,
-// validates each policy, so that this package does not depend on the policy language.
+// ParseShared parses and validates a shared configuration. checkPolicy validates each policy; nil skips this check. It
+// is a parameter so that this package does not depend on the policy language.
 func ParseShared(file string, text []byte, checkPolicy func(*Policy) error) (*Shared, error) {
 	d, err := openDocument(file, text)
 	if err != nil {
@@ -262,7 +263,7 @@
 	c.Clients = append(c.Clients, v)
 }
 
-// checkReferences reports references to undefined names, and models or addresses in use twice.
+// checkReferences reports references to sections that do not exist, and models or addresses that are used twice.
 func (c *Shared) checkReferences(d *document, all []*section) {
 	known := map[string]bool{}
 	models := map[string]bool{}
@@ -309,11 +310,11 @@
 	addresses[e.Address] = e.Name
 }
 
-// ClientByKey returns the client whose key has this hex SHA-256; nil if there is none.
+// ClientByKey returns the client whose key has the hex SHA-256 sum; nil if there is none.
 func (c *Shared) ClientByKey(sum string) *Client { return c.clients[sum] }
 
-// RouteFor returns the first route that the client may use for the model. The bool is
-// false if no route serves the model at all.
+// RouteFor returns the first route for the model that the client may use, or nil. The bool reports whether there is any
+// route for the model.
 func (c *Shared) RouteFor(model string, v *Client) (*Route, bool) {
 	found := false
 	for _, r := range c.Routes {
@@ -328,7 +329,7 @@
 	return nil, found
 }
 
-// ServiceFor returns the service with the longest matching prefix of path; nil if there is none.
+// ServiceFor returns the service whose prefix matches the path; nil if there is none. The longest prefix wins.
 func (c *Shared) ServiceFor(path string) *Service {
 	var best *Service
 	for _, s := range c.Services {
