--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -1,5 +1,5 @@
-// Package control stores the shared configuration in the platform's table: one row holds
-// the accepted version, and every box polls it.
+// Package control stores the shared configuration in the platform's table. One row of the table holds the accepted
+// version, which every box (a machine that runs the router) polls.
 package control
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// Table is the part of the platform's table API that the configuration needs.
+// Table is the part of the platform's table API that this package uses.
 type Table interface {
 	Get(ctx context.Context, key string, known int64) (platform.Row, error)
 	Put(ctx context.Context, key string, w platform.Write) (int64, error)
 }
 
-// currentKey is the key of the row with the accepted configuration. The row's version is
-// the version of the configuration.
+// currentKey is the key of the table row that holds the accepted configuration. The version number of the row is the
+// version of the configuration.
 const currentKey = "config/current"
 
 func versionKey(v int64) string { return fmt.Sprintf("config/version/%d", v) }
@@ -33,25 +33,26 @@
 	Text   string    `json:"text"`
 	Author string    `json:"author"`
 	At     time.Time `json:"at"`
-	// Tokens are the write tokens of the latest versions up to this one, newest last. A writer
-	// whose response was lost finds in them whether its write was ever accepted.
+	// Tokens are random marks, one for each write, of the latest versions up to this one; the newest is last. A writer
+	// whose response was lost finds out from them whether its write was accepted, even if a later write replaced it.
 	Tokens []string `json:"tokens"`
 }
 
-// maxTokens bounds Version.Tokens.
+// maxTokens is the maximum length of Version.Tokens.
 const maxTokens = 32
 
-// ConflictError means that another version was accepted since the base version was read.
+// ConflictError means that a change was based on a version that has been replaced. Current is the accepted version; 0
+// if it could not be read.
 type ConflictError struct{ Current int64 }
 
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("version %d was accepted meanwhile", e.Current)
 }
 
-// ErrTooLarge means that a configuration does not fit into the table. Nothing was written.
+// ErrTooLarge means that a configuration does not fit into a row of the table. Nothing was written.
 var ErrTooLarge = errors.New("the configuration is too large")
 
-// UnknownError means that it is not known whether the write took effect.
+// UnknownError means that the response to a write was lost, and that it is not known whether the write took effect.
 type UnknownError struct{ Err error }
 
 func (e *UnknownError) Error() string {
@@ -65,7 +66,7 @@
 // NewStore returns a store that uses table t.
 func NewStore(t Table) *Store { return &Store{t} }
 
-// FromRows returns the accepted version from the rows of the table; nil if there is none.
+// FromRows returns the accepted version from rows of the table that were already read; nil if it is not among them.
 func FromRows(rows map[string][]byte, read func(key string, text []byte) (platform.Row, error)) (*Version, error) {
 	text, ok := rows[currentKey]
 	if !ok {
@@ -78,8 +79,7 @@
 	return decode(row)
 }
 
-// Load reads the accepted version. If its number equals known, it returns
-// platform.ErrUnchanged.
+// Load reads the accepted version. If it has the number known, Load returns platform.ErrUnchanged.
 func (s *Store) Load(ctx context.Context, known int64) (*Version, error) {
 	row, err := s.table.Get(ctx, currentKey, known)
 	if err != nil {
@@ -96,8 +96,8 @@
 	return v, nil
 }
 
-// Apply replaces version base by v. If the response to the write is lost, it reads the row
-// back and looks for the token of this write.
+// Apply replaces the version with the number base by v, and returns the new number. If the response to its write is
+// lost, it reads the row again and looks for the token of this write.
 func (s *Store) Apply(ctx context.Context, base int64, v Version) (int64, error) {
 	prior, err := s.loadBase(ctx, base)
 	if err != nil {
@@ -126,7 +126,7 @@
 	return number, nil
 }
 
-// loadBase reads the version that a change is based on.
+// loadBase reads the version that a change is based on, and returns a ConflictError if that version was replaced.
 func (s *Store) loadBase(ctx context.Context, base int64) (*Version, error) {
 	v, err := s.Load(ctx, 0)
 	switch {
@@ -149,13 +149,12 @@
 	return &ConflictError{Current: row.Version}
 }
 
-// readBack determines the result of a write whose response was lost. If the row is still at
-// base, the write may not have arrived yet. If the row has a later version, the write may
-// have been accepted and then replaced. Only the token at the position of version base+1 is
-// conclusive.
+// readBack determines the result of a write whose response was lost. If the row is still at the version base, the write
+// may not have arrived yet. If the row has a later version, the write may have been accepted and then replaced. Only
+// the token of version base+1 shows whether this write created that version.
 //
 // Example: the write was to create version 8. The row is at version 10 with the tokens
-// [.. c d e] of versions 8, 9 and 10. If c is the write's own token, it was accepted.
+// [.. c d e] of versions 8, 9 and 10. If c is the token of the write, the write was accepted.
 func (s *Store) readBack(ctx context.Context, base int64, token string, cause error) (int64, error) {
 	v, err := s.Load(ctx, 0)
 	if err != nil || v.Number == base {
@@ -171,12 +170,12 @@
 	return 0, &ConflictError{Current: v.Number}
 }
 
-// storeHistory stores the text for the history. The version is in force even if this fails.
+// storeHistory stores a copy of the version in a row of its own. The version is in force even if this write fails.
 func (s *Store) storeHistory(ctx context.Context, number int64, b []byte) {
 	_, _ = s.table.Put(ctx, versionKey(number), platform.Write{Token: "history", Value: string(b)})
 }
 
-// Get reads an earlier version.
+// Get reads the stored copy of an earlier version.
 func (s *Store) Get(ctx context.Context, number int64) (*Version, error) {
 	row, err := s.table.Get(ctx, versionKey(number), 0)
 	if err != nil {
@@ -189,7 +188,7 @@
 	return v, err
 }
 
-// maxHistory bounds the number of listed versions.
+// maxHistory is the maximum number of versions that History returns.
 const maxHistory = 50
 
 // History returns the latest versions, newest first.
@@ -205,7 +204,7 @@
 	for n := current.Number - 1; n > 0 && len(out) < maxHistory; n-- {
 		v, err := s.Get(ctx, n)
 		if errors.Is(err, platform.ErrNotFound) {
-			continue // Its history entry was never stored.
+			continue // The copy of this version was never stored.
 		}
 		if err != nil {
 			return nil, err
@@ -215,15 +214,15 @@
 	return out, nil
 }
 
-// followInterval is the interval at which a box polls for a newer version.
+// followInterval is how long a box waits between two reads of the accepted version.
 const followInterval = time.Second
 
-// FallbackSource fetches a newer version from elsewhere while the table is unavailable. It
+// FallbackSource fetches a version newer than known while the table is unavailable, for instance from another box. It
 // returns only versions that the table has accepted.
 type FallbackSource func(ctx context.Context, known int64) (*Version, error)
 
-// Follow calls apply with each newer version until ctx ends. Versions only increase: a
-// response older than the version in force is ignored.
+// Follow polls the table and calls apply with each newer version, until ctx ends. It ignores versions older than the
+// last one that it passed on.
 func (s *Store) Follow(ctx context.Context, fallback FallbackSource, apply func(*Version) error, onError func(error)) {
 	var known int64
 	for {
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -16,7 +16,7 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// scriptedTable returns the versions of a list, one per read.
+// scriptedTable is a table whose reads return the given versions, one per read. After the last version, reads fail.
 type scriptedTable struct {
 	Table
 	versions []int64
@@ -50,14 +50,14 @@
 	})
 }
 
-// Guards against reverting to an older version when an outdated replica of the table answers.
+// Guards against a box that goes back to an older version because a replica of the table that lags behind answered.
 func TestFollow(t *testing.T) {
 	expectFollows(t, []int64{1, 1, 2}, []int64{1, 2})
 	expectFollows(t, []int64{5, 3, 5, 4, 6}, []int64{5, 6})
 	expectFollows(t, nil, nil)
 }
 
-// configOp is a change that an operator bases on a version, or a read.
+// configOp is an operation of an operator: a read, or a change based on version base.
 type configOp struct {
 	read bool
 	base int64
@@ -66,19 +66,19 @@
 
 type configResult struct {
 	version int64
-	text    string // The text returned by a read.
-	refused bool   // The change was rejected as a conflict.
+	text    string // The text that a read returned.
+	refused bool   // The change was rejected, because its base version had been replaced.
 	unknown bool
 }
 
-// configState is the accepted configuration.
+// configState is the accepted configuration in the model.
 type configState struct {
 	version int64
 	text    string
 }
 
-// configModel is a compare-and-swap register. A change with an unknown result may or may
-// not have taken effect, so both states are explored.
+// configModel is the sequential model for the linearizability check: a register with compare-and-swap. A change with an
+// unknown result may or may not have taken effect, so the check tries both resulting states.
 var configModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{configState{}} },
 	Step: func(state, input, output any) []any {
@@ -107,7 +107,7 @@
 
 type applyFunc func(*Store, configOp) (int64, error)
 
-// countBadHistories counts the histories of concurrent operators that are not linearizable.
+// countBadHistories runs one history of concurrent operators for each seed, and counts those that are not linearizable.
 func countBadHistories(seeds uint64, apply applyFunc) (bad int) {
 	for seed := range seeds {
 		table := standin.NewMemTable(seed)
@@ -123,7 +123,7 @@
 					r := run()
 					end := time.Now().UnixNano()
 					if r.unknown {
-						end = int64(1) << 62 // It may take effect at any later time.
+						end = int64(1) << 62 // The change may take effect at any later time, so the check treats it as never ended.
 					}
 					mu.Lock()
 					defer mu.Unlock()
@@ -137,7 +137,7 @@
 					}
 					op := configOp{base: seen.version, text: fmt.Sprintf("%d-%d", operator, n)}
 					if r := record(op, func() configResult { return applyResult(store, op, apply) }); r.unknown {
-						return // A client with a pending call makes no other.
+						return // The check allows an operator one operation at a time, and this one never ended for it.
 					}
 				}
 			})
@@ -183,7 +183,8 @@
 	}
 }
 
-// The checker itself must detect a store that treats a lost response as a conflict.
+// The check must find the fault in a store that reports a lost response as a conflict, although the write may have
+// taken effect.
 func TestConfigHistoriesCatchABug(t *testing.T) {
 	applyCarelessly := func(s *Store, op configOp) (int64, error) {
 		n, err := applyCorrectly(s, op)
