--- a/internal/ops/inspect.go
+++ b/internal/ops/inspect.go
@@ -10,12 +10,12 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// BoxState is the state that operators can read of a box of either kind.
+// BoxState is the state that operators can read of a box (a machine that runs the router), be it a gateway or a relay.
 type BoxState interface {
 	Engines() (engines []decide.EngineState, waiting int, notes []string)
 	Ready() bool
 	Running() int64
-	// Version is the version of the configuration in force; 0 before the first.
+	// Version is the version of the configuration that the box uses; 0 before the first.
 	Version() int64
 }
 
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops serves operators: the Connect service that the command-line tool
-// calls, the metrics, and profiles. All of it needs an operator key.
+// Package ops serves the operators of a box (a machine that runs the router): the Connect service that the command-line
+// tool calls, the metrics, and profiles. All of them need an operator key, except metrics that are set to be open.
 package ops
 
 import (
@@ -25,16 +25,16 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Server answers the operators of a box that is not on the platform.
+// Server answers the operators of a gateway box, which has its routes and endpoints in the shared configuration.
 type Server struct {
 	Versions
 	Box     *config.Box
 	Gateway *gateway.Gateway
 	Records *record.Ring
 	Metrics *telemetry.Metrics
-	// Stop starts a planned stop and does not wait for it.
+	// Stop starts a planned stop and returns at once.
 	Stop func()
-	// Peers and Archive are searched for records that this box does not have.
+	// Peers (the other boxes) and Archive are searched for the records of requests that this box does not have.
 	Peers       *peer.Peers
 	Grants      *peer.Grants
 	Archive     *archive.Archive
@@ -43,8 +43,8 @@
 
 var _ stoatrampv1connect.OperatorHandler = (*Server)(nil)
 
-// NewServer returns a server for the shared configuration in store. checkPolicy checks a
-// policy program with its cases.
+// NewServer returns a server that reads and changes the shared configuration in store. checkPolicy compiles a policy's
+// program and runs its test cases.
 func NewServer(store *control.Store, checkPolicy func(*config.Policy) error) *Server {
 	s := &Server{}
 	s.Versions = Versions{
@@ -58,7 +58,7 @@
 	return s
 }
 
-// Handler serves everything on the operators' address.
+// Handler returns the handler for all requests to the operators' address, including calls from the other boxes.
 func (s *Server) Handler() http.Handler {
 	all := http.NewServeMux()
 	path, peers := stoatrampv1connect.NewPeerHandler(&peerServer{s})
@@ -75,7 +75,7 @@
 
 func (s *Server) operatorHandler() http.Handler { return operatorMux(s, s.Metrics) }
 
-// operatorMux serves the connect service, the metrics and profiles.
+// operatorMux serves the operators' Connect service, the metrics and profiles.
 func operatorMux(h stoatrampv1connect.OperatorHandler, m *telemetry.Metrics) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(stoatrampv1connect.NewOperatorHandler(h))
@@ -89,7 +89,7 @@
 	return mux
 }
 
-// requireKey passes on only requests with an authorized key.
+// requireKey passes on only requests whose key authorized accepts.
 func requireKey(authorized func(key string) bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -120,8 +120,8 @@
 	return explain(rec)
 }
 
-// findRecord looks on this box, then on the box that served the request, then in
-// the object store.
+// findRecord returns the record of a request, which lists the decisions about it. It looks on this box, then on the box
+// that served the request, then in the object store.
 func (s *Server) findRecord(ctx context.Context, id string) (*record.Record, error) {
 	if rec := s.Records.Get(id); rec != nil {
 		return rec, nil
@@ -135,11 +135,11 @@
 	return s.Archive.Find(ctx, id)
 }
 
-// RecordCapacity is how many records a box keeps in memory.
+// RecordCapacity is how many records of requests a box keeps in memory.
 const RecordCapacity = 4096
 
-// awaitRollout waits until all live boxes have the version in force, and names those that do
-// not have it in time.
+// awaitRollout waits until the version is in force on all boxes that are not leaving. The response names the boxes on
+// which it was not in force in time.
 func (s *Server) awaitRollout(ctx context.Context, version int64) *v1.ApplyConfigResponse {
 	behind := s.Peers.Serving()
 	boxes := 1 + len(behind)
--- a/internal/ops/peers.go
+++ b/internal/ops/peers.go
@@ -10,7 +10,7 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// peerServer answers the other boxes.
+// peerServer answers calls from the other boxes.
 type peerServer struct{ s *Server }
 
 // State returns this box's readiness and configuration version.
@@ -22,7 +22,8 @@
 	return connect.NewResponse(out), nil
 }
 
-// PassConfig returns the version in force here, which the table has accepted.
+// PassConfig returns the configuration in force on this box. Another box calls it while the table is unavailable; the
+// table has accepted every version that a box has in force.
 func (p *peerServer) PassConfig(_ context.Context, r *connect.Request[v1.PassConfigRequest]) (*connect.Response[v1.PassConfigResponse], error) {
 	out := &v1.PassConfigResponse{}
 	if c := p.s.Gateway.Config(); c != nil {
@@ -34,7 +35,7 @@
 	return connect.NewResponse(out), nil
 }
 
-// GetRecord returns a record that this box still has in memory.
+// GetRecord returns the record of a request, if this box still has it in memory.
 func (p *peerServer) GetRecord(_ context.Context, r *connect.Request[v1.GetRecordRequest]) (*connect.Response[v1.GetRecordResponse], error) {
 	rec := p.s.Records.Get(r.Msg.Id)
 	if rec == nil {
@@ -47,7 +48,8 @@
 	return connect.NewResponse(&v1.GetRecordResponse{RecordJson: string(b)}), nil
 }
 
-// Grant assigns another box its shares of the limits of the clients that this box owns.
+// Grant receives how many requests of each client a box sees, for clients that this box owns, and returns that box's
+// shares of the clients' limits. The owner of a client is the one box that divides the client's limits among all boxes.
 func (p *peerServer) Grant(_ context.Context, r *connect.Request[v1.GrantRequest]) (*connect.Response[v1.GrantResponse], error) {
 	demands := make([]limit.Demand, len(r.Msg.Demands))
 	for i, d := range r.Msg.Demands {
--- a/internal/ops/relay.go
+++ b/internal/ops/relay.go
@@ -18,8 +18,8 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// RelayServer answers the operators of a box on the platform. The platform configures routes and
-// endpoints; the shared configuration here holds only policies, rules and operators.
+// RelayServer answers the operators of a relay box, whose platform configures routes and endpoints. Its shared
+// configuration holds only policies, rules and operators.
 type RelayServer struct {
 	Versions
 	Name, Region, Hall string
@@ -27,21 +27,22 @@
 	Records            *record.Ring
 	Archive            *archive.TimeArchive
 	Metrics            *telemetry.Metrics
-	// Operator reports whether a key is authorized.
+	// Operator reports whether a key is the key of an operator.
 	Operator func(key string) bool
-	// OpenMetrics serves the metrics without a key.
+	// OpenMetrics makes the metrics readable without a key.
 	OpenMetrics bool
-	// Stop starts a planned stop and does not wait for it.
+	// Stop starts a planned stop and returns at once.
 	Stop func()
-	// NearLimit returns the client accounts owned by this box that have little
-	// of their burst capacity left, with the share that is left. It is nil if that is not known.
+	// NearLimit returns the client accounts that are close to their limit, with the fraction of their burst capacity
+	// that is left. It covers the accounts whose limit this box shares out to the other boxes. It is nil if this is not
+	// known.
 	NearLimit func() map[string]float64
 }
 
-// RelayState is the state of a box that follows the shared configuration.
+// RelayState is the state that operators can read of a relay box.
 type RelayState interface {
 	BoxState
-	// PolicyVersion is the version of the policies in force; 0 before the first.
+	// PolicyVersion is the version of the policies that the box uses; 0 before the first.
 	PolicyVersion() int64
 }
 
@@ -72,10 +73,11 @@
 	return connect.NewResponse(out), nil
 }
 
-// maxNearLimitNotes bounds the accounts that a status names.
+// maxNearLimitNotes is the maximum number of accounts near their limit that a status names.
 const maxNearLimitNotes = 10
 
-// nearLimitNotes describes the client accounts with the smallest share of their burst capacity left.
+// nearLimitNotes returns a sentence for each account that is closest to its limit; left is the return value of
+// NearLimit.
 func nearLimitNotes(left map[string]float64) (out []string) {
 	names := slices.SortedFunc(maps.Keys(left), func(a, b string) int {
 		return cmp.Or(cmp.Compare(left[a], left[b]), cmp.Compare(a, b))
@@ -86,8 +88,8 @@
 	return out
 }
 
-// AwaitLocalRollout waits until an accepted version is in force on this box. Other boxes follow
-// the platform's store independently; this box does not know them and names none.
+// AwaitLocalRollout waits until an accepted version is in force on this box. The other boxes follow the platform's
+// store on their own; this box does not check them, so the response names none of them.
 func (s *RelayServer) AwaitLocalRollout(ctx context.Context, version int64) *v1.ApplyConfigResponse {
 	return pollRollout(ctx, version, func() []string {
 		if s.Relay.PolicyVersion() >= version {
@@ -97,7 +99,7 @@
 	})
 }
 
-// Why explains a request that this box served recently or whose record any box archived.
+// Why explains a request that this box served recently, or whose record is in the archive that all boxes share.
 func (s *RelayServer) Why(ctx context.Context, r *connect.Request[v1.WhyRequest]) (*connect.Response[v1.WhyResponse], error) {
 	if rec := s.Records.Get(r.Msg.Id); rec != nil {
 		return explain(rec)
--- a/internal/ops/versions.go
+++ b/internal/ops/versions.go
@@ -13,12 +13,13 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// Versions implements the calls on the shared configuration, which are the same for both kinds of box.
+// Versions implements the calls that read and change the shared configuration. They are the same for gateway and relay
+// boxes.
 type Versions struct {
 	Store *control.Store
-	// Check returns the problems of a text, or nil.
+	// Check returns the problems in the text of a configuration; nil if there are none.
 	Check func(text string) error
-	// AwaitRollout waits until an accepted version is in force and reports where it is not.
+	// AwaitRollout waits until an accepted version is in force, and reports the boxes on which it is not.
 	AwaitRollout func(ctx context.Context, version int64) *v1.ApplyConfigResponse
 }
 
@@ -44,7 +45,7 @@
 	return connect.NewError(connect.CodeUnavailable, err)
 }
 
-// CheckConfig checks a text.
+// CheckConfig returns the problems in the text of a configuration.
 func (s *Versions) CheckConfig(_ context.Context, r *connect.Request[v1.CheckConfigRequest]) (*connect.Response[v1.CheckConfigResponse], error) {
 	return connect.NewResponse(&v1.CheckConfigResponse{Problems: s.problems(r.Msg.Text)}), nil
 }
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// ApplyConfig checks and stores a text as the next version, then waits for its rollout.
+// ApplyConfig checks a text, stores it as the next version, and waits until that version is in force.
 func (s *Versions) ApplyConfig(ctx context.Context, r *connect.Request[v1.ApplyConfigRequest]) (*connect.Response[v1.ApplyConfigResponse], error) {
 	if problems := s.problems(r.Msg.Text); len(problems) > 0 {
 		return connect.NewResponse(&v1.ApplyConfigResponse{Problems: problems}), nil
@@ -88,12 +89,13 @@
 }
 
 const (
-	// rolloutTimeout is how long an accepted version may take to be in force everywhere.
+	// rolloutTimeout is how long pollRollout waits for an accepted version to be in force.
 	rolloutTimeout      = 5 * time.Second
 	rolloutPollInterval = 250 * time.Millisecond
 )
 
-// pollRollout asks every rolloutPollInterval which boxes lag, until none does or rolloutTimeout is over.
+// pollRollout calls lagging, which returns the boxes that do not have the version in force, every rolloutPollInterval.
+// It ends when there are no such boxes, or after rolloutTimeout.
 func pollRollout(ctx context.Context, version int64, lagging func() []string) *v1.ApplyConfigResponse {
 	start := time.Now()
 	resp := &v1.ApplyConfigResponse{Version: version}
