--- a/internal/peer/grants.go
+++ b/internal/peer/grants.go
@@ -14,8 +14,9 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// Grants keeps a box's shares of its clients' limits up to date, and assigns shares
-// to other boxes for the clients that this box owns.
+// Grants divides the clients' limits among the boxes. Each client has one owner, a box that grants every box its share
+// of the client's limits. A box reports its demand to the owner: the rate of requests that it receives from the client.
+// Grants does both parts: it fetches the shares of its own box, and grants shares for the clients that its box owns.
 type Grants struct {
 	peers *Peers
 	table *limit.Table
@@ -24,19 +25,19 @@
 	owner *limit.Owner
 }
 
-// NewGrants returns the grants of a box.
+// NewGrants returns the Grants of a box with the given peers, which keeps the shares in t up to date.
 func NewGrants(p *Peers, t *limit.Table) *Grants {
 	return &Grants{peers: p, table: t, owner: limit.NewOwner()}
 }
 
 const (
-	// grantInterval is how often demands are reported. With more than smallListSize
-	// boxes the interval grows in proportion, by a factor of up to maxGrantSlowdown.
+	// grantInterval is how often a box reports its demands. With more than smallListSize boxes the interval grows in
+	// proportion to their number, up to maxGrantSlowdown times.
 	grantInterval    = time.Second
 	maxGrantSlowdown = 5
 )
 
-// Run exchanges demands for shares until ctx ends.
+// Run reports demands and receives shares at intervals until ctx ends.
 func (g *Grants) Run(ctx context.Context) {
 	last := clock.Now()
 	for {
@@ -52,8 +53,8 @@
 	}
 }
 
-// Exchange reports demands to the owner of each client and applies the shares returned.
-// If an owner does not answer, the default share of 1/(number of boxes) applies.
+// Exchange reports this box's demand for each client to the client's owner, and applies the share that the owner
+// returns. If the owner does not answer, this box uses the default share of 1/(number of boxes).
 func (g *Grants) Exchange(ctx context.Context, since time.Duration) {
 	boxes := g.peers.Others()
 	g.table.SetDefault(1 / float64(1+len(boxes)))
@@ -74,7 +75,8 @@
 	wg.Wait()
 }
 
-// HandleDemands takes the demands of a box as the owner of its clients and returns the box's shares.
+// HandleDemands takes the demands of one box for clients that this box owns, and returns the shares granted to that
+// box.
 func (g *Grants) HandleDemands(box string, demands []limit.Demand) []limit.Share {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -100,8 +102,8 @@
 	}
 }
 
-// ownerOf selects a client's owner by rendezvous hashing: when a box is added or removed,
-// only the clients it owns move.
+// ownerOf returns the box that owns a client. It uses rendezvous hashing: when a box is added or removed, only the
+// clients that this box owns change their owner.
 func ownerOf(self string, boxes []platform.BoxInfo, client string) string {
 	best, bestHash := self, xxhash.Sum64String(self+"\x00"+client)
 	for _, b := range boxes {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer is the communication between boxes. The platform's list of boxes lags and
-// is corrected by direct calls. Boxes pass on only what the platform's table has accepted;
-// there is no agreement protocol between them.
+// Package peer is the communication between boxes (machines that run the router). The platform's list of boxes lags
+// behind, so a box learns by direct calls which boxes answer. A box passes on only configurations that the platform's
+// table has accepted, so the boxes need no agreement protocol between them.
 package peer
 
 import (
@@ -22,16 +22,15 @@
 )
 
 const (
-	// listInterval is how often the platform's list of boxes is read when it has up to
-	// smallListSize entries. A longer list is read less often in proportion, which keeps
-	// the bandwidth per box constant.
+	// listInterval is how often a box reads the platform's list of boxes, if the list has up to smallListSize entries.
+	// A longer list is read less often in proportion to its length, which keeps the bandwidth per box constant.
 	listInterval  = 2 * time.Second
 	smallListSize = 8
 	// callTimeout bounds one call to a peer.
 	callTimeout = time.Second
 	// maxConcurrentCalls bounds the peers called at the same time.
 	maxConcurrentCalls = 16
-	// maxConfigPeers bounds the peers that one call of Config asks.
+	// maxConfigPeers is the maximum number of peers that one call of Peers.Config asks.
 	maxConfigPeers = 3
 )
 
@@ -40,7 +39,7 @@
 	Boxes(ctx context.Context) ([]platform.BoxInfo, error)
 }
 
-// Peers is one box's view of the other boxes.
+// Peers is what one box knows of the other boxes.
 type Peers struct {
 	self   string
 	key    string
@@ -51,13 +50,13 @@
 	boxes []platform.BoxInfo
 }
 
-// New returns the peers of a box; the list is empty until Run has read it.
+// New returns the Peers of the box with the name self. Its list of boxes is empty until Run has read the list.
 func New(self, key string, list Lister, hc *http.Client) *Peers {
 	return &Peers{self: self, key: key, lister: list, hc: hc}
 }
 
-// Run keeps the list up to date until ctx ends. While the list cannot be read, the last
-// one stays in use: calls to a box that is gone just fail.
+// Run keeps the list of boxes up to date until ctx ends. If the list cannot be read, the previous list stays in use. A
+// call to a box that is gone just fails.
 func (p *Peers) Run(ctx context.Context) {
 	for {
 		p.Refresh(ctx)
@@ -107,11 +106,11 @@
 	return stoatrampv1connect.NewPeerClient(p.hc, base, connect.WithInterceptors(auth))
 }
 
-// ErrNoPeer means that no peer could help.
+// ErrNoPeer means that no peer returned what was asked for.
 var ErrNoPeer = errors.New("no peer answered")
 
-// Config asks a few random peers for a configuration newer than known and returns the
-// newest. It returns ErrNoPeer if none of them answered or had a newer one.
+// Config asks a few random peers for a configuration newer than version known, and returns the newest that it gets. It
+// returns ErrNoPeer if no peer returned a newer configuration.
 func (p *Peers) Config(ctx context.Context, known int64) (version int64, text string, err error) {
 	boxes := p.Others()
 	rand.Shuffle(len(boxes), func(i, j int) { boxes[i], boxes[j] = boxes[j], boxes[i] })
@@ -148,9 +147,8 @@
 	return names
 }
 
-// Behind asks the named boxes and returns those that do not have the version in force.
-// A box that does not answer counts as behind, since it may be unreachable but still
-// serving.
+// Behind asks the named boxes for their configuration version, and returns the boxes whose version is older than the
+// given one. A box that does not answer is also returned, since it may still serve callers.
 func (p *Peers) Behind(ctx context.Context, version int64, names []string) []string {
 	var mu sync.Mutex
 	var behind []string
@@ -185,8 +183,8 @@
 	return resp.Msg.ConfigVersion
 }
 
-// Record asks the box named by the prefix of a request id for its record. It returns an
-// empty text if that box is gone or does not have the record.
+// Record returns the record of a request as JSON, from the box whose name the request id starts with. It returns an
+// empty text if that box does not answer or does not have the record.
 func (p *Peers) Record(ctx context.Context, id string) string {
 	for _, b := range p.Others() {
 		if !strings.HasPrefix(id, b.Name+"-") {
