--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli implements the operators' command-line tool.
+// Package cli implements the operators' command-line tool. It calls a box (a machine that runs the router) at the box's
+// address for operators.
 package cli
 
 import (
@@ -19,17 +20,17 @@
 	"github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1/stoatrampv1connect"
 )
 
-// Exit codes, for scripts.
+// Exit codes, by which scripts can tell the results apart.
 const (
 	exitOK       = 0
 	exitFailed   = 1 // The box could not be reached, or failed.
-	exitUsage    = 2 // The command line is wrong.
-	exitConflict = 3 // Another configuration was accepted meanwhile.
-	exitProblems = 4 // A check found problems.
-	exitNotFound = 5 // No such request or version.
+	exitUsage    = 2 // The command line or an argument is wrong.
+	exitConflict = 3 // The change was rejected, because another version of the configuration had been accepted.
+	exitProblems = 4 // A configuration or a policy has problems, or a policy's test case failed.
+	exitNotFound = 5 // There is no such request, version or policy.
 )
 
-// exitError carries an exit code with what to print.
+// exitError is an error that the tool prints before it exits with the code.
 type exitError struct {
 	code int
 	err  error
@@ -38,7 +39,7 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// app is the root of the command line.
+// app is the whole command line: the flags that all commands have, and the commands.
 type app struct {
 	Box  []string `help:"Base URL of a box's operator address. 'why' tries several in order, separated by commas." env:"STOATRAMP_BOX" default:"http://127.0.0.1:8081"`
 	Key  string   `help:"The operator key." env:"STOATRAMP_KEY"`
@@ -90,7 +91,7 @@
 	return exitFailed
 }
 
-// client returns a client for the first box of --box.
+// client returns a client for the first box given with --box.
 func (a *app) client() stoatrampv1connect.OperatorClient { return a.clientFor(a.Box[0]) }
 
 func (a *app) clientFor(box string) stoatrampv1connect.OperatorClient {
@@ -103,7 +104,7 @@
 	return stoatrampv1connect.NewOperatorClient(&http.Client{Timeout: callTimeout}, box, connect.WithInterceptors(auth))
 }
 
-// printIfJSON prints a message as JSON if --json was given, and reports whether it did.
+// printIfJSON prints a message as JSON if --json was given. The bool reports whether --json was given.
 func (a *app) printIfJSON(m proto.Message) (bool, error) {
 	if !a.JSON {
 		return false, nil
@@ -143,8 +144,8 @@
 	return nil
 }
 
-// findRecord asks the boxes in order until one has the record. Otherwise it returns the first
-// error that is not "not found", if there is one.
+// findRecord asks the boxes one after another for the record of a request, until one has it. If none has it, the
+// returned error is the first one other than "not found", or "not found" if there was no other.
 func (c *whyCmd) findRecord(a *app) (*connect.Response[v1.WhyResponse], error) {
 	var failed error
 	for _, box := range a.Box {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -48,7 +48,7 @@
 	return b
 }
 
-// expectRun runs the tool and expects an exit code and a text in its output.
+// expectRun runs the tool with args against box b, and expects the exit code and a text that contains want.
 func expectRun(t *testing.T, b *box.Box, code int, want string, args ...string) string {
 	t.Helper()
 	var out, errOut bytes.Buffer
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -24,9 +24,8 @@
 	History configHistoryCmd `cmd:"" help:"List the accepted versions."`
 }
 
-// versionPrefix starts the first line of a fetched configuration. Apply takes the
-// base version from this line, so that a file edited from an old version cannot
-// silently undo a newer one.
+// versionPrefix starts the first line of a configuration that "config get" prints. "config apply" reads from this line
+// which version the file is based on, so that a file made from an old version cannot silently undo a newer version.
 const versionPrefix = "# version "
 
 func (a *app) fetch(version int64) (*v1.GetConfigResponse, error) {
@@ -53,7 +52,7 @@
 	return err
 }
 
-// readConfig reads a file and its base version, which is 0 if the file names none.
+// readConfig returns the text of a file and the version that the file is based on; 0 if the file does not say.
 func readConfig(file string) (string, int64, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -150,8 +149,8 @@
 	return a.apply(text, base, authorOrCurrentUser(c.Author))
 }
 
-// noConfigYet reports whether the site has no configuration yet. The first
-// configuration needs no base version.
+// noConfigYet reports whether there is no accepted configuration. Only the first configuration may be applied without
+// the version that it is based on.
 func (a *app) noConfigYet() bool {
 	_, err := a.fetch(0)
 	return connect.CodeOf(err) == connect.CodeNotFound
@@ -168,7 +167,7 @@
 	return "unknown"
 }
 
-// conflictError shows what changed between the base version and the accepted one.
+// conflictError returns an error that shows what changed from the version base to the accepted version.
 func (a *app) conflictError(base, current int64) error {
 	text := ""
 	then, errThen := a.fetch(base)
@@ -179,14 +178,15 @@
 	return &exitError{exitConflict, fmt.Errorf("not accepted: the file was made from version %d, and version %d is accepted now%s", base, current, text)}
 }
 
-// reportAccepted prints on which boxes the version is in force.
+// reportAccepted prints whether the accepted version is in force on the boxes, and returns an error that names the
+// boxes on which it is not.
 func (a *app) reportAccepted(r *v1.ApplyConfigResponse) error {
 	if len(r.Missing) > 0 {
 		return &exitError{exitFailed, fmt.Errorf("accepted as version %d, but not in force after %d ms on: %s; they follow as soon as they can reach the table or a peer",
 			r.Version, r.InForceMs, strings.Join(r.Missing, ", "))}
 	}
 	if r.Boxes == 0 && !a.JSON {
-		// Boxes on a platform don't know each other.
+		// A relay box does not know the other boxes, so it reports none.
 		fmt.Fprintf(a.out, "Accepted as version %d and in force on this box after %d ms; the others follow the store, and 'status' shows their version.\n", r.Version, r.InForceMs)
 		return nil
 	}
--- a/internal/cli/shared.go
+++ b/internal/cli/shared.go
@@ -15,10 +15,11 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// The commands of this file change one section of the shared configuration. A change is based
-// on the accepted version and is rejected if another version was accepted in the meantime.
+// The commands in this file change one section of the shared configuration. Each change is based on the accepted
+// version, and is rejected if that version is replaced before the change arrives.
 
-// editConfig applies a change to the text of the accepted configuration.
+// editConfig reads the text of the accepted configuration, passes it to change, and submits the text that change
+// returns.
 func (a *app) editConfig(author string, change func(text string) (string, error)) error {
 	now, err := a.fetch(0)
 	if connect.CodeOf(err) == connect.CodeNotFound {
@@ -34,7 +35,7 @@
 	return a.apply(text, now.Version, author)
 }
 
-// Section names in the shared configuration.
+// Headers of the sections of the shared configuration.
 func policySection(name string) string   { return "policy " + name }
 func ruleSection(name string) string     { return "rule " + name }
 func operatorSection(name string) string { return "operator " + name }
@@ -48,7 +49,7 @@
 	Author   string `help:"Author of the change; the current user if not given."`
 }
 
-// errTripleQuotes rejects text that would end the program's string in the configuration early.
+// errTripleQuotes is the error for a program or test cases that contain """, which would end the quoted text too early.
 var errTripleQuotes = errors.New(`the text contains """, which ends a program in the configuration; use # comments`)
 
 func (c *policyApplyCmd) Run(a *app) error {
@@ -120,7 +121,7 @@
 	return &exitError{exitNotFound, fmt.Errorf("no policy %q in version %d", c.Name, rules.Version)}
 }
 
-// ruleScope describes the requests that a rule applies to.
+// ruleScope describes in words the requests that a rule applies to.
 func ruleScope(r *config.Rule) string {
 	var parts []string
 	if r.Kind != "" {
@@ -138,7 +139,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// rules reads a version of the shared configuration of platform boxes.
+// rules reads and parses a version of the shared configuration of relay boxes; 0 reads the accepted version.
 func (a *app) rules(version int64) (*config.Rules, error) {
 	got, err := a.fetch(version)
 	if err != nil {
@@ -219,7 +220,7 @@
 	})
 }
 
-// apply submits a text based on version base and reports the outcome.
+// apply submits a text that is based on the version base, and prints the result.
 func (a *app) apply(text string, base int64, author string) error {
 	resp, err := a.client().ApplyConfig(context.Background(), connect.NewRequest(&v1.ApplyConfigRequest{Text: text, BaseVersion: base, Author: author}))
 	if err != nil {
