--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -16,29 +16,30 @@
 	"github.com/stoatramp/stoatramp/internal/engine"
 )
 
-// stream is one request in a decode engine.
+// stream is one request in a decode engine, waiting or running.
 type stream struct {
 	id           string
 	path         string
 	promptHash   uint64
 	priority     int
-	kvTokens     int // Tokens of KV memory reserved once it runs.
+	kvTokens     int // KV memory in tokens that the stream reserves while it runs.
 	promptTokens int
 	maxTokens    int
 	fault        Fault
 
 	mu             sync.Mutex
-	generated      int  // Tokens generated so far.
-	ended          bool // Finished or released.
+	generated      int  // The number of tokens generated so far.
+	ended          bool // The stream has finished, or its memory was freed before that.
 	updated        chan struct{}
 	connections    int
-	disconnectedAt time.Time // When the last connection was lost.
+	disconnectedAt time.Time // When the stream lost its last connection.
 }
 
-// streamQueue is a slice sorted by priority; an engine has only some tens of waiting requests.
+// streamQueue is a slice of waiting streams, sorted by priority. A slice is enough for the some tens of streams that an
+// engine has waiting.
 type streamQueue []*stream
 
-// serveDecode imports the KV cache, waits for memory and streams the answer.
+// serveDecode fetches the KV cache of the prompt, waits for memory and streams the answer.
 func (e *Engine) serveDecode(w http.ResponseWriter, r *http.Request, req *completionRequest, f Fault) {
 	if f.Kind == Stall {
 		sleep(r, f.For)
@@ -77,8 +78,8 @@
 	e.sendChunks(w, r, s, 0)
 }
 
-// importKV takes the KV cache from the prefill engine and waits for the time that the
-// transfer needs on this engine's link, where transfers run one after another.
+// importKV fetches the KV cache from the prefill engine. It then sleeps for the time that the transfer would take on
+// this engine's link, where transfers run one after another.
 func (e *Engine) importKV(ctx context.Context, kv engine.KVParams) (takenKV, error) {
 	var got takenKV
 	b, err := json.Marshal(engine.TakeRequest{Handle: kv.Handle})
@@ -123,8 +124,8 @@
 	}
 }
 
-// decodeLoop runs the continuous batch: each step generates one token for every
-// running stream; streams join and leave between steps.
+// decodeLoop generates the tokens of all running streams. Each step generates one token for every running stream;
+// between steps, streams start and end (continuous batching).
 func (e *Engine) decodeLoop() {
 	next := time.Now()
 	for {
@@ -147,8 +148,8 @@
 	}
 }
 
-// step admits waiting streams, generates one token for each running one and
-// returns how many run.
+// step starts the waiting streams for which there is memory, generates one token for each running stream, and returns
+// the number of running streams.
 func (e *Engine) step() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -184,7 +185,7 @@
 	}
 }
 
-// release frees the memory of a running or waiting stream. The caller holds e.mu.
+// release ends a running or waiting stream and frees its memory. cause is the reason to count. The caller holds e.mu.
 func (e *Engine) release(s *stream, cause string) {
 	if i := slices.Index(e.running, s); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
@@ -196,7 +197,7 @@
 	if cause != "finished" {
 		delete(e.streams, s.id)
 	} else {
-		// A finished stream can be resumed for a while; it uses no memory.
+		// A finished stream can be resumed for a while. It uses no KV memory.
 		time.AfterFunc(resumeGrace, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
@@ -213,7 +214,7 @@
 	}
 }
 
-// resume continues a stream after the chunk named by Last-Event-ID.
+// resume sends the chunks of a stream that follow the chunk numbered in Last-Event-ID.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	var req engine.AbortRequest
 	last, err := strconv.Atoi(r.Header.Get("Last-Event-ID"))
@@ -236,8 +237,8 @@
 	e.sendChunks(w, r, s, last+1)
 }
 
-// sendChunks writes the chunks of a stream, starting with the given one. The answer has one
-// chunk per token, then one with the usage, then the end mark.
+// sendChunks writes the chunks of a stream from number from on. An answer has one chunk per token, then one with the
+// token counts, then the end marker.
 func (e *Engine) sendChunks(w http.ResponseWriter, r *http.Request, s *stream, from int) {
 	defer e.disconnect(s)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -252,7 +253,7 @@
 			s.writeChunk(w, f, sent)
 			if f.Kind == Truncate && sent+1 >= f.After {
 				_ = rc.Flush()
-				return // A clean close before the end mark.
+				return // The connection ends properly, but without the end marker.
 			}
 			if f.Kind == DropMidway && sent+1 >= f.After {
 				_ = rc.Flush()
@@ -274,7 +275,7 @@
 		}
 	}
 	if sent < s.maxTokens {
-		panic(http.ErrAbortHandler) // Released before its end.
+		panic(http.ErrAbortHandler) // The stream was ended before its last token.
 	}
 	fmt.Fprintf(w, "id: %d\ndata: {\"id\":\"%s\",\"object\":%q,\"created\":%d,\"model\":\"stand-in\",\"choices\":[],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"total_tokens\":%d}}\n\ndata: [DONE]\n\n",
 		sent, s.answerID(s.id), s.object(), time.Now().Unix(), s.promptTokens, s.maxTokens, s.promptTokens+s.maxTokens)
@@ -303,7 +304,8 @@
 	return "text_completion"
 }
 
-// writeChunk writes one token and applies the fault to it.
+// writeChunk writes the chunk of token i. If the fault applies to this chunk, it writes other chunks before it or
+// leaves it out.
 func (s *stream) writeChunk(w http.ResponseWriter, f Fault, i int) {
 	if f.Kind == AnswerOfOther && i == f.After {
 		s.writeToken(w, "another-request-7", 0xbad, i)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,7 +1,6 @@
-// Package standin holds small stand-ins for the systems around the router: model
-// engines, a plain service and the platform. They implement the published protocols
-// and the cost model, and faults can be injected into them. They are for tests,
-// benchmarks and the demo; no production code uses them.
+// Package standin holds small stand-ins for the systems around the router: language model engines, a plain service and
+// the platform. They speak the same protocols as the real systems, take the time that the cost model (package cost)
+// predicts, and can be told to fail. They serve tests, benchmarks and the demo; no production code uses them.
 package standin
 
 import (
@@ -20,33 +19,33 @@
 	"github.com/stoatramp/stoatramp/internal/engine"
 )
 
-// resumeGrace is how long a stream keeps running without a connection.
+// resumeGrace is how long a stream without a connection is kept, so that it can be resumed.
 const resumeGrace = 2 * time.Second
 
-// Engine is a stand-in for one model engine, prefill or decode.
+// Engine is a stand-in for a language model engine. It can process prompts (prefill) and generate answers (decode).
 type Engine struct {
 	Name string
-	// Addr is the engine's ip:port, set once it listens.
+	// Addr is the engine's ip:port. It is set when the engine listens.
 	Addr  string
 	Model cost.Model
 	// CacheBlocks is the capacity of the prefix cache; 0 means defaultCacheBlocks.
 	CacheBlocks int
-	// EventLag is how many of the newest cache events are not published yet.
+	// EventLag is how many of the newest cache events (evicted blocks) are held back.
 	EventLag int
-	// ReportLag is how old load reports are.
+	// ReportLag is the minimum age of the load reports that the engine sends.
 	ReportLag time.Duration
 
 	mu           sync.Mutex
 	faults       []pendingFault
-	results      map[string]*prefillResult // Prefill results by handle.
-	streams      map[string]*stream        // Decode streams by request id, running or waiting.
+	results      map[string]*prefillResult // Processed prompts whose KV cache waits for a decode engine, by handle.
+	streams      map[string]*stream        // Streams by request id: waiting, running or finished a short while ago.
 	waiting      streamQueue
 	running      []*stream
 	freeKV       int
-	queuedTokens int // Uncached prompt tokens whose prefill is not done.
+	queuedTokens int // Prompt tokens that are not cached and not yet processed.
 	prefill      prefillHeap
 	prefilling   bool
-	linkFreeAt   time.Time // When the link is free.
+	linkFreeAt   time.Time // When all KV transfers over the link will have ended.
 	cache        map[uint64]bool
 	leaving      bool
 	reports      []loadReport
@@ -55,8 +54,8 @@
 	epoch        int64
 	orders       []engine.Order
 	events       []uint64
-	firstEvent   int64           // The number of the oldest event kept.
-	aborted      map[string]bool // Request ids aborted recently.
+	firstEvent   int64           // The sequence number of the first event in events.
+	aborted      map[string]bool // Ids of requests that were aborted a short while ago.
 	wake         chan struct{}
 	stop         chan struct{}
 	hc           *http.Client
@@ -65,13 +64,13 @@
 // EngineCounts counts the calls and events of an engine, for tests.
 type EngineCounts struct {
 	Prefills, Decodes, Aborts, Resumes int
-	// Runs counts the calls for each request id.
+	// Runs is the number of calls with each request id.
 	Runs map[string]int
-	// Prompts counts the prefills of each prompt, by its hash.
+	// Prompts is the number of prefills of each prompt, by PromptHash.
 	Prompts map[uint64]int
-	// CachedTokens sums the prompt tokens that were cached.
+	// CachedTokens is the total number of prompt tokens that the prefix cache had.
 	CachedTokens int
-	// Freed counts the causes for which memory was freed.
+	// Freed is how often memory was freed, by cause, such as "prefill expiry" or "decode abort".
 	Freed map[string]int
 }
 
@@ -88,7 +87,7 @@
 	load engine.Load
 }
 
-// NewEngine returns an engine that is not yet listening.
+// NewEngine returns an engine with the cost model m. The caller has to serve its Handler.
 func NewEngine(name string, m cost.Model) *Engine {
 	e := &Engine{
 		Name:    name,
@@ -107,7 +106,7 @@
 	return e
 }
 
-// Close stops the engine's loop; every stream is lost.
+// Close stops generating tokens and ends all streams without an end marker.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -119,7 +118,8 @@
 	e.hc.CloseIdleConnections()
 }
 
-// Reserved returns the memory in use: the number of prefill results and the decode tokens reserved.
+// Reserved returns what is reserved: the number of KV caches that wait for a decode engine, and the KV memory of
+// running streams in tokens.
 func (e *Engine) Reserved() (results, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,7 +141,7 @@
 	return s
 }
 
-// SetLeaving makes the engine report that it is leaving.
+// SetLeaving sets whether the engine's load reports say that it is leaving.
 func (e *Engine) SetLeaving(v bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -162,7 +162,7 @@
 	return mux
 }
 
-// completionRequest is the part of a request that the stand-in reads.
+// completionRequest is the part of a request body that the stand-in reads.
 type completionRequest struct {
 	engine.Params
 	Model    string          `json:"model"`
@@ -177,22 +177,22 @@
 	return r.Prompt
 }
 
-// PromptTokens is the stand-in's tokenizer: four bytes per token.
+// PromptTokens returns the number of tokens of a prompt. The stand-in counts four bytes as a token.
 func PromptTokens(text []byte) int { return max(1, len(text)/4) }
 
-// PromptHash identifies a prompt; the stand-in's answers are derived from it.
+// PromptHash returns a hash of a prompt, from which the stand-in generates the answer.
 func PromptHash(text []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(text)
 	return h.Sum64()
 }
 
-// AnswerToken is the token at position i of the answer to a prompt.
+// AnswerToken returns the token at position i of the answer to the prompt with this hash.
 func AnswerToken(prompt uint64, i int) string { return fmt.Sprintf("%08x.%d ", uint32(prompt), i) }
 
 // Answer returns the first n tokens of the answer to a prompt that was sent as a JSON string.
 func Answer(prompt string, n int) string {
-	raw, _ := json.Marshal(prompt) // A string always encodes.
+	raw, _ := json.Marshal(prompt) // Marshalling a string never fails.
 	hash := PromptHash(raw)
 	var b strings.Builder
 	for i := range n {
@@ -267,11 +267,11 @@
 	writeJSON(w, struct{}{})
 }
 
-// abortRetention is how long an abort also stops calls that arrive after it.
+// abortRetention is how long an engine remembers an abort, to stop a call that arrives after it.
 const abortRetention = 5 * time.Second
 
-// rememberAbort stops a call that is not received yet, or in the middle of a prefill
-// or transfer: the call finds its id here before it would reserve memory.
+// rememberAbort remembers the id of an aborted call. The call may not have arrived yet, or its prefill or KV transfer
+// may be running. Before a call reserves memory, it checks whether its id was aborted.
 func (e *Engine) rememberAbort(id string) {
 	e.aborted[id] = true
 	time.AfterFunc(abortRetention, func() {
@@ -281,7 +281,7 @@
 	})
 }
 
-// dropResult drops a prefill result.
+// dropResult drops a KV cache that waits for a decode engine. cause is the reason to count. The caller holds e.mu.
 func (e *Engine) dropResult(k *prefillResult, cause string) {
 	if e.results[k.handle] == k {
 		k.timer.Stop()
@@ -292,7 +292,7 @@
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.currentLoad()) }
 
-// setLoadHeader adds the load report to an answer.
+// setLoadHeader adds the load report to the headers of a response.
 func (e *Engine) setLoadHeader(w http.ResponseWriter) {
 	b, err := json.Marshal(e.currentLoad())
 	if err == nil {
@@ -300,7 +300,7 @@
 	}
 }
 
-// currentLoad returns the newest report that is at least ReportLag old.
+// currentLoad returns the newest load report that is at least ReportLag old, or the oldest one if there is none.
 func (e *Engine) currentLoad() engine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -321,12 +321,12 @@
 	return l
 }
 
-// prefillJob is one prompt in the queue of a prefill engine.
+// prefillJob is one prompt in the queue of an engine.
 type prefillJob struct {
 	requestID      string
 	priority       int
 	seq            int
-	uncachedTokens int // Uncached tokens.
+	uncachedTokens int // Prompt tokens that the prefix cache did not have.
 	cachedTokens   int
 	cancelled      bool
 	done           chan struct{}
@@ -351,7 +351,7 @@
 	return j
 }
 
-// servePrefill queues the prompt, waits for its prefill and keeps the KV cache.
+// servePrefill queues the prompt, waits until it is processed, and keeps its KV cache for a decode engine.
 func (e *Engine) servePrefill(w http.ResponseWriter, r *http.Request, req *completionRequest, f Fault) {
 	text := req.text()
 	tokens := PromptTokens(text)
@@ -420,7 +420,7 @@
 	})
 }
 
-// prefillLoop runs the queued prefills one after another until none is left.
+// prefillLoop processes the queued prompts one after another until the queue is empty.
 func (e *Engine) prefillLoop() {
 	for {
 		e.mu.Lock()
@@ -442,11 +442,11 @@
 	}
 }
 
-// defaultCacheBlocks is the default capacity of the prefix cache.
+// defaultCacheBlocks is the capacity of the prefix cache in blocks, if Engine.CacheBlocks is 0.
 const defaultCacheBlocks = 4096
 
-// cachedTokens returns how many tokens of the prompt's prefix are cached, and caches the
-// remaining blocks. It evicts arbitrary blocks if the cache is full.
+// cachedTokens returns how many tokens at the start of the prompt the prefix cache has, and adds the prompt's other
+// blocks to the cache. If the cache is full, it evicts arbitrary blocks.
 func (e *Engine) cachedTokens(text []byte) int {
 	hits, contiguous := 0, true
 	for _, sum := range blockHashes(text) {
@@ -467,7 +467,7 @@
 	return hits * engine.CacheBlockBytes / 4
 }
 
-// CacheLimit is the capacity of the prefix cache in blocks.
+// CacheLimit returns the capacity of the prefix cache in blocks.
 func (e *Engine) CacheLimit() int {
 	if e.CacheBlocks > 0 {
 		return e.CacheBlocks
@@ -475,7 +475,7 @@
 	return defaultCacheBlocks
 }
 
-// take hands a kept KV cache to a decode engine, once.
+// take serves a decode engine that fetches a KV cache by its handle. A KV cache can be fetched once.
 func (e *Engine) take(w http.ResponseWriter, r *http.Request) {
 	var req engine.TakeRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -493,7 +493,7 @@
 	writeJSON(w, takenKV{Tokens: k.tokens, Prompt: k.promptHash})
 }
 
-// takenKV stands for the KV cache itself.
+// takenKV is what a decode engine receives in place of a real KV cache.
 type takenKV struct {
 	Tokens int    `json:"tokens"`
 	Prompt uint64 `json:"prompt"`
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -8,23 +8,23 @@
 // FaultKind is the kind of a fault.
 type FaultKind uint8
 
-// The faults.
+// The faults. After and For are fields of Fault; chunks are numbered from 0.
 const (
 	NoFault        FaultKind = iota
-	Refuse                   // Answer that the request was not run.
-	DropAfterRead            // Read the request, run nothing, drop the connection.
-	DropAfterRun             // Run the prefill, keep its result, drop the connection.
-	Stall                    // Wait for For before answering.
-	ExpireAtOnce             // Drop the prefill result at once.
-	AnswerOfOther            // Send the answer, or chunk After, of another request.
-	Repeat                   // Send the chunk before After twice.
+	Refuse                   // Refuse the call and say that it was not run.
+	DropAfterRead            // Read the request, run nothing, and drop the connection.
+	DropAfterRun             // Process the prompt, then drop the connection without keeping the KV cache.
+	Stall                    // Wait for the duration For before answering.
+	ExpireAtOnce             // Answer the prefill, but keep no KV cache.
+	AnswerOfOther            // Answer a prefill with another request's id, or send a chunk of another request before chunk After.
+	Repeat                   // Send the chunk before chunk After a second time.
 	Skip                     // Leave out chunk After.
-	Truncate                 // Close the stream cleanly after After chunks.
+	Truncate                 // End the response properly after After chunks, without the end marker.
 	DropMidway               // Drop the connection after After chunks.
-	StopGenerating           // Generate no more tokens after After.
+	StopGenerating           // Stop generating after After tokens, and keep the connection open.
 )
 
-// CallKind is the kind of call that a fault applies to.
+// CallKind is the kind of call that a fault applies to: prefill or decode.
 type CallKind uint8
 
 // The calls.
@@ -33,23 +33,23 @@
 	AtDecode
 )
 
-// Fault is one scripted failure.
+// Fault is a failure that an engine is told to show.
 type Fault struct {
 	Call  CallKind
 	Kind  FaultKind
 	After int
 	For   time.Duration
-	// Times is how many calls the fault applies to; 0 means one.
+	// Times is the number of calls that the fault applies to; 0 means one call.
 	Times int
 }
 
-// pendingFault is a fault that has not yet been applied to all of its calls. Several engines may share it.
+// pendingFault is a fault and the number of calls that it still applies to. Several engines may share this number.
 type pendingFault struct {
 	Fault
 	remaining *atomic.Int32
 }
 
-// InjectFault applies a fault to the next calls that reach any of the engines.
+// InjectFault makes the next f.Times calls of kind f.Call fail, counted over all the given engines.
 func InjectFault(f Fault, engines ...*Engine) {
 	remaining := &atomic.Int32{}
 	remaining.Store(int32(max(1, f.Times)))
@@ -60,7 +60,7 @@
 	}
 }
 
-// takeFault returns the fault to apply to this call, if any.
+// takeFault returns the fault to apply to a call of kind at; its Kind is NoFault if there is none.
 func (e *Engine) takeFault(at CallKind) Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/memtable.go
+++ b/internal/standin/memtable.go
@@ -10,29 +10,28 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// ErrNoAnswer is the error that a caller of a MemTable gets when the answer is lost.
+// ErrNoAnswer is the error of a call on a MemTable that failed, or whose response was lost.
 var ErrNoAnswer = errors.New("the table did not answer")
 
-// MemTable is an in-memory table without a network, for history checks. Calls take a random
-// time and, with faults on, fail before or after they took effect.
+// MemTable is a table in memory, for tests that check histories of concurrent calls. Each call takes a random time. If
+// the rates of faults are above 0, calls fail at random before or after they take effect.
 type MemTable struct {
 	mu   sync.Mutex
 	rows map[string]platform.Row
 	rng  *rand.Rand
-	// LostRate is the probability that an answer is lost after the call took effect; FailRate is the
-	// probability that a call fails without an effect.
+	// LostRate is the probability that a response is lost after the call took effect. FailRate is the probability that
+	// a call fails without an effect.
 	LostRate, FailRate float64
-	// LateRate is the probability that a write with a lost answer takes effect only after its
-	// caller got the error.
+	// LateRate is the probability that a write whose response is lost takes effect only after the caller got the error.
 	LateRate float64
 }
 
-// NewMemTable returns an empty table that selects faults by the seed.
+// NewMemTable returns an empty table. The seed determines the faults.
 func NewMemTable(seed uint64) *MemTable {
 	return &MemTable{rows: map[string]platform.Row{}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// selectFaults selects the faults of one call and its duration.
+// selectFaults selects at random which faults one call has and how long it takes.
 func (t *MemTable) selectFaults() (lost, down, late bool, pause time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,7 +58,7 @@
 	return row, nil
 }
 
-// Put writes a row if its version is still the expected one.
+// Put writes a row if the row still has the version w.IfVersion.
 func (t *MemTable) Put(_ context.Context, key string, w platform.Write) (int64, error) {
 	lost, down, late, pause := t.selectFaults()
 	time.Sleep(pause)
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -10,31 +10,30 @@
 	"github.com/stoatramp/stoatramp/internal/engine"
 )
 
-// SetCache sets the capacity of the prefix cache and how many of the newest events are
-// not published yet.
+// SetCache sets the capacity of the prefix cache in blocks, and how many of the newest cache events are held back
+// (lag).
 func (e *Engine) SetCache(blocks, lag int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.CacheBlocks, e.EventLag = blocks, lag
 }
 
-// SetFenced sets whether the engine checks the epoch of an order. Call it before
-// the engine listens.
+// SetFenced sets whether the engine refuses orders of an old epoch. It must be called before the engine listens.
 func (e *Engine) SetFenced(v bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fenced = v
 }
 
-// Orders returns the orders that the engine carried out, in order.
+// Orders returns the orders that the engine carried out, oldest first.
 func (e *Engine) Orders() []engine.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]engine.Order(nil), e.orders...)
 }
 
-// order carries out an order. With fencing, an order of an older epoch than the newest
-// seen is refused; without it, every order is carried out, however late.
+// order carries out an order. An epoch numbers the sender's right to give orders. With fencing, the engine refuses an
+// order whose epoch is below the highest it has seen; without fencing, it carries out every order, however late.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -52,10 +51,11 @@
 	writeJSON(w, struct{}{})
 }
 
-// maxEvents bounds the cache events kept: a client that asks too late finds a gap.
+// maxEvents is how many cache events are kept. A client that asks for an event that is no longer kept is told of the
+// gap.
 const maxEvents = 256
 
-// recordEviction records that a block was evicted from the cache.
+// recordEviction adds an event for a block that was evicted from the prefix cache.
 func (e *Engine) recordEviction(block uint64) {
 	e.events = append(e.events, block)
 	if over := len(e.events) - maxEvents; over > 0 {
@@ -64,8 +64,8 @@
 	}
 }
 
-// cacheEvents answers with the blocks evicted since an event, except for the newest
-// EventLag of them, which are published later.
+// cacheEvents answers with the blocks that were evicted after a given event. It holds back the newest EventLag events,
+// because the real engines publish evictions late.
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
@@ -82,8 +82,8 @@
 	writeJSON(w, out)
 }
 
-// blockHashes returns the chained hashes of a prompt's leading blocks, which identify
-// the blocks in the published events.
+// blockHashes returns one hash for each whole block at the start of a prompt. Each hash covers all blocks up to and
+// including its own. Published events name blocks by these hashes.
 func blockHashes(text []byte) []uint64 {
 	var out []uint64
 	h := xxhash.New()
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,33 +12,32 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// Platform is a stand-in for the platform's table, objects and list of boxes.
+// Platform is a stand-in for the platform's table, its object store and its list of boxes.
 type Platform struct {
 	mu      sync.Mutex
 	rows    map[string]platform.Row
 	objects map[string][]byte
 	boxes   []platform.BoxInfo
-	// down drops every connection. lostAnswers is how many of the next writes take effect
-	// without an answer.
+	// down makes every connection drop. lostAnswers is the number of coming writes that take effect without a response.
 	down        bool
 	lostAnswers int
 	Reads       int
 	Writes      int
 }
 
-// NewPlatform returns an empty platform.
+// NewPlatform returns a platform without rows, objects or boxes.
 func NewPlatform() *Platform {
 	return &Platform{rows: map[string]platform.Row{}, objects: map[string][]byte{}}
 }
 
-// SetDown starts or ends an outage.
+// SetDown starts an outage, in which every connection is dropped, or ends it.
 func (p *Platform) SetDown(v bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = v
 }
 
-// DropWriteAnswers drops the answers of the next n writes after they took effect.
+// DropWriteAnswers makes the next n writes take effect without a response.
 func (p *Platform) DropWriteAnswers(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Server is a stand-in listening on its own loopback port.
+// Server serves one stand-in on a loopback port of its own.
 type Server struct {
 	Addr string
 	srv  *http.Server
 	lis  net.Listener
 }
 
-// Listen serves h on a free loopback port.
+// Listen serves the handler h on a free loopback port.
 func Listen(h http.Handler) (*Server, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,5 +28,5 @@
 	return s, nil
 }
 
-// Close drops every connection, like a process that crashes.
+// Close drops every connection, as a crashing process would.
 func (s *Server) Close() { _ = s.srv.Close() }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -7,22 +7,22 @@
 	"sync"
 )
 
-// Service is a stand-in for one process of a plain service. It echoes requests
-// and records the calls.
+// Service is a stand-in for one process of a plain service (one that runs no language model). It echoes requests and
+// keeps a list of the calls.
 type Service struct {
 	mu        sync.Mutex
-	calls     []string // Method and path of each call, in order.
-	dropsLeft int      // How many more calls to read and then drop without an answer.
+	calls     []string // Method and path of each call, oldest first.
+	dropsLeft int      // The number of coming calls to read and then drop without a response.
 }
 
-// DropNext drops the connections of the next n calls after their requests were read.
+// DropNext makes the service read the next n calls and then drop their connections without a response.
 func (s *Service) DropNext(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropsLeft = n
 }
 
-// Calls returns the calls received, in order.
+// Calls returns the method and path of each call received, oldest first.
 func (s *Service) Calls() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
