--- a/cmd/bench/main.go
+++ b/cmd/bench/main.go
@@ -1,5 +1,5 @@
-// Command bench measures the router: the latency and cost that a box adds, and
-// the figures per unit (slopes) that docs/CAPACITY.md is computed from.
+// Command bench measures the router: the latency and the cost that a box (a machine that runs the router) adds, and the
+// costs per unit, such as per engine, from which docs/CAPACITY.md is computed ("slopes").
 package main
 
 import (
--- a/cmd/stoatramp/main.go
+++ b/cmd/stoatramp/main.go
@@ -1,4 +1,5 @@
-// Command stoatramp is the operators' command-line tool. It connects to any box.
+// Command stoatramp is the operators' command-line tool. It connects to any box, that is, any machine that runs the
+// router.
 package main
 
 import (
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo starts the stand-ins of a small site on loopback and writes the settings
-// of a box that uses them, so that the whole request path can be tried with one command.
+// Package demo starts stand-ins for everything a small site needs (engines, a plain service and the platform) on
+// loopback, and writes the settings of a box that uses them. A box is a machine that runs the router.
 package demo
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// The keys of the demo. They protect nothing but stand-ins on loopback.
+// The keys of the demo, which are public. They protect only stand-ins on loopback.
 const (
 	ClientKey   = "demo-client-key"
 	OperatorKey = "demo-operator-key"
@@ -23,21 +23,22 @@
 	Model       = "verdict-lm"
 )
 
-// Options configure a site.
+// Options configure a Site. Prefills and Decodes are the numbers of engines; Model is their cost model.
 type Options struct {
 	Prefills, Decodes int
 	Model             cost.Model
 	// Callers and Operators are the box's listen addresses; if empty, free loopback ports are used.
 	Callers, Operators string
-	// ExtraConfig is appended to the shared configuration.
+	// ExtraConfig is text to append to the shared configuration.
 	ExtraConfig string
-	// Route is added to the section of the route.
+	// Route is text to append to the configuration section of the only route.
 	Route string
-	// Client is added to the section of the client.
+	// Client is text to append to the configuration section of the only client.
 	Client string
 }
 
-// DefaultModel is a small engine: a prompt of 1,000 tokens takes about 50 ms, a token about 10 ms.
+// DefaultModel returns the cost model of a small engine: it processes a prompt of 1,000 tokens in about 50 ms, and
+// generates a token in about 10 ms.
 func DefaultModel() cost.Model {
 	return cost.Model{
 		PrefillRate:     20000,
@@ -57,18 +58,19 @@
 	Prefills []*standin.Engine
 	Decodes  []*standin.Engine
 	Service  *standin.Service
-	// Settings is the INI text of a box of the site; Shared is the shared configuration.
+	// Settings is the INI text of the settings of the first box. Shared is the shared configuration of all boxes.
 	Settings string
 	Shared   string
-	// SettingsFor returns the settings of a further box on the addresses of Options, SettingsAt on given addresses.
+	// SettingsFor returns the settings of another box that listens on the addresses in Options. SettingsAt returns the
+	// settings of a box that listens on the given addresses.
 	SettingsFor func(name string) string
 	SettingsAt  func(name, callers, operators string) string
-	// Store reads and writes the configuration of the site.
+	// Store reads and writes the shared configuration.
 	Store   *control.Store
 	servers map[string]*standin.Server
 }
 
-// Start starts the stand-ins and stores the configuration in the platform.
+// Start starts the stand-ins and stores the shared configuration in the platform's table.
 func Start(ctx context.Context, o Options) (*Site, error) {
 	s := &Site{Platform: standin.NewPlatform(), Service: &standin.Service{}, servers: map[string]*standin.Server{}}
 	plat, err := standin.Listen(s.Platform.Handler())
@@ -153,7 +155,7 @@
 	return e, nil
 }
 
-// Crash drops every connection of a stand-in and stops it, like a crash.
+// Crash stops the stand-in with this name and drops its connections, as a crash would.
 func (s *Site) Crash(name string) {
 	s.servers[name].Close()
 	for _, e := range append(s.Prefills, s.Decodes...) {
