--- a/internal/bench/admin.go
+++ b/internal/bench/admin.go
@@ -8,17 +8,19 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// siteAdmin serves the admin address of a site: it starts and ends an outage and reports the engines' state.
+// siteAdmin serves the admin address of a site (stand-ins for engines and the platform). Calls to it start and end an
+// outage of the platform, and read what the engines received.
 type siteAdmin struct {
 	site  *demo.Site
 	boxes []platform.BoxInfo
 }
 
-// siteReport is what the engines received and what they have reserved.
+// siteReport is what all engines of a site together have reserved and received. PrefillResults is the number of KV
+// caches that wait for a decode engine; DecodeTokens is the KV memory of the running streams, in tokens.
 type siteReport struct {
 	PrefillResults int `json:"prefill_results_held"`
 	DecodeTokens   int `json:"decode_tokens_held"`
-	// Prompts counts the prefills of each prompt, by its hash.
+	// Prompts is the number of prefills of each prompt, by standin.PromptHash.
 	Prompts map[uint64]int `json:"prompts"`
 }
 
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -10,7 +10,7 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// selectionRule is how a baseline selects engines.
+// selectionRule is the rule by which a baseline router selects engines.
 type selectionRule uint8
 
 const (
@@ -22,9 +22,9 @@
 
 var ruleNames = [...]string{"round robin", "least loaded", "random two", "prefix affinity"}
 
-// baseline is a conventional router: it selects each engine independently
-// when the request arrives, sends at once, reserves nothing, refuses nothing, and
-// retries a failed request once.
+// baseline is a conventional router, to compare the decision core with. It selects the prefill engine and the decode
+// engine independently when a request arrives, and sends the request at once. It reserves no memory, refuses no
+// request, and retries a failed request once.
 type baseline struct {
 	rule      selectionRule
 	rng       *rand.Rand
@@ -48,7 +48,7 @@
 	return &baseline{rule: r, rng: rand.New(rand.NewPCG(seed, 3)), reports: map[string]decide.LoadReport{}, flights: map[decide.ID]*baseFlight{}}
 }
 
-// Step implements decider.
+// Step implements decider: it takes one event and returns the actions to carry out.
 func (b *baseline) Step(_ time.Time, ev decide.Event) []decide.Action {
 	switch ev := ev.(type) {
 	case decide.Fleet:
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -15,7 +15,7 @@
 	"github.com/stoatramp/stoatramp/internal/policy"
 )
 
-// CompareCmd runs all routers on the same arrivals.
+// CompareCmd simulates several routers on the same arrivals: the decision core (package decide) and the baselines.
 type CompareCmd struct {
 	Mix    string        `default:"kalbarri,norrvik" help:"Workloads: kalbarri, norrvik, letter."`
 	Loads  string        `default:"0.5,0.8,0.95,1.1,1.3" help:"Loads, as shares of the site's saturation rate."`
@@ -28,7 +28,9 @@
 	JSON   bool          `name:"json" help:"Print JSON."`
 }
 
-// Result is the result of one router.
+// Result is the result of one router. Good is the goodput: the number of requests that were answered within both
+// latency targets (first token and between tokens). Bound is an upper bound on Good for any router. WastedTokens is the
+// number of prompt tokens that were processed for a request and not used for an answer.
 type Result struct {
 	Mix           string         `json:"mix"`
 	Load          float64        `json:"load"`
@@ -49,9 +51,10 @@
 	FirstP95MS    float64        `json:"first_p95_ms"`
 	BetweenP95MS  float64        `json:"between_p95_ms"`
 	EndReasons    map[string]int `json:"ends"`
-	// GoodByClient is the share of each client's requests that met both targets.
+	// GoodByClient is, for each client, the share of its requests that were answered within both latency targets.
 	GoodByClient map[string]float64 `json:"good_by_client"`
-	// GoodBySecond is the goodput of each second, as a share of that second's arrivals.
+	// GoodBySecond is, for each second, the share of the requests arriving in it that were answered within both
+	// targets.
 	GoodBySecond []float64 `json:"by_second"`
 
 	firstTokens, tokenGaps []time.Duration
@@ -66,7 +69,7 @@
 	return append(append([]string{}, ruleNames[:]...), "stoatramp")
 }
 
-// Run prints the comparison.
+// Run simulates all routers and prints the results.
 func (c *CompareCmd) Run() error {
 	var all []Result
 	faults := []string{c.Fault}
@@ -171,7 +174,7 @@
 	return r
 }
 
-// runArrivals runs the simulation over the arrivals, and drainTime longer.
+// runArrivals simulates until drainTime after the last moment at which requests arrive.
 func (r *simulation) runArrivals(reqs []*request, seed uint64, length time.Duration, fault string) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	for box := range r.boxes {
@@ -229,7 +232,7 @@
 	}
 }
 
-// summarize computes the figures of the run.
+// summarize computes the figures of the result after the simulation has ended.
 func (r *simulation) summarize(reqs []*request, length time.Duration) {
 	for _, q := range reqs {
 		if f := r.flights[q.ID]; f != nil && !f.ended {
@@ -273,7 +276,7 @@
 	return all
 }
 
-// formatShares formats the clients' shares in alphabetical order.
+// formatShares formats the share of good requests of each client, in alphabetical order of the clients.
 func formatShares(byClient map[string]float64) string {
 	var parts []string
 	for _, c := range slices.Sorted(maps.Keys(byClient)) {
--- a/internal/bench/drive.go
+++ b/internal/bench/drive.go
@@ -19,8 +19,8 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// DriveCmd sends load to several boxes as callers behind a load balancer do, checks every
-// answer, and counts the outcomes.
+// DriveCmd sends load to several boxes (machines that run the router) as callers behind a load balancer do. It checks
+// every answer and counts the outcomes.
 type DriveCmd struct {
 	Name      string        `arg:"" help:"Name of this phase in the output."`
 	Boxes     int           `default:"8"`
@@ -37,19 +37,19 @@
 
 	mu      sync.Mutex
 	counts  outcomeCounts
-	once    map[uint64]bool // Prompts that may run once, by hash.
+	once    map[uint64]bool // Hashes of the prompts of requests that may run only once.
 	slowest time.Duration
 }
 
-// outcomeCounts counts the outcomes of a phase's requests.
+// outcomeCounts counts how the requests ended.
 type outcomeCounts struct {
-	Complete      int // Answered completely, with its own answer.
-	Wrong         int // Ended like a complete answer, with the wrong content.
-	CutOff        int // Visibly cut off before the end.
-	Refused       int // Refused as not run by every box tried.
-	Unknown       int // May have run; not sent again.
-	AnsweredTwice int // One idempotency key answered twice.
-	Resent        int // Sent again to another box after a refusal as not run.
+	Complete      int // Answered completely, with the answer to this request.
+	Wrong         int // Ended like a complete answer, but with other content.
+	CutOff        int // The stream ended without its end marker.
+	Refused       int // Refused as not run by each box that was tried.
+	Unknown       int // An engine may have run the request, so it was not sent again.
+	AnsweredTwice int // Two requests with the same idempotency key were both answered.
+	Resent        int // Sent again after a box had refused the request as not run.
 	Reasons       map[string]int
 }
 
@@ -60,7 +60,7 @@
 	errWrongAnswer = errors.New("a complete answer with the wrong content")
 )
 
-// Run drives one phase.
+// Run sends load for the given length and prints the counts.
 func (c *DriveCmd) Run() error {
 	c.hc = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100, DisableCompression: true}}
 	c.once, c.salt = map[uint64]bool{}, rand.Uint64()
@@ -86,7 +86,8 @@
 	return c.report()
 }
 
-// refreshReady finds the boxes that are ready, as the platform's load balancer does.
+// refreshReady stores the addresses of the boxes that are ready. It asks each box, as the platform's load balancer
+// does.
 func (c *DriveCmd) refreshReady() {
 	var ready []string
 	var mu sync.Mutex
@@ -117,7 +118,7 @@
 	c.ready.Store(&ready)
 }
 
-// runRequest sends one request, and sends it again to another box while it is refused as not run.
+// runRequest sends one request. While boxes refuse the request as not run, it sends the request again.
 func (c *DriveCmd) runRequest(caller, n int) {
 	prompt := fmt.Sprintf("%x caller %d question %d", c.salt, caller, n)
 	once := rand.Float64() < c.Once
@@ -139,7 +140,8 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	if err == nil && once {
-		// A caller that lost its answer sends the request again: the key must not be answered twice.
+		// Act as a caller that lost its answer, and send the request again with the same idempotency key. The second
+		// request must not be answered.
 		if again := c.send(prompt, true); again == nil {
 			c.count(func(d *outcomeCounts) { d.AnsweredTwice++ })
 		}
@@ -169,7 +171,7 @@
 	fn(&c.counts)
 }
 
-// send sends a request to a random ready box.
+// send sends a request to one of the boxes that are ready, selected at random.
 func (c *DriveCmd) send(prompt string, once bool) error {
 	ready := *c.ready.Load()
 	if len(ready) == 0 {
@@ -187,7 +189,7 @@
 	resp, err := c.hc.Do(req)
 	if err != nil {
 		if strings.Contains(err.Error(), "refused") {
-			return errNotRun // No process listens there any more.
+			return errNotRun // No process listens at the address, so the request was not sent.
 		}
 		return errUnknown
 	}
@@ -230,7 +232,8 @@
 	return errCut
 }
 
-// report prints the outcomes, the runs that the engines saw, and the memory they still have reserved.
+// report waits until the engines have freed all memory, for up to 15 seconds. It then prints the counts, how many
+// requests ran twice although they may run only once, and the memory that is still reserved.
 func (c *DriveCmd) report() error {
 	var rep siteReport
 	start := time.Now()
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -7,14 +7,14 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// faultNames are the faults run by --fault all.
+// faultNames are the faults that the value "all" of --fault stands for.
 var faultNames = []string{"none", "prefill-dies", "decode-dies", "link", "frozen", "third", "cancels", "two"}
 
-// faultLength is the duration of a transient fault.
+// faultLength is how long a fault lasts.
 const faultLength = 10 * time.Second
 
-// inject schedules a fault after a third of the run. Engines that crash restart
-// empty after faultLength.
+// inject schedules a fault that starts after a third of the length. Engines that crash start again after faultLength,
+// without any requests; their prefix caches survive.
 func (r *simulation) inject(fault string, length time.Duration) {
 	at := r.start.Add(length / 3)
 	prefills, decodes := r.engineList[:r.m.prefills], r.engineList[r.m.prefills:]
@@ -51,10 +51,10 @@
 	}
 }
 
-// burstLength is the duration of a burst.
+// burstLength is how long a burst of arrivals lasts.
 const burstLength = 5 * time.Second
 
-// withBurst doubles the arrival rate for burstLength, after a third of the run.
+// withBurst adds requests that double the rate of arrivals for burstLength, starting after a third of the length.
 func (m *mix) withBurst(seed uint64, reqs []*request, rate float64, length time.Duration) []*request {
 	for _, q := range m.arrivals(seed+77, rate, burstLength, 0) {
 		q.at += length / 3
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -21,7 +21,7 @@
 	"github.com/stoatramp/stoatramp/internal/standin"
 )
 
-// LoadCmd compares streams through a box with streams sent directly to the engines.
+// LoadCmd compares streams through a box (a machine that runs the router) with streams sent directly to the engines.
 type LoadCmd struct {
 	Dir       string        `arg:"" help:"The directory of a running site."`
 	Callers   string        `default:"127.0.0.1:18080" help:"The box's caller address."`
@@ -38,7 +38,7 @@
 	n    atomic.Int64
 }
 
-// measurement collects the results of one way of sending the streams.
+// measurement collects the results of the streams that were sent in one way, through the box or directly.
 type measurement struct {
 	mu          sync.Mutex
 	firstTokens []time.Duration
@@ -46,7 +46,7 @@
 	broken      int
 }
 
-// Run prints the comparison.
+// Run measures both ways alternately and prints the comparison.
 func (c *LoadCmd) Run() error {
 	b, err := os.ReadFile(c.Dir + "/site.json")
 	if err != nil {
@@ -111,7 +111,8 @@
 	return v[min(len(v)-1, int(p*float64(len(v))))]
 }
 
-// round runs all streams once, with staggered starts so that they don't run in lockstep.
+// round sends all streams once and waits for their ends. The starts are staggered so that the streams don't all
+// generate their tokens at the same moments.
 func (c *LoadCmd) round(s *measurement, call func(context.Context, string) (time.Duration, int, error)) {
 	var wg sync.WaitGroup
 	for i := range c.Streams {
@@ -132,7 +133,7 @@
 	wg.Wait()
 }
 
-// roundWithPeakRSS runs a round through the box and returns the box's peak memory.
+// roundWithPeakRSS sends all streams once through the box, and returns the highest memory use of the box's process.
 func (c *LoadCmd) roundWithPeakRSS(s *measurement) float64 {
 	done := make(chan struct{})
 	peak := make(chan float64, 1)
@@ -155,14 +156,14 @@
 	return <-peak
 }
 
-// completionBody is the request body of a streamed completion.
+// completionBody returns the request body of a streamed completion.
 func completionBody(prompt string, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, demo.Model, prompt, tokens)
 }
 
 var errBadAnswer = errors.New("the answer is incomplete or belongs to another request")
 
-// routed sends a request to the box.
+// routed sends a request to the box. It returns the time to the first token and the number of tokens.
 func (c *LoadCmd) routed(ctx context.Context, prompt string) (time.Duration, int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Callers+engine.CompletionPath, strings.NewReader(completionBody(prompt, c.Tokens)))
 	if err != nil {
@@ -207,7 +208,8 @@
 	return v.Choices[0].Text
 }
 
-// direct sends a prefill and a decode to the engines as the box does, in round-robin order.
+// direct sends the prefill and the decode of a request to engines, as the box does, but takes the engines in turn. It
+// returns the time to the first token and the number of tokens.
 func (c *LoadCmd) direct(ctx context.Context, prompt string) (time.Duration, int, error) {
 	i := int(c.n.Add(1))
 	start := time.Now()
@@ -268,9 +270,9 @@
 	return errors.New("the box did not become ready")
 }
 
-// measureIdle measures the control traffic and CPU time of an idle box.
+// measureIdle measures what a box costs while no requests run: its traffic with engines and platform, and its CPU time.
 func (c *LoadCmd) measureIdle() error {
-	time.Sleep(time.Second) // Wait until the box has started up.
+	time.Sleep(time.Second) // Wait until the box has finished starting.
 	before, err := c.readProcessStats()
 	if err != nil {
 		return err
@@ -286,7 +288,7 @@
 	return nil
 }
 
-// processStats are a box's metrics of its own process.
+// processStats are metrics of a box's process: CPU seconds, memory in bytes, and bytes of control traffic.
 type processStats struct{ cpu, rss, control float64 }
 
 func (c *LoadCmd) readProcessStats() (processStats, error) {
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -9,25 +9,25 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// mix is a site with its workload.
+// mix is a simulated site (its engines) with its workload (the classes of requests that arrive).
 type mix struct {
 	name              string
 	prefills, decodes int
 	halls             int
 	model             cost.Model
 	classes           []requestClass
-	// rateAmplitude is the relative amplitude with which the arrival rate oscillates around its
-	// mean, as during certification windows; ratePeriod is the period.
+	// rateAmplitude is how far the rate of arrivals oscillates around its mean, as a share of the mean; ratePeriod is
+	// the period. The oscillation imitates the site's certification windows, in which more requests arrive.
 	rateAmplitude float64
 	ratePeriod    time.Duration
 }
 
-// requestClass is one class of requests.
+// requestClass describes requests of one kind. Its share is the part of all arrivals that are of this kind.
 type requestClass struct {
 	share                     float64
-	promptLow                 int // Prompt tokens besides the prefix, selected log-uniformly.
-	promptHigh                int
-	prefixes                  int // Number of shared prefixes; 0 for none.
+	promptLow                 int // The least number of prompt tokens without the shared prefix.
+	promptHigh                int // The largest number; the numbers are log-uniformly distributed.
+	prefixes                  int // The number of different prefixes that prompts share; 0 if prompts share none.
 	prefixTokens              int
 	outputLow, outputHigh     int
 	maxTokens                 int
@@ -35,7 +35,7 @@
 	client                    string
 }
 
-// mixes are the workloads to measure: two sites of 9 engines and one of 600.
+// mixes returns the sites to simulate: two with 9 engines and one with 600 engines.
 func mixes() []mix {
 	small := cost.Model{
 		PrefillRate: 40000, PrefillBase: 4 * time.Millisecond, Step: 9 * time.Millisecond, StepPerStream: 450 * time.Microsecond,
@@ -65,16 +65,16 @@
 	}
 }
 
-// request is one arrival.
+// request is one simulated request. It arrives at the time at after the start, and its answer has outputTokens tokens.
 type request struct {
 	decide.Request
 	at           time.Duration
 	outputTokens int
-	cancelAfter  time.Duration // After its arrival; 0 if the caller stays.
+	cancelAfter  time.Duration // How long after its arrival the caller cancels it; 0 if the caller does not.
 }
 
-// arrivals generates the requests of a run. The same seed gives the same requests,
-// whatever router serves them.
+// arrivals generates the requests of a run. They depend on the seed, but not on the router that serves them. cancels is
+// the probability that a caller cancels its request.
 func (m *mix) arrivals(seed uint64, rate float64, length time.Duration, cancels float64) []*request {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var out []*request
@@ -125,7 +125,7 @@
 	return r
 }
 
-// hashPair hashes two numbers into one.
+// hashPair combines two numbers into one hash.
 func hashPair(a, b uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ b*0xbf58476d1ce4e5b9
 	x ^= x >> 31
@@ -133,7 +133,7 @@
 	return x ^ x>>29
 }
 
-// fleet lists the engines of the mix.
+// fleet returns the pool and the engines of the site, as the decision core takes them.
 func (m *mix) fleet() decide.Fleet {
 	f := decide.Fleet{Pools: []decide.Pool{{Name: "p", KVBytesPerToken: m.model.KVBytesPerToken, PrefillExpiry: m.model.Expiry}}}
 	for i := range m.prefills + m.decodes {
--- a/internal/bench/sim.go
+++ b/internal/bench/sim.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// messageDelay is the network delay of a message between a box and an engine.
+	// messageDelay is how long a message takes between a box (a machine that runs the router) and an engine.
 	messageDelay = 200 * time.Microsecond
-	// reportLag is how old an engine's load report is when it is sent.
+	// reportLag is the minimum age of the figures in an engine's load report.
 	reportLag = 200 * time.Millisecond
-	// sampleInterval is how often an engine samples its own load.
+	// sampleInterval is how often an engine takes the figures for its load reports.
 	sampleInterval = 50 * time.Millisecond
-	// probeInterval is how often a box probes every engine, so that it knows of those it sends nothing to.
+	// probeInterval is how often a box asks every engine for its load. Without these probes, a box would not know the
+	// load of an engine that it sends no requests to.
 	probeInterval = time.Second
-	// drainTime is how long a run continues after its last arrival.
+	// drainTime is how long a simulation continues after the last arrivals.
 	drainTime = 15 * time.Second
 	// cacheCapacity is the capacity of an engine's prefix cache in blocks.
 	cacheCapacity = 960
 )
 
-// decider makes the decisions of a router: the decision core, or a baseline.
+// decider makes the decisions of a simulated router. It is the decision core (decide.Core) or a baseline.
 type decider interface {
 	Step(now time.Time, ev decide.Event) []decide.Action
 }
 
-// event is a scheduled action; seq keeps the order of events at the same time.
+// event is a function to call at a virtual time. Events at the same time are called in the order of seq.
 type event struct {
 	at  time.Time
 	seq int
@@ -54,7 +55,7 @@
 	return e
 }
 
-// simulation is one run in virtual time.
+// simulation is one run of a site and its boxes in virtual time.
 type simulation struct {
 	m          *mix
 	now        time.Time
@@ -65,21 +66,21 @@
 	engines    map[string]*simEngine
 	engineList []*simEngine
 	flights    map[decide.ID]*simFlight
-	// transfers are the transfers in progress, updated up to transfersAt.
+	// transfers are the KV transfers that are in progress. Their bytesLeft is that at the time transfersAt.
 	transfers   []*transfer
 	transfersAt time.Time
 	wakeUpSeq   int
 	res         Result
 }
 
-// simFlight is a request in progress.
+// simFlight is a request from its arrival to its end.
 type simFlight struct {
 	*request
 	box           int
 	ended         bool
 	firstTokenAt  time.Time
 	lastTokenAt   time.Time
-	unusedPrefill int // Uncached prompt tokens read for this request whose result no stream has used.
+	unusedPrefill int // Tokens that were prefilled for this request and not yet used for an answer.
 	arrived       time.Time
 }
 
@@ -98,7 +99,7 @@
 	}
 }
 
-// deliver passes an event to a box and carries out the resulting actions.
+// deliver passes an event to a box and carries out the actions that the box returns.
 func (r *simulation) deliver(box int, ev decide.Event) {
 	for _, a := range slices.Clone(r.boxes[box].Step(r.now, ev)) {
 		r.exec(a)
@@ -139,13 +140,14 @@
 	}
 }
 
-// countWaste counts the tokens that were read for a request and never used.
+// countWaste counts the prompt tokens that were processed for a request and will not be used for an answer.
 func (r *simulation) countWaste(f *simFlight) {
 	r.res.WastedTokens += f.unusedPrefill
 	f.unusedPrefill = 0
 }
 
-// call is one call to an engine.
+// call is one call to an engine, either a prefill or a decode. A decode fetches the KV cache that the request's attempt
+// kvAttempt left on the engine kvSource.
 type call struct {
 	f              *simFlight
 	attempt        decide.Attempt
@@ -163,7 +165,7 @@
 	attempt decide.Attempt
 }
 
-// simEngine is one engine in virtual time, with the cost model of the stand-ins.
+// simEngine is one engine in virtual time. Its speed is given by the same cost model as that of the stand-ins.
 type simEngine struct {
 	r     *simulation
 	name  string
@@ -171,21 +173,21 @@
 	role  decide.EngineRole
 
 	calls        map[callKey]*call
-	queue        []*call // Waiting prefills, most urgent first.
+	queue        []*call // Waiting prefills; the most urgent is first.
 	busy         bool
-	queuedTokens int // Uncached tokens of waiting and running prefills, estimated at arrival.
+	queuedTokens int // Tokens to process in waiting and running prefills, without those that were cached when last checked.
 	results      map[callKey]*call
-	cache        map[uint64]int // Block to the cacheClock of its last use.
+	cache        map[uint64]int // The value of cacheClock at the last use of each block.
 	cacheClock   int
 	waiting      []*call
 	running      []*call
 	freeKV       int
 	stepping     bool
-	transfers    int // Current transfers over its link.
+	transfers    int // The number of KV transfers that now use its link.
 
 	dead    bool
-	stalled bool // Transfers over its link make no progress.
-	frozen  bool
+	stalled bool // New KV transfers to this engine never end.
+	frozen  bool // The engine takes no new figures for its load reports.
 	samples []loadSample
 }
 
@@ -228,7 +230,7 @@
 	return n * decide.BlockTokens
 }
 
-// addToCache adds the blocks to the cache and evicts the least recently used ones.
+// addToCache adds blocks to the prefix cache and evicts the least recently used blocks.
 func (e *simEngine) addToCache(blocks []uint64) {
 	e.cacheClock++
 	for _, b := range blocks {
@@ -334,7 +336,7 @@
 	}
 }
 
-// step generates one token for every running stream.
+// step generates one token for every running stream, and ends the streams that are complete.
 func (e *simEngine) step() {
 	e.stepping = false
 	if e.dead {
@@ -357,12 +359,12 @@
 	e.admit()
 }
 
-// transfer is the transfer of a KV cache. Each of the two engines' links is shared
-// evenly by its transfers.
+// transfer is the transfer of a KV cache from a prefill engine to a decode engine. All transfers that use an engine's
+// link get equal shares of its rate.
 type transfer struct {
 	from, to  *simEngine
 	call      *call
-	bytesLeft float64 // Bytes.
+	bytesLeft float64
 	done      func()
 }
 
@@ -378,15 +380,15 @@
 	r.scheduleTransferWakeUp()
 }
 
-// advanceTransfers updates all transfers to the current time and ends those that are complete
-// or cancelled.
+// advanceTransfers updates all transfers to the current time. It ends transfers that are complete, and those whose call
+// was stopped or one of whose engines crashed.
 func (r *simulation) advanceTransfers() {
 	passed := r.now.Sub(r.transfersAt).Seconds()
 	r.transfersAt = r.now
 	for _, t := range r.transfers {
 		t.bytesLeft -= passed * t.rate()
 	}
-	const roundingBytes = 1 // Less is a rounding error.
+	const roundingBytes = 1 // A transfer with fewer bytes left counts as complete, because of rounding errors.
 	var ended []*transfer
 	r.transfers = slices.DeleteFunc(r.transfers, func(t *transfer) bool {
 		if t.bytesLeft > roundingBytes && !t.call.stopped && !t.to.dead && !t.from.dead {
@@ -408,7 +410,7 @@
 	}
 }
 
-// scheduleTransferWakeUp schedules an event for when the next transfer will be complete.
+// scheduleTransferWakeUp schedules an event at the time when the next transfer will be complete.
 func (r *simulation) scheduleTransferWakeUp() {
 	soonest := -1.0
 	for _, t := range r.transfers {
@@ -419,7 +421,7 @@
 	if soonest < 0 {
 		return
 	}
-	// Only the newest wake-up is valid: an older one would start a second chain of events.
+	// Only the wake-up scheduled last has an effect. Otherwise an older one would schedule wake-ups of its own.
 	r.wakeUpSeq++
 	seq := r.wakeUpSeq
 	r.after(time.Duration(soonest*float64(time.Second))+time.Nanosecond, func() {
@@ -430,7 +432,7 @@
 	})
 }
 
-// removeCall removes a call from the batch and frees its memory.
+// removeCall ends a call. It takes the call out of the waiting and running streams, and frees its memory.
 func (e *simEngine) removeCall(c *call) {
 	delete(e.calls, callKey{c.f.ID, c.attempt})
 	c.stopped = true
@@ -457,7 +459,8 @@
 	}
 }
 
-// crash loses all state of the engine and fails its calls.
+// crash fails the calls of the engine, and loses its queue and the KV caches that wait for a decode engine. A call of a
+// prefill engine does not fail if the request already has its first token. The prefix cache survives the crash.
 func (e *simEngine) crash() {
 	e.dead = true
 	e.results = map[callKey]*call{}
@@ -475,7 +478,7 @@
 	e.freeKV = e.model.KVTokens
 }
 
-// sample records the engine's load for later reports.
+// sample takes the engine's load for later reports.
 func (e *simEngine) sample() {
 	if e.frozen || e.dead {
 		return
@@ -486,7 +489,7 @@
 	}
 }
 
-// report sends the engine's delayed load report to a box.
+// report sends the oldest kept sample of the engine's load to a box. That sample is about reportLag old.
 func (e *simEngine) report(box int) {
 	if len(e.samples) == 0 || e.dead {
 		return
--- a/internal/bench/site.go
+++ b/internal/bench/site.go
@@ -1,4 +1,5 @@
-// Package bench measures the router. Production code does not use it.
+// Package bench measures the router: in a simulation, and with real processes on loopback. Production code does not use
+// it. A box is a machine that runs the router; a site is a set of engines with a platform, both stand-ins or simulated.
 package bench
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// SiteCmd runs the stand-ins in a process of their own.
+// SiteCmd runs a site of stand-ins for engines and the platform in a process of their own.
 type SiteCmd struct {
 	Dir       string        `arg:"" help:"Directory that box.ini and site.json are written to."`
 	Prefills  int           `default:"4" help:"Prefill engines."`
@@ -28,13 +29,13 @@
 	Admin     string        `default:"127.0.0.1:18099" help:"Address of the site's admin interface, for faults and reports."`
 }
 
-// siteFile gives the load generator the addresses of the engines.
+// siteFile is the content of site.json, from which LoadCmd reads the addresses of the engines.
 type siteFile struct {
 	Prefills []string `json:"prefills"`
 	Decodes  []string `json:"decodes"`
 }
 
-// Run serves until the process is signalled to stop.
+// Run starts the site and serves until the process is told to stop by a signal.
 func (c *SiteCmd) Run() error {
 	m := demo.DefaultModel()
 	m.Step, m.StepPerStream = c.Step, 0
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -22,10 +22,11 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// SlopesCmd prints the costs per unit that can be measured in one process, without a network.
+// SlopesCmd prints costs per unit (slopes), such as the memory per engine, that can be measured in one process without
+// a network.
 type SlopesCmd struct{}
 
-// Run prints every cost.
+// Run measures and prints every cost.
 func (c *SlopesCmd) Run() error {
 	for _, n := range []int{9, 60, 600} {
 		r := testing.Benchmark(func(b *testing.B) { benchmarkDecision(b, n, nil) })
@@ -43,7 +44,7 @@
 	return printClaims()
 }
 
-// newFleet returns a pool of n engines, two fifths of them for prefill.
+// newFleet returns a pool of n engines. Two fifths of them are prefill engines.
 func newFleet(n int) decide.Fleet {
 	f := decide.Fleet{Pools: []decide.Pool{{Name: "p", KVBytesPerToken: 131072, PrefillExpiry: 5 * time.Second}}}
 	for i := range n {
@@ -59,8 +60,8 @@
 	return f
 }
 
-// benchmarkDecision measures all events of one request, from its arrival to its end, in a
-// pool of n engines with some tens of requests in flight.
+// benchmarkDecision measures the decision core: all events of one request, from its arrival to its end, in a pool of n
+// engines with some tens of requests in progress.
 func benchmarkDecision(b *testing.B, n int, p decide.Policy) {
 	c := decide.New(rand.New(rand.NewPCG(1, 2)), 1000)
 	now := time.Unix(1800000000, 0)
@@ -102,7 +103,7 @@
 	fmt.Printf("the same with a policy of both functions, 600 engines: %d ns, %d allocations\n", r.NsPerOp(), r.AllocsPerOp())
 }
 
-// retainedBytes measures the heap memory that the value returned by fn keeps alive.
+// retainedBytes returns how much heap memory the value that fn returns keeps in use.
 func retainedBytes(fn func() any) int64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -164,8 +165,8 @@
 	fmt.Printf("client limits: %d bytes per client, %d ns per request\n", n/clients, r.NsPerOp())
 }
 
-// sharedConfigText is a configuration with the given numbers of clients and engines;
-// the design size is 10,000 clients and 600 engines.
+// sharedConfigText returns a shared configuration with the given numbers of clients and engines. The design size is
+// 10,000 clients and 600 engines.
 func sharedConfigText(clients, engines int) string {
 	var b strings.Builder
 	for i := range 6 {
@@ -212,7 +213,7 @@
 	return buf.Len()
 }
 
-// sampleRecord returns the record of an ordinary request.
+// sampleRecord returns the record of an ordinary request, with what was decided about it.
 func sampleRecord(i int) *record.Record {
 	ch := &decide.Choice{Compared: 48}
 	for j := range 6 {
@@ -235,7 +236,7 @@
 }
 
 func printRecords() error {
-	const n = 600 // One minute of a box at its design load.
+	const n = 600 // As many records as a box writes in one minute at the load it is designed for.
 	retained := retainedBytes(func() any {
 		g := record.NewRing(n)
 		for i := range n {
@@ -254,7 +255,7 @@
 	return nil
 }
 
-// countingTable counts the table calls of a claim.
+// countingTable is a table that counts its reads and writes, to show how many a claim on an idempotency key needs.
 type countingTable struct {
 	rows          map[string]platform.Row
 	reads, writes int
