--- a/internal/bench/bound.go
+++ b/internal/bench/bound.go
@@ -61,49 +61,49 @@
 // The result is the smallest of the counts over several window lengths.
 func (m *mix) bound(reqs []*request, length time.Duration) int {
 	seen := map[uint64]bool{}
-	all := make([]demand, len(reqs))
+	demands := make([]demand, len(reqs))
 	longest := time.Duration(0)
 	for i, r := range reqs {
-		all[i] = m.minDemand(r, seen)
+		demands[i] = m.minDemand(r, seen)
 		longest = max(longest, r.FirstToken)
 		if m.model.Prefill(1, 0).Seconds() > r.FirstToken.Seconds() {
-			all[i].prefillSeconds = math.Inf(1)
+			demands[i].prefillSeconds = math.Inf(1)
 		}
 	}
 	best := len(reqs)
 	for _, window := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, length} {
-		best = min(best, m.windowBound(reqs, all, window, length, func(w demand) float64 { return w.prefillSeconds }))
-		best = min(best, m.windowBound(reqs, all, window, length, func(w demand) float64 { return w.linkSeconds }))
+		best = min(best, m.windowBound(reqs, demands, window, length, func(w demand) float64 { return w.prefillSeconds }))
+		best = min(best, m.windowBound(reqs, demands, window, length, func(w demand) float64 { return w.linkSeconds }))
 	}
 	duration := (length + drainTime).Seconds()
 	rate := m.maxTokenRate(reqs[0].BetweenTokens) * float64(m.decodes)
-	best = min(best, countFitting(all, func(w demand) float64 { return w.decodeTokens }, rate*duration))
+	best = min(best, countFitting(demands, func(w demand) float64 { return w.decodeTokens }, rate*duration))
 	memory := float64(m.model.KVTokens*m.decodes) * duration
-	return min(best, countFitting(all, func(w demand) float64 { return w.kvTokenSeconds }, memory))
+	return min(best, countFitting(demands, func(w demand) float64 { return w.kvTokenSeconds }, memory))
 }
 
 // windowBound returns how many requests can be served, summed over all windows. size selects the resource: it returns
 // the seconds of prefill or of the link that a request needs.
-func (m *mix) windowBound(reqs []*request, all []demand, window, length time.Duration, size func(demand) float64) int {
+func (m *mix) windowBound(reqs []*request, demands []demand, window, length time.Duration, size func(demand) float64) int {
 	total := 0
 	for start := time.Duration(0); start < length; start += window {
-		var in []demand
+		var inWindow []demand
 		slack := time.Duration(0)
 		for i, r := range reqs {
 			if r.at >= start && r.at < start+window {
-				in = append(in, all[i])
+				inWindow = append(inWindow, demands[i])
 				slack = max(slack, r.FirstToken)
 			}
 		}
-		total += countFitting(in, size, float64(m.prefills)*(window+slack).Seconds())
+		total += countFitting(inWindow, size, float64(m.prefills)*(window+slack).Seconds())
 	}
 	return total
 }
 
 // countFitting returns how many requests fit into the capacity, if the requests with the smallest sizes are served.
-func countFitting(all []demand, size func(demand) float64, capacity float64) int {
-	sizes := make([]float64, len(all))
-	for i, w := range all {
+func countFitting(demands []demand, size func(demand) float64, capacity float64) int {
+	sizes := make([]float64, len(demands))
+	for i, w := range demands {
 		sizes[i] = size(w)
 	}
 	slices.Sort(sizes)
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -180,9 +180,9 @@
 	for box := range r.boxes {
 		r.deliver(box, r.m.fleet())
 	}
-	for _, q := range reqs {
+	for _, req := range reqs {
 		box := rng.IntN(len(r.boxes))
-		r.at(r.start.Add(q.at), func() { r.submit(q, box) })
+		r.at(r.start.Add(req.at), func() { r.submit(req, box) })
 	}
 	r.every(sampleInterval, func() {
 		for _, e := range r.engineList {
@@ -216,17 +216,17 @@
 	})
 }
 
-func (r *simulation) submit(q *request, box int) {
-	f := &simFlight{request: q, box: box, arrived: r.now}
-	r.flights[q.ID] = f
-	r.deliver(box, decide.Submit{Request: q.Request})
-	if q.cancelAfter > 0 {
-		r.after(q.cancelAfter, func() {
+func (r *simulation) submit(req *request, box int) {
+	f := &simFlight{request: req, box: box, arrived: r.now}
+	r.flights[req.ID] = f
+	r.deliver(box, decide.Submit{Request: req.Request})
+	if req.cancelAfter > 0 {
+		r.after(req.cancelAfter, func() {
 			if !f.ended {
 				f.ended = true
 				r.res.Cancelled++
 				r.countWaste(f)
-				r.deliver(box, decide.Cancel{ID: q.ID})
+				r.deliver(box, decide.Cancel{ID: req.ID})
 			}
 		})
 	}
@@ -234,8 +234,8 @@
 
 // summarize computes the figures of the result after the simulation has ended.
 func (r *simulation) summarize(reqs []*request, length time.Duration) {
-	for _, q := range reqs {
-		if f := r.flights[q.ID]; f != nil && !f.ended {
+	for _, req := range reqs {
+		if f := r.flights[req.ID]; f != nil && !f.ended {
 			r.res.Lost++
 			r.res.EndReasons["unfinished"]++
 			r.countWaste(f)
@@ -248,8 +248,8 @@
 	res.GoodByClient = goodByClient(reqs, res.goodIDs)
 	n := int(length.Seconds())
 	arrived, good := make([]float64, n), make([]float64, n)
-	for _, q := range reqs {
-		arrived[min(n-1, int(q.at.Seconds()))]++
+	for _, req := range reqs {
+		arrived[min(n-1, int(req.at.Seconds()))]++
 	}
 	for _, at := range res.goodAt {
 		good[min(n-1, int(at.Seconds()))]++
@@ -264,10 +264,10 @@
 
 func goodByClient(reqs []*request, good map[decide.ID]bool) map[string]float64 {
 	all, n := map[string]float64{}, map[string]float64{}
-	for _, q := range reqs {
-		all[q.Client]++
-		if good[q.ID] {
-			n[q.Client]++
+	for _, req := range reqs {
+		all[req.Client]++
+		if good[req.ID] {
+			n[req.Client]++
 		}
 	}
 	for c := range all {
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -56,13 +56,13 @@
 
 // withBurst adds requests that double the rate of arrivals for burstLength, starting after a third of the length.
 func (m *mix) withBurst(seed uint64, reqs []*request, rate float64, length time.Duration) []*request {
-	for _, q := range m.arrivals(seed+77, rate, burstLength, 0) {
-		q.at += length / 3
-		reqs = append(reqs, q)
+	for _, req := range m.arrivals(seed+77, rate, burstLength, 0) {
+		req.at += length / 3
+		reqs = append(reqs, req)
 	}
 	slices.SortStableFunc(reqs, func(a, b *request) int { return int(a.at - b.at) })
-	for i, q := range reqs {
-		q.ID = decide.ID(i + 1)
+	for i, req := range reqs {
+		req.ID = decide.ID(i + 1)
 	}
 	return reqs
 }
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -235,15 +235,15 @@
 	var first time.Duration
 	var text strings.Builder
 	n := 0
-	err = s.Read(func(ch engine.Chunk) error {
-		if !ch.HasChoices {
+	err = s.Read(func(chunk engine.Chunk) error {
+		if !chunk.HasChoices {
 			return nil
 		}
 		if n == 0 {
 			first = time.Since(start)
 		}
 		n++
-		text.WriteString(chunkText(ch.Data))
+		text.WriteString(chunkText(chunk.Data))
 		return nil
 	})
 	if err == nil && text.String() != standin.Answer(prompt, c.Tokens) {
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -102,24 +102,24 @@
 }
 
 func (m *mix) randomRequest(rng *rand.Rand) *request {
-	k := &m.classes[0]
+	class := &m.classes[0]
 	for u, i := rng.Float64(), 0; i < len(m.classes); i++ {
-		k = &m.classes[i]
-		if u -= k.share; u < 0 {
+		class = &m.classes[i]
+		if u -= class.share; u < 0 {
 			break
 		}
 	}
-	ownTokens := int(float64(k.promptLow) * math.Pow(float64(k.promptHigh)/float64(k.promptLow), rng.Float64()))
-	r := &request{outputTokens: k.outputLow + rng.IntN(k.outputHigh-k.outputLow+1)}
+	ownTokens := int(float64(class.promptLow) * math.Pow(float64(class.promptHigh)/float64(class.promptLow), rng.Float64()))
+	r := &request{outputTokens: class.outputLow + rng.IntN(class.outputHigh-class.outputLow+1)}
 	r.Request = decide.Request{
-		Pool: "p", Region: "r", Client: k.client, PromptTokens: ownTokens, MaxTokens: k.maxTokens,
-		FirstToken: k.firstToken, BetweenTokens: k.betweenTokens, Repeatable: true,
+		Pool: "p", Region: "r", Client: class.client, PromptTokens: ownTokens, MaxTokens: class.maxTokens,
+		FirstToken: class.firstToken, BetweenTokens: class.betweenTokens, Repeatable: true,
 	}
-	if k.prefixes > 0 {
-		r.PromptTokens += k.prefixTokens
-		prefix := uint64(rng.IntN(k.prefixes))
-		for i := range k.prefixTokens / decide.BlockTokens {
-			r.Blocks = append(r.Blocks, hashPair(prefix+uint64(k.prefixTokens)<<32, uint64(i)))
+	if class.prefixes > 0 {
+		r.PromptTokens += class.prefixTokens
+		prefix := uint64(rng.IntN(class.prefixes))
+		for i := range class.prefixTokens / decide.BlockTokens {
+			r.Blocks = append(r.Blocks, hashPair(prefix+uint64(class.prefixTokens)<<32, uint64(i)))
 		}
 	}
 	return r
--- a/internal/bench/sim.go
+++ b/internal/bench/sim.go
@@ -110,11 +110,11 @@
 	switch a := a.(type) {
 	case decide.StartPrefill:
 		f := r.flights[a.ID]
-		c := &call{f: f, attempt: a.Attempt, priority: a.Priority}
+		c := &call{flight: f, attempt: a.Attempt, priority: a.Priority}
 		r.after(messageDelay, func() { r.engines[a.Prefill].startPrefill(c) })
 	case decide.StartDecode:
 		f := r.flights[a.ID]
-		c := &call{f: f, attempt: a.Attempt, priority: a.Priority, kvAttempt: a.PrefillAttempt, kvSource: r.engines[a.Prefill]}
+		c := &call{flight: f, attempt: a.Attempt, priority: a.Priority, kvAttempt: a.PrefillAttempt, kvSource: r.engines[a.Prefill]}
 		if a.Moved != outcome.OK {
 			r.res.Moves++
 		}
@@ -149,7 +149,7 @@
 // call is one call to an engine, either a prefill or a decode. A decode fetches the KV cache that the request's attempt
 // kvAttempt left on the engine kvSource.
 type call struct {
-	f              *simFlight
+	flight         *simFlight
 	attempt        decide.Attempt
 	priority       int
 	kvAttempt      decide.Attempt
@@ -199,10 +199,10 @@
 func engineName(i int) string { return fmt.Sprintf("e%03d", i) }
 
 func (e *simEngine) fail(c *call, reason outcome.Reason, ran, kvGone bool) {
-	delete(e.calls, callKey{c.f.ID, c.attempt})
+	delete(e.calls, callKey{c.flight.ID, c.attempt})
 	c.stopped = true
 	e.r.after(messageDelay, func() {
-		e.r.deliver(c.f.box, decide.Failed{ID: c.f.ID, Attempt: c.attempt, Reason: reason, Ran: ran, KVGone: kvGone})
+		e.r.deliver(c.flight.box, decide.Failed{ID: c.flight.ID, Attempt: c.attempt, Reason: reason, Ran: ran, KVGone: kvGone})
 	})
 }
 
@@ -211,8 +211,8 @@
 		e.fail(c, outcome.ConnectFailed, false, false)
 		return
 	}
-	e.calls[callKey{c.f.ID, c.attempt}] = c
-	c.uncachedTokens = c.f.PromptTokens - e.cachedTokens(c.f.Blocks)
+	e.calls[callKey{c.flight.ID, c.attempt}] = c
+	c.uncachedTokens = c.flight.PromptTokens - e.cachedTokens(c.flight.Blocks)
 	e.queuedTokens += c.uncachedTokens
 	i, _ := slices.BinarySearchFunc(e.queue, c, func(a, b *call) int { return cmp.Compare(a.priority, b.priority+1) })
 	e.queue = slices.Insert(e.queue, i, c)
@@ -259,7 +259,7 @@
 	c := e.queue[0]
 	e.queue = e.queue[1:]
 	e.queuedTokens -= c.uncachedTokens
-	c.uncachedTokens = c.f.PromptTokens - e.cachedTokens(c.f.Blocks)
+	c.uncachedTokens = c.flight.PromptTokens - e.cachedTokens(c.flight.Blocks)
 	e.queuedTokens += c.uncachedTokens
 	e.busy = true
 	e.r.after(e.model.Prefill(c.uncachedTokens, 0), func() { e.finishPrefill(c) })
@@ -271,22 +271,22 @@
 		return
 	}
 	e.queuedTokens -= c.uncachedTokens
-	e.addToCache(c.f.Blocks)
+	e.addToCache(c.flight.Blocks)
 	e.r.res.PrefillTokens += c.uncachedTokens
-	c.f.unusedPrefill += c.uncachedTokens
-	if c.stopped || c.f.ended {
-		e.r.countWaste(c.f)
+	c.flight.unusedPrefill += c.uncachedTokens
+	if c.stopped || c.flight.ended {
+		e.r.countWaste(c.flight)
 		e.startNextPrefill()
 		return
 	}
-	key := callKey{c.f.ID, c.attempt}
+	key := callKey{c.flight.ID, c.attempt}
 	e.results[key] = c
 	expires := e.r.now.Add(e.model.Expiry)
 	e.r.after(e.model.Expiry, func() { delete(e.results, key) })
-	cached := c.f.PromptTokens - c.uncachedTokens
+	cached := c.flight.PromptTokens - c.uncachedTokens
 	e.r.after(messageDelay, func() {
-		e.report(c.f.box)
-		e.r.deliver(c.f.box, decide.PrefillDone{ID: c.f.ID, Attempt: c.attempt, Cached: cached, Expires: expires})
+		e.report(c.flight.box)
+		e.r.deliver(c.flight.box, decide.PrefillDone{ID: c.flight.ID, Attempt: c.attempt, Cached: cached, Expires: expires})
 	})
 	e.startNextPrefill()
 }
@@ -296,16 +296,16 @@
 		e.fail(c, outcome.ConnectFailed, false, false)
 		return
 	}
-	kv := callKey{c.f.ID, c.kvAttempt}
+	kv := callKey{c.flight.ID, c.kvAttempt}
 	if c.kvSource.results[kv] == nil {
 		e.fail(c, outcome.PrefillExpired, false, true)
 		return
 	}
-	e.calls[callKey{c.f.ID, c.attempt}] = c
+	e.calls[callKey{c.flight.ID, c.attempt}] = c
 	if e.stalled {
 		return // The transfer never ends.
 	}
-	e.r.startTransfer(&transfer{from: c.kvSource, to: e, call: c, bytesLeft: float64(c.f.PromptTokens * e.model.KVBytesPerToken), done: func() { e.finishTransfer(c, kv) }})
+	e.r.startTransfer(&transfer{from: c.kvSource, to: e, call: c, bytesLeft: float64(c.flight.PromptTokens * e.model.KVBytesPerToken), done: func() { e.finishTransfer(c, kv) }})
 }
 
 func (e *simEngine) finishTransfer(c *call, kv callKey) {
@@ -317,7 +317,7 @@
 		return
 	}
 	delete(c.kvSource.results, kv)
-	c.kvTokens = c.f.PromptTokens + c.f.MaxTokens
+	c.kvTokens = c.flight.PromptTokens + c.flight.MaxTokens
 	e.waiting = append(e.waiting, c)
 	slices.SortStableFunc(e.waiting, func(a, b *call) int { return cmp.Compare(a.priority, b.priority) })
 	e.admit()
@@ -344,14 +344,14 @@
 	}
 	for _, c := range slices.Clone(e.running) {
 		c.generated++
-		c.f.lastTokenAt = e.r.now
+		c.flight.lastTokenAt = e.r.now
 		if c.generated == 1 {
-			c.f.firstTokenAt = e.r.now
-			c.f.unusedPrefill = 0
-			e.report(c.f.box)
-			e.r.deliver(c.f.box, decide.FirstToken{ID: c.f.ID, Attempt: c.attempt})
+			c.flight.firstTokenAt = e.r.now
+			c.flight.unusedPrefill = 0
+			e.report(c.flight.box)
+			e.r.deliver(c.flight.box, decide.FirstToken{ID: c.flight.ID, Attempt: c.attempt})
 		}
-		if c.generated >= c.f.outputTokens && !c.stopped {
+		if c.generated >= c.flight.outputTokens && !c.stopped {
 			e.removeCall(c)
 			e.r.finish(c)
 		}
@@ -434,7 +434,7 @@
 
 // removeCall ends a call. It takes the call out of the waiting and running streams, and frees its memory.
 func (e *simEngine) removeCall(c *call) {
-	delete(e.calls, callKey{c.f.ID, c.attempt})
+	delete(e.calls, callKey{c.flight.ID, c.attempt})
 	c.stopped = true
 	if i := slices.Index(e.running, c); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
@@ -468,9 +468,9 @@
 	for _, c := range e.calls {
 		all = append(all, c)
 	}
-	slices.SortFunc(all, func(a, b *call) int { return cmp.Compare(a.f.ID, b.f.ID) })
+	slices.SortFunc(all, func(a, b *call) int { return cmp.Compare(a.flight.ID, b.flight.ID) })
 	for _, c := range all {
-		if e.role == decide.Prefill && c.f.firstTokenAt.IsZero() || e.role == decide.Decode {
+		if e.role == decide.Prefill && c.flight.firstTokenAt.IsZero() || e.role == decide.Decode {
 			e.fail(c, outcome.EndpointLost, true, false)
 		}
 	}
@@ -499,7 +499,7 @@
 }
 
 func (r *simulation) finish(c *call) {
-	f := c.f
+	f := c.flight
 	if f.ended {
 		return
 	}
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -215,9 +215,9 @@
 
 // sampleRecord returns the record of an ordinary request, with what was decided about it.
 func sampleRecord(i int) *record.Record {
-	ch := &decide.Choice{Compared: 48}
+	choice := &decide.Choice{Compared: 48}
 	for j := range 6 {
-		ch.Candidates = append(ch.Candidates, decide.Candidate{
+		choice.Candidates = append(choice.Candidates, decide.Candidate{
 			Prefill: fmt.Sprintf("prefill-%d", (i+j)%200), Decode: fmt.Sprintf("decode-%d", (i*7+j)%400),
 			Queue: time.Duration(i*j) * time.Microsecond, PrefillTime: 51 * time.Millisecond, Transfer: 11 * time.Millisecond,
 			FirstToken: 70 * time.Millisecond, Step: 12 * time.Millisecond, FreeKV: 100000 + i, Cost: 0.07 + float64(i)/1e6,
@@ -227,7 +227,7 @@
 		ID: fmt.Sprintf("box-%d-mx5y3kdf-htnce-%d", i%400, i), Box: "box", Client: "c", Route: "m", Model: "m", Path: "/v1/completions",
 		At: time.Unix(1800000000, int64(i)), PromptTokens: 2000, MaxTokens: 200, Kind: outcome.Answered,
 		Steps: []record.Step{
-			{Kind: record.StepPrefill, Attempt: 1, Prefill: "prefill-1", Decode: "decode-1", Choice: ch},
+			{Kind: record.StepPrefill, Attempt: 1, Prefill: "prefill-1", Decode: "decode-1", Choice: choice},
 			{After: 60 * time.Millisecond, Kind: record.StepPrefillDone, Prefill: "prefill-1"},
 			{After: 60 * time.Millisecond, Kind: record.StepDecode, Attempt: 2, Prefill: "prefill-1", Decode: "decode-1"},
 			{After: 80 * time.Millisecond, Kind: record.StepFirst, Decode: "decode-1"},
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -151,20 +151,20 @@
 // findSection returns the byte offsets of the start and the end of a section. start is -1 if there is no such section.
 // Lines inside """ quotes do not count as section headers.
 func findSection(text, name string) (start, end int) {
-	start, inText, at := -1, false, 0
+	start, inText, offset := -1, false, 0
 	for line := range strings.Lines(text) {
 		trimmed := strings.TrimSpace(line)
 		header := !inText && strings.HasPrefix(trimmed, "[") && strings.HasSuffix(trimmed, "]")
 		if header && start >= 0 {
-			return start, at
+			return start, offset
 		}
 		if header && trimmed == "["+name+"]" {
-			start = at
+			start = offset
 		}
 		if strings.Count(trimmed, `"""`)%2 == 1 {
 			inText = !inText
 		}
-		at += len(line)
+		offset += len(line)
 	}
 	return start, len(text)
 }
--- a/internal/gateway/begin_test.go
+++ b/internal/gateway/begin_test.go
@@ -19,8 +19,8 @@
 // recordedChunks is a completionWriter that records what would be sent to the caller.
 type recordedChunks []string
 
-func (c *recordedChunks) chunk(ch *engine.Chunk, _ bool) error {
-	*c = append(*c, ch.Data)
+func (c *recordedChunks) chunk(engineChunk *engine.Chunk, _ bool) error {
+	*c = append(*c, engineChunk.Data)
 	return nil
 }
 
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -204,7 +204,7 @@
 			delete(e.streams, s.id)
 		})
 	}
-	e.seen.Freed["decode "+cause]++
+	e.counts.Freed["decode "+cause]++
 	s.mu.Lock()
 	s.ended = true
 	s.mu.Unlock()
@@ -223,7 +223,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.seen.Resumes++
+	e.counts.Resumes++
 	s := e.streams[req.RequestID]
 	e.mu.Unlock()
 	if s == nil {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -49,7 +49,7 @@
 	cache        map[uint64]bool
 	leaving      bool
 	reports      []loadReport
-	seen         EngineCounts
+	counts       EngineCounts
 	fenced       bool
 	epoch        int64
 	orders       []engine.Order
@@ -97,7 +97,7 @@
 		freeKV:  m.KVTokens,
 		cache:   map[uint64]bool{},
 		aborted: map[string]bool{},
-		seen:    EngineCounts{Runs: map[string]int{}, Prompts: map[uint64]int{}, Freed: map[string]int{}},
+		counts:  EngineCounts{Runs: map[string]int{}, Prompts: map[uint64]int{}, Freed: map[string]int{}},
 		wake:    make(chan struct{}, 1),
 		stop:    make(chan struct{}),
 		hc:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
@@ -130,12 +130,12 @@
 func (e *Engine) Counts() EngineCounts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := e.seen
-	s.Runs, s.Freed, s.Prompts = map[string]int{}, map[string]int{}, maps.Clone(e.seen.Prompts)
-	for k, v := range e.seen.Runs {
+	s := e.counts
+	s.Runs, s.Freed, s.Prompts = map[string]int{}, map[string]int{}, maps.Clone(e.counts.Prompts)
+	for k, v := range e.counts.Runs {
 		s.Runs[k] = v
 	}
-	for k, v := range e.seen.Freed {
+	for k, v := range e.counts.Freed {
 		s.Freed[k] = v
 	}
 	return s
@@ -208,19 +208,19 @@
 		return
 	}
 	e.mu.Lock()
-	e.seen.Runs[req.RequestID]++
+	e.counts.Runs[req.RequestID]++
 	if req.KV.Prefill {
-		e.seen.Prefills++
-		e.seen.Prompts[PromptHash(req.text())]++
+		e.counts.Prefills++
+		e.counts.Prompts[PromptHash(req.text())]++
 	} else {
-		e.seen.Decodes++
+		e.counts.Decodes++
 	}
 	e.mu.Unlock()
-	at := AtDecode
+	kind := AtDecode
 	if req.KV.Prefill {
-		at = AtPrefill
+		kind = AtPrefill
 	}
-	f := e.takeFault(at)
+	f := e.takeFault(kind)
 	switch f.Kind {
 	case Refuse:
 		writeError(w, http.StatusServiceUnavailable, engine.CodeNotRun, "the engine is told to refuse")
@@ -254,13 +254,13 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.seen.Aborts++
+	e.counts.Aborts++
 	if s := e.streams[req.RequestID]; s != nil {
 		e.release(s, "abort")
 	}
-	for _, k := range e.results {
-		if k.requestID == req.RequestID {
-			e.dropResult(k, "abort")
+	for _, result := range e.results {
+		if result.requestID == req.RequestID {
+			e.dropResult(result, "abort")
 		}
 	}
 	e.rememberAbort(req.RequestID)
@@ -282,11 +282,11 @@
 }
 
 // dropResult drops a KV cache that waits for a decode engine. cause is the reason to count. The caller holds e.mu.
-func (e *Engine) dropResult(k *prefillResult, cause string) {
-	if e.results[k.handle] == k {
-		k.timer.Stop()
-		delete(e.results, k.handle)
-		e.seen.Freed["prefill "+cause]++
+func (e *Engine) dropResult(result *prefillResult, cause string) {
+	if e.results[result.handle] == result {
+		result.timer.Stop()
+		delete(e.results, result.handle)
+		e.counts.Freed["prefill "+cause]++
 	}
 }
 
@@ -359,7 +359,7 @@
 	e.mu.Lock()
 	job.cachedTokens = min(e.cachedTokens(text), tokens-1)
 	job.uncachedTokens = tokens - job.cachedTokens
-	e.seen.CachedTokens += job.cachedTokens
+	e.counts.CachedTokens += job.cachedTokens
 	e.queuedTokens += job.uncachedTokens
 	e.prefill.seq++
 	job.seq = e.prefill.seq
@@ -389,19 +389,19 @@
 }
 
 func (e *Engine) answerPrefill(w http.ResponseWriter, req *completionRequest, job *prefillJob, f Fault, text []byte, tokens int) {
-	k := &prefillResult{handle: "kv-" + e.Name + "-" + req.RequestID, requestID: req.RequestID, tokens: tokens, promptHash: PromptHash(text)}
+	result := &prefillResult{handle: "kv-" + e.Name + "-" + req.RequestID, requestID: req.RequestID, tokens: tokens, promptHash: PromptHash(text)}
 	e.mu.Lock()
 	if e.aborted[req.RequestID] {
 		e.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}
 	if f.Kind != ExpireAtOnce {
-		k.timer = time.AfterFunc(e.Model.Expiry, func() {
+		result.timer = time.AfterFunc(e.Model.Expiry, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			e.dropResult(k, "expiry")
+			e.dropResult(result, "expiry")
 		})
-		e.results[k.handle] = k
+		e.results[result.handle] = result
 	}
 	e.mu.Unlock()
 	id := req.RequestID
@@ -413,7 +413,7 @@
 		ID:    "cmpl-" + id,
 		Usage: engine.Usage{PromptTokens: tokens, CompletionTokens: 1, TotalTokens: tokens + 1, Details: &engine.PromptDetails{CachedTokens: job.cachedTokens}},
 		KV: engine.KVParams{
-			Handle:    k.handle,
+			Handle:    result.handle,
 			ExpiresMS: e.Model.Expiry.Milliseconds(),
 			Bytes:     int64(tokens) * int64(e.Model.KVBytesPerToken),
 		},
@@ -484,13 +484,13 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k := e.results[req.Handle]
-	if k == nil {
+	result := e.results[req.Handle]
+	if result == nil {
 		writeError(w, http.StatusGone, engine.CodeKVExpired, "no such KV cache")
 		return
 	}
-	e.dropResult(k, "taken")
-	writeJSON(w, takenKV{Tokens: k.tokens, Prompt: k.promptHash})
+	e.dropResult(result, "taken")
+	writeJSON(w, takenKV{Tokens: result.tokens, Prompt: result.promptHash})
 }
 
 // takenKV is what a decode engine receives in place of a real KV cache.
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -61,11 +61,11 @@
 }
 
 // takeFault returns the fault to apply to a call of kind at; its Kind is NoFault if there is none.
-func (e *Engine) takeFault(at CallKind) Fault {
+func (e *Engine) takeFault(kind CallKind) Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for i := range e.faults {
-		if e.faults[i].Call == at && e.faults[i].remaining.Add(-1) >= 0 {
+		if e.faults[i].Call == kind && e.faults[i].remaining.Add(-1) >= 0 {
 			return e.faults[i].Fault
 		}
 	}
