--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -104,7 +104,7 @@
 	return stoatrampv1connect.NewOperatorClient(&http.Client{Timeout: callTimeout}, box, connect.WithInterceptors(auth))
 }
 
-// printIfJSON prints a message as JSON if --json was given. The bool reports whether --json was given.
+// printIfJSON prints a message as JSON if --json was given. The bool reports whether it was given.
 func (a *app) printIfJSON(m proto.Message) (bool, error) {
 	if !a.JSON {
 		return false, nil
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// findRecord asks the boxes one after another for the record of a request, until one has it. If none has it, the
-// returned error is the first one other than "not found", or "not found" if there was no other.
+// findRecord asks the boxes one after another for the record of a request, until one has it. If none has it, findRecord
+// returns the first error that is not "not found". If all boxes say "not found", it returns that.
 func (c *whyCmd) findRecord(a *app) (*connect.Response[v1.WhyResponse], error) {
 	var failed error
 	for _, box := range a.Box {
--- a/internal/cli/shared.go
+++ b/internal/cli/shared.go
@@ -35,7 +35,7 @@
 	return a.apply(text, now.Version, author)
 }
 
-// Headers of the sections of the shared configuration.
+// These functions return the names of sections of the shared configuration.
 func policySection(name string) string   { return "policy " + name }
 func ruleSection(name string) string     { return "rule " + name }
 func operatorSection(name string) string { return "operator " + name }
@@ -139,7 +139,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// rules reads and parses a version of the shared configuration of relay boxes; 0 reads the accepted version.
+// rules reads and parses a version of the shared configuration of relay boxes. Version 0 stands for the accepted one.
 func (a *app) rules(version int64) (*config.Rules, error) {
 	got, err := a.fetch(version)
 	if err != nil {
--- a/internal/config/box.go
+++ b/internal/config/box.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Box holds the settings of one box that works with the configuration in Shared. A box is a machine that runs the
-// router. The settings are read once, when the box starts.
+// Box holds the settings of one gateway box. A box is a machine that runs the router; a gateway box reads its routes
+// and endpoints from the configuration in Shared. The settings are read once, when the box starts.
 type Box struct {
 	// Name is unique among the running boxes. Each request id starts with the name of the box that received the
 	// request.
@@ -20,7 +20,7 @@
 	// boxes. Both are "ip:port"; port 0 selects any free port.
 	Callers   string
 	Operators string
-	// OperatorKeySHA256 is the hex SHA-256 of the operators' key.
+	// OperatorKeySHA256 is the hex SHA-256 of the key with which operators authenticate.
 	OperatorKeySHA256 string
 
 	CallerTLS   TLSFiles
@@ -42,7 +42,7 @@
 	WriteTimeout  time.Duration
 	// Queue is the maximum number of requests on this box that wait for an engine.
 	Queue int
-	// DrainTimeout bounds a planned stop. Streams that still run when it has passed are cut off and logged.
+	// DrainTimeout bounds a planned stop. Streams that still run after this time are cut off and logged.
 	DrainTimeout time.Duration
 }
 
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -221,7 +221,8 @@
 	return n
 }
 
-// msSuffix is the unit of milliseconds. A template writes the unit alone if the platform has no value for a duration.
+// msSuffix is the unit of milliseconds. A platform's template writes only the unit where the platform has no value for
+// a duration.
 const msSuffix = "ms"
 
 // parseDuration parses a Go duration, or a number of milliseconds in exponent notation, which a platform may write.
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -9,20 +9,21 @@
 )
 
 const (
-	// Retry budget for a platform that specifies none: retries may be 0.1 of the requests in 10 seconds. This share
-	// adds little load to a failing service.
+	// The retry budget for a platform that specifies none: in 10 seconds, retries may be a share of 0.1 of the
+	// requests. This share adds little load to a failing service.
 	defaultRetryShare         = 0.1
 	defaultRetryWindowSeconds = 10
-	// Accuracy of limits and of key revocation for a platform that specifies none, as one without client accounts.
+	// How exactly limits and the revocation of keys are enforced, for a platform that does not say. A platform without
+	// client accounts does not say it.
 	defaultLimitWindowSeconds = 10
 	defaultRevokedWithinMS    = 5000
 )
 
-// Relay holds the settings of a relay box. It forwards requests byte for byte to the endpoints (back ends) that its
-// platform lists, by the platform's routes. A gateway box, in contrast, has its settings in Box and its routes in
-// Shared.
+// Relay holds the settings of a relay box. A relay box forwards requests byte for byte to endpoints (back ends); its
+// platform lists the routes and the endpoints. The other kind of box, a gateway, has its settings in Box and its routes
+// in Shared.
 type Relay struct {
-	// Name is unique among the running boxes.
+	// Name is the name of the box, unique among the running boxes.
 	Name   string
 	Region string
 	Hall   string
@@ -33,14 +34,14 @@
 	// that exceeds the limit. 0 means no limit.
 	MemoryMB float64
 
-	// Callers, Readiness and Operators are listen addresses of the box, "ip:port". Callers takes the requests,
-	// Readiness tells the platform whether the box takes requests, and Operators, which may be empty, serves status and
-	// metrics.
+	// Callers, Readiness and Operators are listen addresses of the box, "ip:port". The box receives requests at
+	// Callers. At Readiness, the platform asks whether the box accepts requests. Operators serves status and metrics;
+	// it may be empty.
 	Callers   string
 	Readiness string
 	Operators string
-	// OperatorKeySHA256 is the hex SHA-256 of a key that gives access to the operators' address; empty means no such
-	// key.
+	// OperatorKeySHA256 is the hex SHA-256 of a key that gives access to the operators' address. If it is empty, only
+	// the keys in the shared configuration do.
 	OperatorKeySHA256 string
 
 	// Peers is the listen address for other boxes; empty means that the box runs alone. PeersAddress is the address
@@ -71,8 +72,8 @@
 	RetryShare  float64
 	RetryWindow time.Duration
 
-	// In any second, all boxes together may send a cold endpoint (one that has just started) at most ColdRateFactor
-	// times the requests that the endpoint can take in a second while it is cold, plus ColdRateSlack requests.
+	// A cold endpoint is one that has just started and can serve fewer requests than later. In any second, all boxes
+	// together may send it at most ColdRateFactor times the requests that it can serve while cold, plus ColdRateSlack.
 	ColdRateFactor float64
 	ColdRateSlack  float64
 
@@ -97,7 +98,7 @@
 	IdleTimeout   time.Duration
 }
 
-// LoadRelay reads and validates a settings file.
+// LoadRelay reads and validates the settings file of a relay box.
 func LoadRelay(file string) (*Relay, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -203,8 +204,8 @@
 	return out
 }
 
-// parseSeeds reads the addresses of other boxes. All boxes listen for each other on the same port. Therefore the port
-// of own, this box's address for other boxes, replaces the ports in the list, unless it is 0 (any free port).
+// parseSeeds reads the addresses of other boxes. own is the address at which this box listens for other boxes. All
+// boxes use the same port for this, so the port of own replaces the ports in the list, unless it is 0 (any free port).
 func parseSeeds(s *section, own string) (out []string) {
 	self, err := netip.ParseAddrPort(own)
 	if err != nil {
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -15,7 +15,8 @@
 	Operators []*Operator
 }
 
-// Rule assigns a policy to requests. It does not name a route, because a platform may rename its routes at any time.
+// Rule assigns a policy to requests. It selects requests by their properties and not by the name of a route, because
+// the names of a platform's routes change with its configuration.
 type Rule struct {
 	Name   string
 	Policy string
@@ -113,7 +114,7 @@
 	return r
 }
 
-// OperatorByKey returns the operator with this key; nil if there is none.
+// OperatorByKey returns the operator who has this key; nil if there is none.
 func (c *Rules) OperatorByKey(key string) *Operator {
 	for _, o := range c.Operators {
 		if KeyMatches(key, o.KeySHA256) {
@@ -123,10 +124,11 @@
 	return nil
 }
 
-// SetSection returns the text with one section replaced. If the text has no such section, it is appended.
+// SetSection returns the text with the body of one section replaced. If the text has no section of this name,
+// SetSection appends one.
 //
-// Example: SetSection(text, "operator ana", "key_sha256 = 2d71…") keeps all other
-// sections, their order and their comments.
+// Example: SetSection(text, "operator ana", "key_sha256 = 2d71…") keeps all other sections, their order and their
+// comments.
 func SetSection(text, name, body string) string {
 	section := fmt.Sprintf("[%s]\n%s\n", name, strings.TrimRight(body, "\n"))
 	start, end := findSection(text, name)
--- a/internal/config/shared.go
+++ b/internal/config/shared.go
@@ -20,8 +20,8 @@
 
 func (r Role) String() string { return roleNames[r] }
 
-// Shared is one accepted version of the configuration that all gateway boxes have in common. It is not modified after
-// it was parsed, so requests read it without a lock.
+// Shared is one accepted version of the configuration that all gateway boxes have in common. It is never modified once
+// it has been parsed, so requests read it without a lock.
 type Shared struct {
 	// Version is the version of the configuration's row in the platform's table. It only increases.
 	Version int64
@@ -33,11 +33,11 @@
 	Services  []*Service
 	Policies  []*Policy
 
-	clients map[string]*Client // By the hex SHA-256 of the client's key.
+	clients map[string]*Client // The clients, by the hex SHA-256 of their keys.
 	Clients []*Client
 }
 
-// Pool is the set of engines that serve one model.
+// Pool is a set of engines that serve the same model.
 type Pool struct {
 	Name  string
 	Model string
@@ -62,7 +62,8 @@
 	PrefillRate float64
 	// KVTokens is how many tokens the engine's memory for KV caches holds.
 	KVTokens int
-	// A decode engine is predicted to take Step plus StepPerStream for each running stream from one token to the next.
+	// Step and StepPerStream predict a decode engine's time from one token to the next: Step, plus StepPerStream for
+	// each running stream.
 	Step          time.Duration
 	StepPerStream time.Duration
 	// LinkRate is the rate of the engine's network link in bytes per second.
@@ -81,7 +82,7 @@
 	MaxTokens int
 	// Repeatable is false if every request of the route may run at most once.
 	Repeatable bool
-	// ServeLate means that requests predicted to miss FirstToken are served instead of refused.
+	// ServeLate means that a request which is predicted to miss the FirstToken target is served instead of refused.
 	ServeLate bool
 	// Priority is passed to the engines, which serve lower values first.
 	Priority int
@@ -101,9 +102,9 @@
 type Client struct {
 	Name       string
 	KeySHA256  string
-	Requests   float64 // Per second.
+	Requests   float64 // Limit on requests per second.
 	Burst      int
-	Tokens     float64 // Per second, counting prompts and answers.
+	Tokens     float64 // Limit on tokens per second, counting prompts and answers.
 	TokenBurst int
 	// Allow lists the routes and services that the client may use; empty means all of them.
 	Allow []string
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -33,8 +33,9 @@
 	Text   string    `json:"text"`
 	Author string    `json:"author"`
 	At     time.Time `json:"at"`
-	// Tokens are random marks, one for each write, of the latest versions up to this one; the newest is last. A writer
-	// whose response was lost finds out from them whether its write was accepted, even if a later write replaced it.
+	// Tokens identify the writes of the latest versions, up to this version, which is last. Each write has a random
+	// token. A writer whose response was lost finds out from them whether its write was accepted, even if a later write
+	// replaced it.
 	Tokens []string `json:"tokens"`
 }
 
@@ -66,7 +67,8 @@
 // NewStore returns a store that uses table t.
 func NewStore(t Table) *Store { return &Store{t} }
 
-// FromRows returns the accepted version from rows of the table that were already read; nil if it is not among them.
+// FromRows returns the accepted version from rows of the table that have already been read; nil if the rows do not
+// contain it.
 func FromRows(rows map[string][]byte, read func(key string, text []byte) (platform.Row, error)) (*Version, error) {
 	text, ok := rows[currentKey]
 	if !ok {
@@ -217,8 +219,8 @@
 // followInterval is how long a box waits between two reads of the accepted version.
 const followInterval = time.Second
 
-// FallbackSource fetches a version newer than known while the table is unavailable, for instance from another box. It
-// returns only versions that the table has accepted.
+// FallbackSource returns a version newer than known from elsewhere, such as another box, while the table is
+// unavailable. It returns only versions that the table has accepted.
 type FallbackSource func(ctx context.Context, known int64) (*Version, error)
 
 // Follow polls the table and calls apply with each newer version, until ctx ends. It ignores versions older than the
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Site is a running set of stand-ins.
+// Site is a running set of stand-ins: the engines, a plain service and the platform.
 type Site struct {
 	Platform *standin.Platform
 	Prefills []*standin.Engine
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -39,10 +39,10 @@
 	addresses map[string]string
 }
 
-// Call is the dispatcher's state of one request.
+// Call is the state of one request in the dispatcher: the actions of the core for it, and its calls to engines.
 type Call struct {
 	requestID string
-	// Wake receives a value when TakeActions has something to return.
+	// Wake receives a value when there are actions for TakeActions to return.
 	Wake chan struct{}
 
 	mu      sync.Mutex
@@ -88,7 +88,7 @@
 	return r.ID, c
 }
 
-// CanResume reports whether an interrupted stream could be resumed on another engine.
+// CanResume reports whether the request would be tried again on another engine if its stream were interrupted now.
 func (d *Dispatcher) CanResume(id decide.ID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,14 +120,14 @@
 	return p.Admit(r, v)
 }
 
-// SetMaxWaiting sets the maximum number of waiting requests.
+// SetMaxWaiting sets how many requests may wait for an engine at the same time.
 func (d *Dispatcher) SetMaxWaiting(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.core.SetMaxWaiting(n)
 }
 
-// SetGossipConnected sets whether messages from other boxes are being received.
+// SetGossipConnected tells the core whether this box receives the messages (gossip) of other boxes.
 func (d *Dispatcher) SetGossipConnected(yes bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -148,9 +148,9 @@
 	d.stepLocked(ev)
 }
 
-// AcceptFirstToken reports the first token of a decode call to the core, and returns whether the call's response may be
-// written to the caller. It returns false if the core has given the call up as stalled: the caller then receives the
-// response of the next call.
+// AcceptFirstToken reports the first token of a decode call to the core. It returns whether the chunks of this call may
+// be written to the caller. They may not if the core has given up the call because it took too long; the caller then
+// receives the chunks of the next call.
 func (d *Dispatcher) AcceptFirstToken(ev decide.FirstToken) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -298,7 +298,7 @@
 	return d.core.Waiting()
 }
 
-// RecommendRoleChange returns an engine that should change its role (prefill or decode). The bool is false if none
+// RecommendRoleChange returns engines that should change their role (prefill or decode). The bool is false if none
 // should.
 func (d *Dispatcher) RecommendRoleChange() (decide.RoleChange, bool) {
 	d.mu.Lock()
@@ -306,14 +306,17 @@
 	return d.core.RecommendRoleChange()
 }
 
-// Grant reserves capacity on an engine for a request of another box. It reports whether there was enough capacity.
+// Grant answers another box that wants to send a request to a decode engine. For each engine, one box (its owner) adds
+// up such requests, so that all boxes together do not send more than fits. If the engine has free capacity, Grant
+// counts the request there and returns true.
 func (d *Dispatcher) Grant(engine string, r decide.Request) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Grant(clock.Now(), engine, r)
 }
 
-// EstimateStreamTime predicts how long a pool's engines take to generate a number of tokens.
+// EstimateStreamTime predicts how long the decode engines of a pool take to generate a number of tokens for one
+// request.
 func (d *Dispatcher) EstimateStreamTime(pool string, tokens int) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -36,7 +36,8 @@
 type Call struct {
 	Address string // ip:port
 	Path    string
-	// RequestID identifies this call: an engine includes it in every response, and the calls for one request differ.
+	// RequestID identifies this call. An engine includes it in every response to the call. It differs between the calls
+	// that are made for one request.
 	RequestID    string
 	MaxTokens    int
 	Priority     int
@@ -92,9 +93,9 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.hc.CloseIdleConnections() }
 
-// post sends a request with the body b. Each call reaches an engine at most once: no request carries an
-// Idempotency-Key, so net/http resends a POST only if it had written none of it to a reused connection that the
-// engine had closed.
+// post sends a POST request with the body b, which reaches the engine at most once. No request carries an
+// Idempotency-Key, so net/http sends a request again only if nothing of it was written, because the engine had closed a
+// reused connection.
 func (c *Client) post(ctx context.Context, address, path string, b []byte, header http.Header) (*http.Response, error) {
 	// maybeSent is set when a connection is obtained, because bytes may be sent from then on.
 	var maybeSent atomic.Bool
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -20,7 +20,7 @@
 // CacheBlockBytes is the number of bytes of prompt text that one block of the prefix cache covers.
 const CacheBlockBytes = 512
 
-// OrderKind is the kind of an order to an engine.
+// OrderKind says what an order tells an engine to do.
 type OrderKind string
 
 // The kinds of orders.
@@ -70,18 +70,18 @@
 	Removed []uint64 `json:"removed"`
 	// Next is the sequence number to pass as after in the next query.
 	Next int64 `json:"next"`
-	// Gap means that the engine no longer had some of the events after the requested number.
+	// Gap means that the engine had already dropped some of the events that were asked for.
 	Gap bool `json:"gap"`
 }
 
-// CacheEvents queries the events that follow the event with the sequence number after.
+// CacheEvents queries the events that follow the event with the sequence number given by after.
 func (c *Client) CacheEvents(ctx context.Context, address string, after int64) (CacheEvents, error) {
 	var ev CacheEvents
 	err := c.probe(ctx, address, EventsPath+"?after="+strconv.FormatInt(after, 10), &ev)
 	return ev, err
 }
 
-// probe sends a GET request on the connections that are reserved for such queries.
+// probe sends a GET request on a connection that is used for probes only, and decodes the JSON response into v.
 func (c *Client) probe(ctx context.Context, address, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, shortCallTimeout)
 	defer cancel()
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -22,15 +22,16 @@
 type Chunk struct {
 	// Data is the JSON of the chunk as the engine sent it.
 	Data string
-	// IDStart and IDEnd are the bounds of the id's JSON string in Data, quotes included.
+	// IDStart and IDEnd are the offsets in Data at which the JSON string of the answer's id starts and ends, quotes
+	// included.
 	IDStart, IDEnd int
 	// Offset is the number of the chunk in its stream, from 0.
 	Offset int
 	// Finished means that a choice (one of the alternative answers) ends with this chunk.
 	Finished bool
-	// Usage is the token counts; the engine sets it on the last chunk of the stream.
+	// Usage holds the token counts of the request. An engine sets it only on the last chunk of the stream.
 	Usage *Usage
-	// HasChoices is false for a chunk that carries only the usage.
+	// HasChoices is false for a chunk that carries token counts (Usage) and no text.
 	HasChoices bool
 }
 
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -50,7 +50,7 @@
 // OverriddenFields lists the fields that are removed from the caller's body, because the router sets them in Params.
 var OverriddenFields = []string{"request_id", "stream", "stream_options", "max_tokens", "max_completion_tokens", "priority", "kv_transfer_params"}
 
-// StreamOptions asks for a last chunk with the token counts of the stream.
+// StreamOptions asks the engine to end a stream with a chunk that holds the token counts.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
@@ -70,12 +70,13 @@
 	Details          *PromptDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptDetails states how much of a prompt was cached.
+// PromptDetails says how many tokens of the prompt the engine had in its prefix cache.
 type PromptDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Load is an engine's load report. AgeMS is how old the other fields are, in milliseconds.
+// Load is an engine's load report. AgeMS is the age of the figures in milliseconds. FreeKV is the free memory for KV
+// caches in tokens. Leaving means that the engine is about to stop.
 type Load struct {
 	AgeMS        int64 `json:"age_ms"`
 	QueuedTokens int   `json:"queued_tokens"`
@@ -89,7 +90,7 @@
 	RequestID string `json:"request_id"`
 }
 
-// TakeRequest is sent by a decode engine to a prefill engine to fetch a KV cache.
+// TakeRequest is sent by a decode engine to a prefill engine to fetch the KV cache that Handle identifies.
 type TakeRequest struct {
 	Handle string `json:"handle"`
 }
@@ -100,7 +101,7 @@
 	CodeKVExpired = "kv_expired"
 )
 
-// ErrorBody is the OpenAI error format.
+// ErrorBody is an error response in the OpenAI format.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -10,7 +10,8 @@
 
 // Gate lets requests in until it is closed. The zero value is open.
 type Gate struct {
-	// mu ensures that a request starts either before the gate is closed, and is waited for, or is refused.
+	// mu orders the start of requests against the closing of the gate. A request either starts before, and Drain waits
+	// for it, or Enter returns false.
 	mu      sync.RWMutex
 	closed  bool
 	active  sync.WaitGroup
@@ -70,9 +71,9 @@
 	return !g.closed
 }
 
-// Drain closes the gate. It returns when all requests have left and then waitCleanup has returned, which waits for the
-// cleanup that requests leave running in the background. If ctx ends first, Drain returns an error if requests still
-// run.
+// Drain closes the gate. It waits until all requests have left, and then until waitCleanup returns. waitCleanup waits
+// for cleanup that the requests left running in the background. If ctx ends first, Drain returns an error, but only if
+// requests still run.
 func (g *Gate) Drain(ctx context.Context, waitCleanup func()) error {
 	g.mu.Lock()
 	g.closed = true
@@ -88,7 +89,7 @@
 		return nil
 	case <-ctx.Done():
 		if g.Running() == 0 {
-			return nil // Only cleanup is unfinished. Engines free by themselves what the cleanup would have freed.
+			return nil // Only cleanup is unfinished. What it would free on engines, the engines free by themselves.
 		}
 		return ctx.Err()
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A request that enters while none runs must send a value to all channels; a request that enters while others run,
-// none.
+// If a request enters while no other runs, every channel that NotifyBusy returned must receive one value. If it enters
+// while others run, none may.
 func TestBusy(t *testing.T) {
 	var g Gate
 	a, b := g.NotifyBusy(), g.NotifyBusy()
@@ -32,8 +32,8 @@
 	}
 }
 
-// A planned stop may end before the calls that free memory at engines, since engines also free it by themselves. Such a
-// stop must not report an error. It used to be reported as a stop that interrupts requests.
+// A planned stop may end while calls that free memory on engines are still running, since engines also free it by
+// themselves. Such a stop must not report an error. It used to be reported as a stop that interrupts requests.
 func TestDrainTimesOut(t *testing.T) {
 	never := make(chan struct{})
 	defer close(never)
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -12,7 +12,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// completionWriter writes the chunks of an engine's answer to the caller, as a stream of events or as one JSON document.
+// completionWriter writes the chunks of an engine's answer to the caller, either as a stream of events or as one JSON
+// document.
 type completionWriter interface {
 	chunk(c *engine.Chunk, flush bool) error
 	// end completes the response. It is called only when the engine has sent the whole answer; u may be nil.
@@ -37,9 +38,9 @@
 	x             *exchange
 	rc            *http.ResponseController
 	id            string // The completion id sent to the caller, as a JSON string.
-	usage         bool   // Whether the caller asked for the usage chunk.
+	usage         bool   // Whether the caller asked for a last chunk with the token counts (the usage chunk).
 	buf           []byte
-	writeDeadline time.Time // The deadline set on the connection.
+	writeDeadline time.Time // The write deadline that is now set on the connection.
 }
 
 func (s *streamWriter) chunk(c *engine.Chunk, flush bool) error {
@@ -62,7 +63,7 @@
 	h := s.x.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
-	h.Set("X-Accel-Buffering", "no") // Keeps the platform's load balancer from buffering tokens.
+	h.Set("X-Accel-Buffering", "no") // Tells a load balancer in front of the box not to buffer tokens.
 	s.x.w.WriteHeader(http.StatusOK)
 }
 
@@ -91,8 +92,8 @@
 	return s.write(true)
 }
 
-// abortStream signals to the caller that its stream is incomplete: it sends an error event
-// and no end marker, and closes the connection without the final HTTP chunk.
+// abortStream shows the caller that its stream is incomplete. It sends an error event instead of the end marker. Then
+// it closes the connection without the chunk that ends an HTTP response.
 func (x *exchange) abortStream(o outcome.Outcome) {
 	o.Kind = outcome.CutOff
 	b, _ := json.Marshal(refusalOf(o, x.rec.ID))
@@ -102,7 +103,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// bufferedWriter collects the chunks into one JSON response.
+// bufferedWriter collects the chunks of an answer into one JSON response, for a caller that did not ask for a stream.
 type bufferedWriter struct {
 	x       *exchange
 	chat    bool
--- a/internal/gateway/begin_test.go
+++ b/internal/gateway/begin_test.go
@@ -16,7 +16,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// recordedChunks is a completionWriter that records what would be sent to the caller.
+// recordedChunks is a completionWriter that records the chunks it is asked to send to the caller.
 type recordedChunks []string
 
 func (c *recordedChunks) chunk(engineChunk *engine.Chunk, _ bool) error {
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// maxResumes bounds how often one stream is resumed after a lost connection.
+	// maxResumes bounds how often one call to a decode engine is resumed after its connection was lost.
 	maxResumes = 2
 	// A stream is silent too long if no chunk arrives for silenceTimeoutBase plus silenceTimeoutGaps times the route's
 	// target for the time between tokens. The engine is then treated as crashed.
@@ -81,7 +81,8 @@
 	x.rec.FirstTarget, x.rec.GapTarget = route.FirstToken, route.BetweenTokens
 }
 
-// flight is one completion request while engines work on it. An attempt is one call to an engine for the request.
+// flight is one completion request while engines work on it. An attempt is one call to an engine; a request makes
+// several, at least one for the prefill and one for the decode.
 type flight struct {
 	x      *exchange
 	req    *completionRequest
@@ -103,7 +104,8 @@
 	usage           *engine.Usage
 }
 
-// flightEvent is what a call to an engine reports to the request's loop. Besides attempt, one field is set.
+// flightEvent is what a call to an engine reports to the loop of its request (flight.loop). It sets attempt, which is
+// the number of the call, and one other field.
 type flightEvent struct {
 	attempt decide.Attempt
 	prefill *engine.PrefillResponse
@@ -113,8 +115,8 @@
 	err     error
 }
 
-// run submits the request to the decision core and carries out the core's actions until the request ends. However it
-// returns, the engine memory that is still reserved for the request is freed.
+// run submits the request to the decision core and carries out the core's actions until the request ends. Whichever way
+// run returns, it frees the engine memory that is still reserved for the request.
 func (x *exchange) run(route *config.Route, req *completionRequest) (o outcome.Outcome) {
 	ctx, cancel := context.WithCancel(x.r.Context())
 	f := &flight{x: x, req: req, route: route, ctx: ctx, events: make(chan flightEvent, eventBuffer), out: newCompletionWriter(x, req)}
@@ -262,13 +264,14 @@
 	return ""
 }
 
-// handleChunk writes one chunk to the caller. If the core gave the call up before its first chunk, nothing is written.
+// handleChunk writes one chunk to the caller. It writes nothing if the decision core gave up the call before the call's
+// first chunk was handled. The bool reports whether the request has ended.
 func (f *flight) handleChunk(ev flightEvent) (outcome.Outcome, bool) {
 	if f.firstTokenAt.IsZero() && !f.x.g.disp.AcceptFirstToken(decide.FirstToken{ID: f.id, Attempt: ev.attempt}) {
 		return outcome.Outcome{}, false
 	}
-	// Write the token to the caller before updating the statistics. If more chunks are
-	// queued, only the last of them is flushed.
+	// Write the token to the caller before updating the statistics, so that the caller does not wait for them. If more
+	// chunks are queued, leave the flush of the connection to the last of them.
 	if err := f.out.chunk(ev.chunk, len(f.events) == 0); err != nil {
 		return writeErrorOutcome(err), true
 	}
@@ -336,7 +339,7 @@
 	}
 }
 
-// meanTokenGap returns the mean time between the tokens of the answer.
+// meanTokenGap returns the mean time between two tokens of the answer; 0 for an answer of fewer than two tokens.
 func (f *flight) meanTokenGap() time.Duration {
 	if f.x.rec.Output < 2 {
 		return 0
@@ -373,7 +376,8 @@
 	_ = f.send(ctx, flightEvent{attempt: a.Attempt, prefill: ans, err: err})
 }
 
-// callDecode streams the answer from a decode engine. After a lost connection it resumes the stream there.
+// callDecode streams the answer from a decode engine. If the connection is lost, it resumes the stream on the same
+// engine.
 func (f *flight) callDecode(ctx context.Context, a decide.StartDecode, kv engine.KVParams) {
 	call := f.engineCall(a.Decode, a.Attempt, a.Priority)
 	s, err := f.x.g.engines.Decode(ctx, call, kv)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,7 +56,7 @@
 // PolicySource holds the compiled policies of one configuration. A policy is an operator's program that may refuse or
 // change the routing of requests.
 type PolicySource interface {
-	// Policy returns the compiled program of a policy; nil if there is none.
+	// Policy returns the compiled policy with this name; nil if there is none.
 	Policy(name string) decide.Policy
 }
 
@@ -80,13 +80,14 @@
 	m        *telemetry.Metrics
 	log      *zap.Logger
 	ids      *idSource
-	// Incarnation is the start time of this process in milliseconds; request ids contain it.
+	// Incarnation is the time at which this process started, in milliseconds. It is part of each request id, so ids
+	// stay unique after a restart.
 	Incarnation int64
 
 	gate gate.Gate
 }
 
-// Options are the dependencies of a Gateway.
+// Options are what New needs to build a Gateway.
 type Options struct {
 	Box     *config.Box
 	Core    *decide.Core
@@ -116,16 +117,16 @@
 	}
 }
 
-// SetConfig applies a configuration to every request that starts from now on. It stores the snapshot last, because a
-// stored snapshot makes the box ready: a request that finds its route in the snapshot must also find the route's
-// engines in the decision core.
+// SetConfig applies a configuration to every request that starts from now on. The snapshot is stored last, because it
+// makes the box ready. A request that finds its route in the snapshot must also find the route's engines in the
+// decision core.
 func (g *Gateway) SetConfig(c *config.Shared, p PolicySource) {
 	g.disp.SetFleet(fleetOf(c), addressesOf(c))
 	g.plain.setConfig(c)
 	g.snapshot.Store(&configSnapshot{cfg: c, policies: p})
 }
 
-// Config returns the configuration in force; nil before the first.
+// Config returns the configuration that the box uses; nil before it has received the first one.
 func (g *Gateway) Config() *config.Shared {
 	if v := g.snapshot.Load(); v != nil {
 		return v.cfg
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// Version returns the version of the configuration in force; 0 before the first.
+// Version returns the version of the configuration that the box uses; 0 before it has received the first one.
 func (g *Gateway) Version() int64 {
 	if c := g.Config(); c != nil {
 		return c.Version
@@ -144,25 +145,26 @@
 // HandleLoadReport passes an engine's load report to the decision core.
 func (g *Gateway) HandleLoadReport(r decide.LoadReport) { g.disp.Step(r) }
 
-// Evicted tells the core that an engine evicted prefixes from its cache.
+// Evicted tells the decision core that an engine evicted blocks of prompts from its prefix cache.
 func (g *Gateway) Evicted(ev decide.Evicted) { g.disp.Step(ev) }
 
-// ProbeFailed tells the core that an engine did not answer a probe, a query of its load outside any request.
+// ProbeFailed tells the decision core that an engine did not answer a probe, that is, a query of the engine's load.
 func (g *Gateway) ProbeFailed(engine string) { g.disp.Step(decide.ProbeFailed{Engine: engine}) }
 
-// NotifyBusy returns a channel that receives when the number of running requests rises from zero.
+// NotifyBusy returns a channel that receives a value whenever a request starts while no other request runs.
 func (g *Gateway) NotifyBusy() <-chan struct{} { return g.gate.NotifyBusy() }
 
-// Tick lets the core process the time-outs that have passed.
+// Tick lets the decision core handle the time limits that have passed. It must be called regularly.
 func (g *Gateway) Tick() { g.disp.Step(decide.Tick{}) }
 
 // Running returns the number of requests in progress.
 func (g *Gateway) Running() int64 { return g.gate.Running() }
 
-// Drain refuses new requests and waits until all running requests and their aborts have finished.
+// Drain refuses new requests. It waits until all running requests have ended and the calls that abort their work on
+// engines have finished.
 func (g *Gateway) Drain(ctx context.Context) error { return g.gate.Drain(ctx, g.disp.WaitAborts) }
 
-// Ready reports whether the box can serve requests.
+// Ready reports whether the box accepts requests: it has a configuration and is not draining.
 func (g *Gateway) Ready() bool { return g.gate.Open() && g.snapshot.Load() != nil }
 
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -196,7 +198,7 @@
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// exchange is one request and its response on the way through the stages.
+// exchange is one request of a caller, with its response and what is known about it.
 type exchange struct {
 	g        *Gateway
 	w        http.ResponseWriter
@@ -207,8 +209,8 @@
 	trace   *account.Trace
 	rec     *record.Record
 	arrived time.Time
-	// responseStarted is set once any byte of a response was written; from then on a
-	// failure can no longer be answered with a refusal.
+	// responseStarted is set once any byte of a response was written. After that, a failure can no longer be answered
+	// with an HTTP error status.
 	responseStarted bool
 	// repeatable is false if the request may be run at most once.
 	repeatable bool
@@ -329,7 +331,7 @@
 	return o, cl != nil
 }
 
-// refuse responds with an error and ends the request.
+// refuse ends the request, and responds with an error unless a response has been started.
 func (x *exchange) refuse(o outcome.Outcome) {
 	if !x.responseStarted {
 		writeRefusal(x.w, o, x.rec.ID)
@@ -337,10 +339,12 @@
 	x.finish(o)
 }
 
-// claimCloseTimeout bounds storing how a request ended in the claim on its idempotency key.
+// claimCloseTimeout bounds closing a claim on an idempotency key, that is, storing in the platform's table how the
+// request ended.
 const claimCloseTimeout = 2 * time.Second
 
-// finish stores how the request ended in the claim on its idempotency key, if it has one, and closes the trace.
+// finish ends the request's trace. If the request has a claim on its idempotency key, finish first stores in the claim
+// how the request ended.
 func (x *exchange) finish(o outcome.Outcome) {
 	if x.claim != nil {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), claimCloseTimeout)
--- a/internal/gateway/ids.go
+++ b/internal/gateway/ids.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// idSource generates request ids such as "box1-sx2k9f-7pdw0-42": the name of the box, the start time of its process,
-// the minute and a counter. The id alone tells where and when the request's record was written, so that the record can
-// be found without an index.
+// idSource generates request ids such as "box1-sx2k9f-7pdw0-42". The parts are the name of the box, the start time of
+// its process, the minute and a counter. The id alone tells where and when the request's record was written, so the
+// record can be found without an index.
 type idSource struct {
 	prefix string
 	n      atomic.Uint64
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -17,7 +17,7 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// completionRequest is a parsed completion request.
+// completionRequest is a parsed and validated completion request.
 type completionRequest struct {
 	Chat         bool
 	Model        string
@@ -31,7 +31,7 @@
 	CallerFields []byte
 }
 
-// completionFields are the fields of a body that the router reads.
+// completionFields are the fields of a request body that the router reads.
 type completionFields struct {
 	Model               string                `json:"model"`
 	Messages            json.RawMessage       `json:"messages"`
@@ -47,8 +47,8 @@
 	// bytesPerToken is used to estimate the number of tokens of a prompt from its length. The estimate serves routing
 	// only; rate limits count the tokens that the engine reports.
 	bytesPerToken = 4
-	// maxPrefixBlocks bounds how many blocks of a prompt are hashed to find engines that have them cached. 128 blocks
-	// are 16,384 tokens.
+	// maxPrefixBlocks bounds how many blocks of a prompt are hashed. The hashes serve to find engines that have the
+	// start of the prompt in their prefix cache. 128 blocks are 16,384 tokens.
 	maxPrefixBlocks = 128
 	// maxChoices bounds the number of alternative answers ("choices") that one request may ask for.
 	maxChoices = 16
@@ -70,7 +70,8 @@
 	_ = rc.SetReadDeadline(time.Now().Add(x.g.box.BodyTimeout))
 	b, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, x.g.box.MaxBody))
 	if err == nil {
-		// Clear the deadline, which would otherwise end net/http's detection of a caller that disconnects.
+		// Clear the read deadline. If it passed during the response, net/http could no longer detect that the caller
+		// disconnects.
 		_ = rc.SetReadDeadline(time.Time{})
 		return b, outcome.Outcome{}
 	}
@@ -85,7 +86,7 @@
 	return nil, outcome.Refuse(outcome.BadRequest, "the body ended early")
 }
 
-// parseCompletion validates a body and removes the fields that the router sets itself.
+// parseCompletion parses and validates a body. It returns either the request or a refusal.
 func parseCompletion(b []byte, chat bool) (*completionRequest, outcome.Outcome) {
 	var all map[string]json.RawMessage
 	if err := json.Unmarshal(b, &all); err != nil {
@@ -119,8 +120,9 @@
 	return req, outcome.Outcome{}
 }
 
-// encodeFields writes a JSON object whose values are byte for byte as the caller wrote them. encoding/json would escape
-// and compact the values. Then the hashes of the prompt's blocks would differ from those that engines report.
+// encodeFields returns a JSON object with the fields in all, whose values stay byte for byte as the caller wrote them.
+// encoding/json would escape and compact the values, and engines would then report other hashes for the prompt's blocks
+// than hashBlocks.
 func encodeFields(all map[string]json.RawMessage) []byte {
 	out := []byte{'{'}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -135,7 +137,7 @@
 	return append(out, '}')
 }
 
-// validate returns the text of the prompt, or a description of the problem.
+// validate returns the text of the prompt. If a field is invalid, it returns a description of the problem instead.
 func (f *completionFields) validate(chat bool) ([]byte, string) {
 	text, field := f.Prompt, "prompt"
 	if chat {
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -23,7 +23,7 @@
 	plainDialTimeout = 500 * time.Millisecond
 	plainMaxAttempts = 3
 	copyBufferBytes  = 32 << 10
-	// plainRetryAfter is the Retry-After value of the refusal if no endpoint of a plain service accepted the call.
+	// plainRetryAfter is the Retry-After value in the refusal of a call that no endpoint of a plain service ran.
 	plainRetryAfter = time.Second
 )
 
@@ -70,8 +70,8 @@
 	}
 }
 
-// choose picks two random endpoints of the service and returns the less loaded of them. It considers only endpoints in
-// the region that are not leaving and not in tried, the endpoints on which this call has failed.
+// choose picks two random endpoints of the service and returns the less loaded of them. It ignores endpoints in other
+// regions, endpoints that are leaving, and the endpoints in tried, on which this call has failed.
 func (p *plainPool) choose(service, region string, tried []string) (*config.Endpoint, *atomic.Int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +91,7 @@
 	return a, p.load[a.Name]
 }
 
-// servePlain routes a call to a plain service.
+// servePlain serves a call to a plain service, that is, one that is not a language model.
 func (x *exchange) servePlain() {
 	s := x.snapshot.cfg.ServiceFor(x.r.URL.Path)
 	if s == nil {
@@ -200,7 +200,7 @@
 	return resp, true, nil
 }
 
-// countedBody decrements the endpoint's load when the response body is closed.
+// countedBody is a response body. Closing it subtracts the call from the endpoint's load.
 type countedBody struct {
 	io.ReadCloser
 	load *atomic.Int64
@@ -212,8 +212,8 @@
 	return b.ReadCloser.Close()
 }
 
-// copyResponse streams the response to the caller. If the endpoint's connection is lost, the
-// caller's connection closes without a proper end as well.
+// copyResponse streams an endpoint's response to the caller. If the endpoint's connection is lost, the caller's
+// connection is closed without a proper end as well.
 func (x *exchange) copyResponse(resp *http.Response) {
 	defer resp.Body.Close()
 	id := x.w.Header().Get(HeaderRequestID)
@@ -233,7 +233,7 @@
 	x.finish(outcome.Outcome{Kind: outcome.Answered})
 }
 
-// callerWriteError marks an error in writing to the caller.
+// callerWriteError is an error in writing to the caller, as opposed to one in reading from the endpoint.
 type callerWriteError struct{ error }
 
 func (x *exchange) copyBody(body io.Reader) error {
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -40,7 +40,7 @@
 	}}
 }
 
-// errorType returns the OpenAI error type for a status.
+// errorType returns the OpenAI error type that corresponds to an HTTP status.
 func errorType(status int) string {
 	switch {
 	case status == http.StatusUnauthorized:
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -9,7 +9,7 @@
 // sentence for each role (prefill or decode) that is short of capacity.
 func (g *Gateway) Engines() ([]decide.EngineState, int, []string) { return g.disp.Engines() }
 
-// RunningIDs returns the ids of the requests in progress, to name those that a forced stop cuts off.
+// RunningIDs returns the ids of the running requests. A forced stop logs them, because it cuts these requests off.
 func (g *Gateway) RunningIDs() []string { return g.disp.Running() }
 
 // addressesOf maps the endpoint names of a configuration to addresses.
--- a/internal/h1/body.go
+++ b/internal/h1/body.go
@@ -69,7 +69,8 @@
 
 var errTooLong = errors.New("the answer is longer than expected")
 
-// DoShort sends a request, reads the whole response of at most maxBytes, and gives up after the timeout.
+// DoShort sends a request and reads the whole response, whose body may have at most maxBytes. It gives up after the
+// timeout.
 func (p *Pool) DoShort(ctx context.Context, timeout time.Duration, r *Request, maxBytes int64) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -87,7 +88,7 @@
 // hopByHop are the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Proxy-Authenticate", "Proxy-Authorization"}
 
-// CopyHeaders copies all headers except hop-by-hop headers.
+// CopyHeaders copies all headers from src to dst, except those that apply to a single connection.
 func CopyHeaders(dst, src http.Header) {
 	for k, v := range src {
 		dst[k] = slices.Clone(v)
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -1,8 +1,9 @@
 // Package h1 sends HTTP/1.1 requests to endpoints (back ends) so that each request is sent at most once.
 //
-// It has its own connection pool, because net/http's Transport has three faults for this purpose. It resends a request
-// when a reused connection turns out to be closed. It takes a surplus response on a connection for the response to the
-// next request. It does not report whether bytes were sent. Messages are still parsed and formatted by net/http.
+// It has its own connection pool, because net/http's Transport does three things that must not happen here. It resends
+// a request when a reused connection turns out to be closed. If an endpoint sends one response too many, it takes that
+// response as the answer to the next request on the connection. It does not report whether bytes were sent. Messages
+// are still parsed and formatted by net/http.
 package h1
 
 import (
@@ -74,7 +75,8 @@
 	dialer net.Dialer
 	// OnDial is called for each new connection; it may be nil.
 	OnDial func()
-	// OnSurplus is called for each response that did not belong to the request sent on its connection; it may be nil.
+	// OnSurplus is called for each surplus response, that is, one that does not belong to the request that was sent on
+	// its connection. It may be nil.
 	OnSurplus func()
 	// OnResponse is called when the headers of a request's own response have arrived, before the body is read. sent is
 	// the time at which the request was sent. OnResponse must not block; it may be nil.
@@ -137,8 +139,8 @@
 	return resp, nil
 }
 
-// write sends the request. A request longer than bufferBytes is sent in the background, because an endpoint may answer
-// before it has read the whole body.
+// write sends the request. A request longer than bufferBytes is sent in the background, because the endpoint may
+// respond before it has read the whole body.
 func (p *Pool) write(c *conn, r *Request, sendResult chan<- error) {
 	var head strings.Builder
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,5 @@
 // Package ops serves the operators of a box (a machine that runs the router): the Connect service that the command-line
-// tool calls, the metrics, and profiles. All of them need an operator key, except metrics that are set to be open.
+// tool calls, the metrics, and profiles. All requests need an operator key; only the metrics can be opened to everyone.
 package ops
 
 import (
@@ -89,7 +89,7 @@
 	return mux
 }
 
-// requireKey passes on only requests whose key authorized accepts.
+// requireKey returns a handler that passes a request on to next only if authorized accepts the request's key.
 func requireKey(authorized func(key string) bool, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -144,7 +144,7 @@
 	behind := s.Peers.Serving()
 	boxes := 1 + len(behind)
 	resp := pollRollout(ctx, version, func() []string {
-		behind = s.Peers.Behind(ctx, version, behind) // Only boxes that were behind are asked again.
+		behind = s.Peers.Behind(ctx, version, behind) // Boxes that already have the version are not asked again.
 		if c := s.Gateway.Config(); c == nil || c.Version < version {
 			return append(slices.Clone(behind), s.Box.Name)
 		}
--- a/internal/ops/relay.go
+++ b/internal/ops/relay.go
@@ -33,9 +33,9 @@
 	OpenMetrics bool
 	// Stop starts a planned stop and returns at once.
 	Stop func()
-	// NearLimit returns the client accounts that are close to their limit, with the fraction of their burst capacity
-	// that is left. It covers the accounts whose limit this box shares out to the other boxes. It is nil if this is not
-	// known.
+	// NearLimit returns the client accounts that are close to their limit, each with the share of its burst capacity
+	// that is left. It covers only the accounts owned by this box: an account's owner divides the account's limit among
+	// the boxes. NearLimit is nil if this is not known.
 	NearLimit func() map[string]float64
 }
 
@@ -76,8 +76,8 @@
 // maxNearLimitNotes is the maximum number of accounts near their limit that a status names.
 const maxNearLimitNotes = 10
 
-// nearLimitNotes returns a sentence for each account that is closest to its limit; left is the return value of
-// NearLimit.
+// nearLimitNotes returns a sentence for each of the accounts that are closest to their limits. left is the share of
+// burst capacity that each account has left, as NearLimit returns it.
 func nearLimitNotes(left map[string]float64) (out []string) {
 	names := slices.SortedFunc(maps.Keys(left), func(a, b string) int {
 		return cmp.Or(cmp.Compare(left[a], left[b]), cmp.Compare(a, b))
--- a/internal/peer/grants.go
+++ b/internal/peer/grants.go
@@ -37,7 +37,7 @@
 	maxGrantSlowdown = 5
 )
 
-// Run reports demands and receives shares at intervals until ctx ends.
+// Run reports demands to the owners and applies the shares that they return, at intervals, until ctx ends.
 func (g *Grants) Run(ctx context.Context) {
 	last := clock.Now()
 	for {
@@ -102,8 +102,8 @@
 	}
 }
 
-// ownerOf returns the box that owns a client. It uses rendezvous hashing: when a box is added or removed, only the
-// clients that this box owns change their owner.
+// ownerOf returns the box that owns a client. It uses rendezvous hashing: if a box is added or removed, only the
+// clients that are owned by that box change their owner.
 func ownerOf(self string, boxes []platform.BoxInfo, client string) string {
 	best, bestHash := self, xxhash.Sum64String(self+"\x00"+client)
 	for _, b := range boxes {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -106,7 +106,7 @@
 	return stoatrampv1connect.NewPeerClient(p.hc, base, connect.WithInterceptors(auth))
 }
 
-// ErrNoPeer means that no peer returned what was asked for.
+// ErrNoPeer means that no other box returned what it was asked for.
 var ErrNoPeer = errors.New("no peer answered")
 
 // Config asks a few random peers for a configuration newer than version known, and returns the newest that it gets. It
@@ -147,8 +147,8 @@
 	return names
 }
 
-// Behind asks the named boxes for their configuration version, and returns the boxes whose version is older than the
-// given one. A box that does not answer is also returned, since it may still serve callers.
+// Behind asks the named boxes which configuration version they use, and returns the names of those whose version is
+// older than the given one. It also names the boxes that do not answer, since they may still serve callers.
 func (p *Peers) Behind(ctx context.Context, version int64, names []string) []string {
 	var mu sync.Mutex
 	var behind []string
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -23,8 +23,8 @@
 	BoxesPath  = "/boxes"
 )
 
-// Errors that tell a caller what happened. After any other error of a write it is not known whether the write took
-// effect, because the service did not answer as expected.
+// Errors with a meaning for the caller. Any other error means that the service did not answer as expected. After such
+// an error it is not known whether a write took effect.
 var (
 	ErrNotFound = errors.New("platform: no such row")
 	// ErrUnchanged is the result of Get if the row still has the version that the caller knows.
@@ -44,7 +44,7 @@
 	Value string `json:"value"`
 }
 
-// Write replaces the value and token of a row, if the version of the row is still IfVersion.
+// Write replaces the value and the token of a row, but only if the row still has the version IfVersion.
 type Write struct {
 	IfVersion int64  `json:"if_version"`
 	Token     string `json:"token"`
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -35,8 +35,8 @@
 	disconnectedAt time.Time // When the stream lost its last connection.
 }
 
-// streamQueue is a slice of waiting streams, sorted by priority. A slice is enough for the some tens of streams that an
-// engine has waiting.
+// streamQueue holds waiting streams, sorted by priority. A sorted slice is enough, because an engine has only some tens
+// of waiting streams.
 type streamQueue []*stream
 
 // serveDecode fetches the KV cache of the prompt, waits for memory and streams the answer.
@@ -185,7 +185,8 @@
 	}
 }
 
-// release ends a running or waiting stream and frees its memory. cause is the reason to count. The caller holds e.mu.
+// release ends a running or waiting stream and frees its memory. cause says why, for EngineCounts.Freed. The caller
+// holds e.mu.
 func (e *Engine) release(s *stream, cause string) {
 	if i := slices.Index(e.running, s); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
@@ -237,8 +238,8 @@
 	e.sendChunks(w, r, s, last+1)
 }
 
-// sendChunks writes the chunks of a stream from number from on. An answer has one chunk per token, then one with the
-// token counts, then the end marker.
+// sendChunks writes the chunks of a stream, beginning with the chunk number from. An answer has one chunk per token,
+// then one chunk with the token counts, then the end marker.
 func (e *Engine) sendChunks(w http.ResponseWriter, r *http.Request, s *stream, from int) {
 	defer e.disconnect(s)
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -304,8 +305,8 @@
 	return "text_completion"
 }
 
-// writeChunk writes the chunk of token i. If the fault applies to this chunk, it writes other chunks before it or
-// leaves it out.
+// writeChunk writes the chunk of token i. If fault f applies to this chunk, writeChunk writes another chunk before it
+// or leaves it out.
 func (s *stream) writeChunk(w http.ResponseWriter, f Fault, i int) {
 	if f.Kind == AnswerOfOther && i == f.After {
 		s.writeToken(w, "another-request-7", 0xbad, i)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -106,7 +106,7 @@
 	return e
 }
 
-// Close stops generating tokens and ends all streams without an end marker.
+// Close stops the engine. All its streams end without an end marker.
 func (e *Engine) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -180,7 +180,7 @@
 // PromptTokens returns the number of tokens of a prompt. The stand-in counts four bytes as a token.
 func PromptTokens(text []byte) int { return max(1, len(text)/4) }
 
-// PromptHash returns a hash of a prompt, from which the stand-in generates the answer.
+// PromptHash returns a hash of a prompt. The stand-in generates its answer to the prompt from this hash.
 func PromptHash(text []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(text)
@@ -281,7 +281,8 @@
 	})
 }
 
-// dropResult drops a KV cache that waits for a decode engine. cause is the reason to count. The caller holds e.mu.
+// dropResult drops a KV cache that waits for a decode engine. cause says why, for EngineCounts.Freed. The caller holds
+// e.mu.
 func (e *Engine) dropResult(result *prefillResult, cause string) {
 	if e.results[result.handle] == result {
 		result.timer.Stop()
@@ -445,8 +446,8 @@
 // defaultCacheBlocks is the capacity of the prefix cache in blocks, if Engine.CacheBlocks is 0.
 const defaultCacheBlocks = 4096
 
-// cachedTokens returns how many tokens at the start of the prompt the prefix cache has, and adds the prompt's other
-// blocks to the cache. If the cache is full, it evicts arbitrary blocks.
+// cachedTokens returns how many tokens at the start of the prompt are in the prefix cache. It adds the prompt's other
+// blocks to the cache, and evicts arbitrary blocks if the cache is full.
 func (e *Engine) cachedTokens(text []byte) int {
 	hits, contiguous := 0, true
 	for _, sum := range blockHashes(text) {
@@ -493,7 +494,8 @@
 	writeJSON(w, takenKV{Tokens: result.tokens, Prompt: result.promptHash})
 }
 
-// takenKV is what a decode engine receives in place of a real KV cache.
+// takenKV is what a decode engine receives in place of a real KV cache: the number of tokens and the hash of the
+// prompt.
 type takenKV struct {
 	Tokens int    `json:"tokens"`
 	Prompt uint64 `json:"prompt"`
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -8,7 +8,7 @@
 // FaultKind is the kind of a fault.
 type FaultKind uint8
 
-// The faults. After and For are fields of Fault; chunks are numbered from 0.
+// The faults. After and For are fields of Fault. The chunks of a stream are numbered from 0.
 const (
 	NoFault        FaultKind = iota
 	Refuse                   // Refuse the call and say that it was not run.
@@ -27,13 +27,13 @@
 // CallKind is the kind of call that a fault applies to: prefill or decode.
 type CallKind uint8
 
-// The calls.
+// The kinds of calls.
 const (
 	AtPrefill CallKind = iota
 	AtDecode
 )
 
-// Fault is a failure that an engine is told to show.
+// Fault is a failure that a test makes an engine show.
 type Fault struct {
 	Call  CallKind
 	Kind  FaultKind
@@ -60,7 +60,8 @@
 	}
 }
 
-// takeFault returns the fault to apply to a call of kind at; its Kind is NoFault if there is none.
+// takeFault returns the fault to apply to a call of this kind. If there is none, the Kind of the returned fault is
+// NoFault.
 func (e *Engine) takeFault(kind CallKind) Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/memtable.go
+++ b/internal/standin/memtable.go
@@ -39,7 +39,7 @@
 		time.Duration(t.rng.IntN(200)) * time.Microsecond
 }
 
-// Get reads a row.
+// Get reads a row. It returns platform.ErrUnchanged if the row has the version known.
 func (t *MemTable) Get(_ context.Context, key string, known int64) (platform.Row, error) {
 	lost, down, _, pause := t.selectFaults()
 	time.Sleep(pause)
