--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -15,7 +15,7 @@
 	"github.com/stoatramp/stoatramp/internal/policy"
 )
 
-// CompareCmd runs all routers on the same arrivals.
+// CompareCmd simulates several routers on the same arrivals: the decision core (package decide) and the baselines.
 type CompareCmd struct {
 	Mix    string        `default:"kalbarri,norrvik" help:"Workloads: kalbarri, norrvik, letter."`
 	Loads  string        `default:"0.5,0.8,0.95,1.1,1.3" help:"Loads, as shares of the site's saturation rate."`
@@ -28,7 +28,9 @@
 	JSON   bool          `name:"json" help:"Print JSON."`
 }
 
-// Result is the result of one router.
+// Result is the result of one router. Good is the goodput: the number of requests that were answered within both
+// latency targets (first token and between tokens). Bound is an upper bound on Good for any router. WastedTokens is the
+// number of prompt tokens that were processed for a request and not used for an answer.
 type Result struct {
 	Mix           string         `json:"mix"`
 	Load          float64        `json:"load"`
@@ -49,9 +51,10 @@
 	FirstP95MS    float64        `json:"first_p95_ms"`
 	BetweenP95MS  float64        `json:"between_p95_ms"`
 	EndReasons    map[string]int `json:"ends"`
-	// GoodByClient is the share of each client's requests that met both targets.
+	// GoodByClient is, for each client, the share of its requests that were answered within both latency targets.
 	GoodByClient map[string]float64 `json:"good_by_client"`
-	// GoodBySecond is the goodput of each second, as a share of that second's arrivals.
+	// GoodBySecond is, for each second, the share of the requests arriving in it that were answered within both
+	// targets.
 	GoodBySecond []float64 `json:"by_second"`
 
 	firstTokens, tokenGaps []time.Duration
@@ -66,7 +69,7 @@
 	return append(append([]string{}, ruleNames[:]...), "stoatramp")
 }
 
-// Run prints the comparison.
+// Run simulates all routers and prints the results.
 func (c *CompareCmd) Run() error {
 	var all []Result
 	faults := []string{c.Fault}
@@ -171,15 +174,15 @@
 	return r
 }
 
-// runArrivals runs the simulation over the arrivals, and drainTime longer.
+// runArrivals simulates until drainTime after the last moment at which requests arrive.
 func (r *simulation) runArrivals(reqs []*request, seed uint64, length time.Duration, fault string) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	for box := range r.boxes {
 		r.deliver(box, r.m.fleet())
 	}
-	for _, q := range reqs {
+	for _, req := range reqs {
 		box := rng.IntN(len(r.boxes))
-		r.at(r.start.Add(q.at), func() { r.submit(q, box) })
+		r.at(r.start.Add(req.at), func() { r.submit(req, box) })
 	}
 	r.every(sampleInterval, func() {
 		for _, e := range r.engineList {
@@ -213,26 +216,26 @@
 	})
 }
 
-func (r *simulation) submit(q *request, box int) {
-	f := &simFlight{request: q, box: box, arrived: r.now}
-	r.flights[q.ID] = f
-	r.deliver(box, decide.Submit{Request: q.Request})
-	if q.cancelAfter > 0 {
-		r.after(q.cancelAfter, func() {
+func (r *simulation) submit(req *request, box int) {
+	f := &simFlight{request: req, box: box, arrived: r.now}
+	r.flights[req.ID] = f
+	r.deliver(box, decide.Submit{Request: req.Request})
+	if req.cancelAfter > 0 {
+		r.after(req.cancelAfter, func() {
 			if !f.ended {
 				f.ended = true
 				r.res.Cancelled++
 				r.countWaste(f)
-				r.deliver(box, decide.Cancel{ID: q.ID})
+				r.deliver(box, decide.Cancel{ID: req.ID})
 			}
 		})
 	}
 }
 
-// summarize computes the figures of the run.
+// summarize computes the figures of the result after the simulation has ended.
 func (r *simulation) summarize(reqs []*request, length time.Duration) {
-	for _, q := range reqs {
-		if f := r.flights[q.ID]; f != nil && !f.ended {
+	for _, req := range reqs {
+		if f := r.flights[req.ID]; f != nil && !f.ended {
 			r.res.Lost++
 			r.res.EndReasons["unfinished"]++
 			r.countWaste(f)
@@ -245,8 +248,8 @@
 	res.GoodByClient = goodByClient(reqs, res.goodIDs)
 	n := int(length.Seconds())
 	arrived, good := make([]float64, n), make([]float64, n)
-	for _, q := range reqs {
-		arrived[min(n-1, int(q.at.Seconds()))]++
+	for _, req := range reqs {
+		arrived[min(n-1, int(req.at.Seconds()))]++
 	}
 	for _, at := range res.goodAt {
 		good[min(n-1, int(at.Seconds()))]++
@@ -261,10 +264,10 @@
 
 func goodByClient(reqs []*request, good map[decide.ID]bool) map[string]float64 {
 	all, n := map[string]float64{}, map[string]float64{}
-	for _, q := range reqs {
-		all[q.Client]++
-		if good[q.ID] {
-			n[q.Client]++
+	for _, req := range reqs {
+		all[req.Client]++
+		if good[req.ID] {
+			n[req.Client]++
 		}
 	}
 	for c := range all {
@@ -273,7 +276,7 @@
 	return all
 }
 
-// formatShares formats the clients' shares in alphabetical order.
+// formatShares formats the share of good requests of each client, in alphabetical order of the clients.
 func formatShares(byClient map[string]float64) string {
 	var parts []string
 	for _, c := range slices.Sorted(maps.Keys(byClient)) {
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -5,33 +5,33 @@
 	"strings"
 )
 
-// Rules is the shared configuration of the boxes on a platform that manages routes and
-// endpoints itself. It has only the policies, the requests they apply to, and the operators.
+// Rules is the shared configuration of relay boxes. Their platform manages routes and endpoints, so Rules has only
+// policies, the rules that assign policies to requests, and the operators.
 type Rules struct {
 	Version  int64
 	Policies []*Policy
-	// Rules are evaluated in order; the first match decides.
+	// Rules are tried in order. The first rule that matches a request decides which policy applies to it.
 	Rules     []*Rule
 	Operators []*Operator
 }
 
-// Rule assigns a policy to requests. It refers to no route by name, because the names on a
-// platform change with its configuration.
+// Rule assigns a policy to requests. It selects requests by their properties and not by the name of a route, because
+// the names of a platform's routes change with its configuration.
 type Rule struct {
 	Name   string
 	Policy string
-	// Kind is once, repeatable or stream; empty matches all.
+	// Kind is a kind in ruleKinds; empty matches all requests.
 	Kind string
-	// Service is the service's name; empty matches all.
+	// Service is the name of a service; empty matches all services.
 	Service string
-	// Priority is that of the route, 0 the highest; AnyPriority matches all.
+	// Priority is the priority of the request's route, 0 being the highest; AnyPriority matches all priorities.
 	Priority int
 }
 
 // AnyPriority matches routes of every priority.
 const AnyPriority = -1
 
-// Matches reports whether the rule matches requests of such a route.
+// Matches reports whether the rule applies to a request of this kind, service and priority.
 func (r *Rule) Matches(kind, service string, priority int) bool {
 	return (r.Kind == "" || r.Kind == kind) &&
 		(r.Service == "" || r.Service == service) &&
@@ -44,10 +44,11 @@
 	KeySHA256 string
 }
 
-// The kinds of requests that a rule may match.
+// ruleKinds are the values of Rule.Kind: requests that may run only once, requests that may be repeated, and streams.
 var ruleKinds = []string{"once", "repeatable", "stream"}
 
-// ParseRules parses and validates a text. checkPolicy compiles a program and runs its test cases.
+// ParseRules parses and validates a configuration of relay boxes. checkPolicy compiles a policy's program and runs its
+// test cases.
 func ParseRules(file string, text []byte, checkPolicy func(*Policy) error) (*Rules, error) {
 	d, err := openDocument(file, text)
 	if err != nil {
@@ -113,7 +114,7 @@
 	return r
 }
 
-// OperatorByKey returns the operator with this key; nil if there is none.
+// OperatorByKey returns the operator who has this key; nil if there is none.
 func (c *Rules) OperatorByKey(key string) *Operator {
 	for _, o := range c.Operators {
 		if KeyMatches(key, o.KeySHA256) {
@@ -123,10 +124,11 @@
 	return nil
 }
 
-// SetSection replaces a section of a document's text, or appends it.
+// SetSection returns the text with the body of one section replaced. If the text has no section of this name,
+// SetSection appends one.
 //
-// Example: SetSection(text, "operator ana", "key_sha256 = 2d71…") keeps all other
-// sections, their order and their comments.
+// Example: SetSection(text, "operator ana", "key_sha256 = 2d71…") keeps all other sections, their order and their
+// comments.
 func SetSection(text, name, body string) string {
 	section := fmt.Sprintf("[%s]\n%s\n", name, strings.TrimRight(body, "\n"))
 	start, end := findSection(text, name)
@@ -139,7 +141,7 @@
 	return text[:start] + section + text[end:]
 }
 
-// RemoveSection removes a section; ok is false if there is none.
+// RemoveSection returns the text without one section. ok is false if the text has no such section.
 func RemoveSection(text, name string) (out string, ok bool) {
 	start, end := findSection(text, name)
 	if start < 0 {
@@ -148,23 +150,23 @@
 	return text[:start] + text[end:], true
 }
 
-// findSection returns the offsets at which a section starts and ends; start is -1 if there
-// is none. Section headers inside """ text are ignored.
+// findSection returns the byte offsets of the start and the end of a section. start is -1 if there is no such section.
+// Lines inside """ quotes do not count as section headers.
 func findSection(text, name string) (start, end int) {
-	start, inText, at := -1, false, 0
+	start, inText, offset := -1, false, 0
 	for line := range strings.Lines(text) {
 		trimmed := strings.TrimSpace(line)
 		header := !inText && strings.HasPrefix(trimmed, "[") && strings.HasSuffix(trimmed, "]")
 		if header && start >= 0 {
-			return start, at
+			return start, offset
 		}
 		if header && trimmed == "["+name+"]" {
-			start = at
+			start = offset
 		}
 		if strings.Count(trimmed, `"""`)%2 == 1 {
 			inText = !inText
 		}
-		at += len(line)
+		offset += len(line)
 	}
 	return start, len(text)
 }
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -12,10 +12,11 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// completionWriter writes chunks to the caller in the requested form.
+// completionWriter writes the chunks of an engine's answer to the caller, either as a stream of events or as one JSON
+// document.
 type completionWriter interface {
 	chunk(c *engine.Chunk, flush bool) error
-	// end completes the response; it is called only when the answer is complete.
+	// end completes the response. It is called only when the engine has sent the whole answer; u may be nil.
 	end(u *engine.Usage) error
 }
 
@@ -31,15 +32,15 @@
 	return &streamWriter{x: x, rc: http.NewResponseController(x.w), id: string(quoted), usage: req.IncludeUsage}
 }
 
-// streamWriter forwards chunks as server-sent events. It writes nothing before the first
-// token, so that a request that fails before it can be refused with an HTTP status.
+// streamWriter forwards chunks as server-sent events. It writes nothing before the first token, so that a request
+// that fails before its first token can still be refused with an HTTP status.
 type streamWriter struct {
 	x             *exchange
 	rc            *http.ResponseController
 	id            string // The completion id sent to the caller, as a JSON string.
-	usage         bool   // Whether the caller asked for the usage chunk.
+	usage         bool   // Whether the caller asked for a last chunk with the token counts (the usage chunk).
 	buf           []byte
-	writeDeadline time.Time // The deadline set on the connection.
+	writeDeadline time.Time // The write deadline that is now set on the connection.
 }
 
 func (s *streamWriter) chunk(c *engine.Chunk, flush bool) error {
@@ -62,13 +63,12 @@
 	h := s.x.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
-	h.Set("X-Accel-Buffering", "no") // Keeps the platform's load balancer from buffering tokens.
+	h.Set("X-Accel-Buffering", "no") // Tells a load balancer in front of the box not to buffer tokens.
 	s.x.w.WriteHeader(http.StatusOK)
 }
 
-// write sends buf under a deadline that bounds how long a caller may leave the response
-// unread. The deadline is extended only after half of it has passed, because each
-// extension resets a timer.
+// write sends buf under a write deadline, which bounds how long a caller may leave the response unread. The deadline
+// is moved only after half of it has passed, because each move resets a timer.
 func (s *streamWriter) write(flush bool) error {
 	timeout := s.x.g.box.WriteTimeout
 	if now := time.Now(); s.writeDeadline.Sub(now) < timeout/2 {
@@ -92,8 +92,8 @@
 	return s.write(true)
 }
 
-// abortStream signals to the caller that its stream is incomplete: it sends an error event
-// and no end marker, and closes the connection without the final HTTP chunk.
+// abortStream shows the caller that its stream is incomplete. It sends an error event instead of the end marker. Then
+// it closes the connection without the chunk that ends an HTTP response.
 func (x *exchange) abortStream(o outcome.Outcome) {
 	o.Kind = outcome.CutOff
 	b, _ := json.Marshal(refusalOf(o, x.rec.ID))
@@ -103,7 +103,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// bufferedWriter collects the chunks into one JSON response.
+// bufferedWriter collects the chunks of an answer into one JSON response, for a caller that did not ask for a stream.
 type bufferedWriter struct {
 	x       *exchange
 	chat    bool
@@ -122,7 +122,7 @@
 	Usage   *engine.Usage `json:"usage,omitempty"`
 }
 
-// choice collects the pieces of one choice.
+// choice collects the pieces of one of the alternative answers ("choices") that a request may ask for.
 type choice struct {
 	text         strings.Builder
 	reasoning    strings.Builder
@@ -188,8 +188,8 @@
 	})
 }
 
-// addToolCall adds a piece of a tool call: the first has the name, later ones append to
-// the arguments.
+// addToolCall adds a piece of a tool call. The first piece of a call carries the function's name; later pieces append
+// to the function's arguments.
 func (c *choice) addToolCall(t gjson.Result) {
 	i := int(t.Get("index").Int())
 	if i < 0 || i > len(c.toolCalls) {
--- a/internal/gateway/ids.go
+++ b/internal/gateway/ids.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// idSource generates request ids such as "box1-sx2k9f-7pdw0-42": the box, its incarnation,
-// the minute and a counter. An id tells where and when its record was written, so that the
+// idSource generates request ids such as "box1-sx2k9f-7pdw0-42". The parts are the name of the box, the start time of
+// its process, the minute and a counter. The id alone tells where and when the request's record was written, so the
 // record can be found without an index.
 type idSource struct {
 	prefix string
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -17,21 +17,21 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// completionRequest is a parsed completion request.
+// completionRequest is a parsed and validated completion request.
 type completionRequest struct {
 	Chat         bool
 	Model        string
 	Stream       bool
 	IncludeUsage bool
-	MaxTokens    int // 0 where the caller gave no limit.
+	MaxTokens    int // 0 if the caller gave no limit.
 	Choices      int
 	PromptTokens int // Estimated from the length of the prompt.
 	Blocks       []uint64
-	// CallerFields is a JSON object of the caller's fields, without those in engine.OverriddenFields.
+	// CallerFields is a JSON object with the fields of the caller's body, without those in engine.OverriddenFields.
 	CallerFields []byte
 }
 
-// completionFields are the fields that the router reads.
+// completionFields are the fields of a request body that the router reads.
 type completionFields struct {
 	Model               string                `json:"model"`
 	Messages            json.RawMessage       `json:"messages"`
@@ -44,12 +44,13 @@
 }
 
 const (
-	// bytesPerToken estimates the tokens of JSON text. Only predictions use it; rate limits
-	// count the tokens that the engine reports.
+	// bytesPerToken is used to estimate the number of tokens of a prompt from its length. The estimate serves routing
+	// only; rate limits count the tokens that the engine reports.
 	bytesPerToken = 4
-	// maxPrefixBlocks bounds the prompt prefix that is hashed for cache affinity: 16,384 tokens.
+	// maxPrefixBlocks bounds how many blocks of a prompt are hashed. The hashes serve to find engines that have the
+	// start of the prompt in their prefix cache. 128 blocks are 16,384 tokens.
 	maxPrefixBlocks = 128
-	// maxChoices bounds the choices of one request.
+	// maxChoices bounds the number of alternative answers ("choices") that one request may ask for.
 	maxChoices = 16
 )
 
@@ -62,14 +63,15 @@
 	return parseCompletion(b, x.r.URL.Path == engine.ChatPath)
 }
 
-// readBody buffers the whole body, because the routing decision needs its length and
-// prefix. Its size and read time are bounded.
+// readBody buffers the whole body, because the choice of engines needs its length and its prefix. Its size and read
+// time are bounded.
 func (x *exchange) readBody() ([]byte, outcome.Outcome) {
 	rc := http.NewResponseController(x.w)
 	_ = rc.SetReadDeadline(time.Now().Add(x.g.box.BodyTimeout))
 	b, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, x.g.box.MaxBody))
 	if err == nil {
-		// Clear the deadline, which would otherwise end net/http's detection of a caller that disconnects.
+		// Clear the read deadline. If it passed during the response, net/http could no longer detect that the caller
+		// disconnects.
 		_ = rc.SetReadDeadline(time.Time{})
 		return b, outcome.Outcome{}
 	}
@@ -84,7 +86,7 @@
 	return nil, outcome.Refuse(outcome.BadRequest, "the body ended early")
 }
 
-// parseCompletion validates a body and removes the fields that the router sets itself.
+// parseCompletion parses and validates a body. It returns either the request or a refusal.
 func parseCompletion(b []byte, chat bool) (*completionRequest, outcome.Outcome) {
 	var all map[string]json.RawMessage
 	if err := json.Unmarshal(b, &all); err != nil {
@@ -118,9 +120,9 @@
 	return req, outcome.Outcome{}
 }
 
-// encodeFields writes a JSON object of fields byte for byte as the caller wrote them.
-// encoding/json would escape and compact them, and the hash of the prefix would no longer
-// match what engines report.
+// encodeFields returns a JSON object with the fields in all, whose values stay byte for byte as the caller wrote them.
+// encoding/json would escape and compact the values, and engines would then report other hashes for the prompt's blocks
+// than hashBlocks.
 func encodeFields(all map[string]json.RawMessage) []byte {
 	out := []byte{'{'}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -135,7 +137,7 @@
 	return append(out, '}')
 }
 
-// validate returns the text of the prompt, or a description of the problem.
+// validate returns the text of the prompt. If a field is invalid, it returns a description of the problem instead.
 func (f *completionFields) validate(chat bool) ([]byte, string) {
 	text, field := f.Prompt, "prompt"
 	if chat {
@@ -168,7 +170,8 @@
 	return 0
 }
 
-// hashBlocks returns a chained hash for each leading block of the prompt.
+// hashBlocks returns a hash for each whole block at the start of the prompt, up to maxPrefixBlocks. Each hash covers
+// all blocks up to and including its own.
 func hashBlocks(text []byte) []uint64 {
 	const size = engine.CacheBlockBytes // One block holds decide.BlockTokens tokens.
 	n := min(len(text)/size, maxPrefixBlocks)
