--- a/internal/bench/bound.go
+++ b/internal/bench/bound.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// demand is the least that a request needs of a site's engines.
+// demand is the least work and memory that a request needs from the engines of a site.
 type demand struct {
-	prefillSeconds float64 // Seconds in which one prefill engine is busy with the prompt.
-	decodeTokens   float64 // Tokens of the answer.
-	kvTokenSeconds float64 // KV memory in a decode engine, in tokens, times the seconds for which it is reserved.
-	linkSeconds    float64 // Seconds in which one engine's link is busy with the transfer of the KV cache.
+	prefillSeconds float64 // The time in which a prefill engine processes the prompt.
+	decodeTokens   float64 // The number of tokens of the answer.
+	kvTokenSeconds float64 // The KV memory reserved in a decode engine, in tokens, times the seconds of the reservation.
+	linkSeconds    float64 // The time in which a link transfers the KV cache of the prompt.
 }
 
-// minDemand returns the least that a request needs. It assumes that a block of the prompt is cached on every engine as
-// soon as any engine has processed it, and that every stream is alone on its decode engine. seen is the set of blocks
-// that were processed; minDemand adds the blocks of this request.
+// minDemand returns the least that a request needs. It assumes that a block of a prompt is cached on every engine as
+// soon as any engine has processed it, and that each stream has its decode engine for itself. seen holds the blocks
+// that have been processed; minDemand adds those of this request.
 func (m *mix) minDemand(r *request, seen map[uint64]bool) demand {
 	cached := 0
 	for _, b := range r.Blocks {
@@ -36,9 +36,9 @@
 	}
 }
 
-// maxTokenRate returns the highest number of tokens per second that one decode engine generates while the time between
-// tokens stays within the target. The rate grows with the number of streams that run at the same time, so it is the
-// rate at the largest number that the target allows.
+// maxTokenRate returns the highest number of tokens per second that one decode engine generates while its time from
+// token to token stays within the target. More streams at the same time give more tokens per second, so the engine runs
+// as many streams as the target allows.
 func (m *mix) maxTokenRate(target time.Duration) float64 {
 	n := 1
 	for m.model.StepOf(n+1) <= target {
@@ -82,8 +82,8 @@
 	return min(best, countFitting(demands, func(w demand) float64 { return w.kvTokenSeconds }, memory))
 }
 
-// windowBound returns how many requests can be served, summed over all windows. size selects the resource: it returns
-// the seconds of prefill or of the link that a request needs.
+// windowBound returns an upper bound on the number of requests served, summed over all windows of time. size selects
+// the resource that limits them: it returns the seconds of prefill or of the link that one request needs.
 func (m *mix) windowBound(reqs []*request, demands []demand, window, length time.Duration, size func(demand) float64) int {
 	total := 0
 	for start := time.Duration(0); start < length; start += window {
@@ -100,7 +100,8 @@
 	return total
 }
 
-// countFitting returns how many requests fit into the capacity, if the requests with the smallest sizes are served.
+// countFitting returns the largest number of requests that fit into the capacity, which is reached with the smallest
+// ones.
 func countFitting(demands []demand, size func(demand) float64, capacity float64) int {
 	sizes := make([]float64, len(demands))
 	for i, w := range demands {
@@ -117,7 +118,7 @@
 	return n
 }
 
-// saturationRate returns the rate of arrivals, in requests per second, at which the scarcest resource is fully used.
+// saturationRate returns the arrival rate, in requests per second, at which the site's scarcest resource is fully used.
 func (m *mix) saturationRate() float64 {
 	const sample = 20000
 	reqs := m.arrivals(99, 1000, sample/1000*time.Second, 0)
@@ -128,8 +129,8 @@
 		sum.prefillSeconds += w.prefillSeconds
 		sum.decodeTokens += w.decodeTokens
 		sum.linkSeconds += w.linkSeconds
-		// Memory is reserved for the requested maximum of tokens, and for the time that the answer takes at the target
-		// for the time between tokens.
+		// Memory is reserved for the prompt and the requested maximum of tokens. It stays reserved for the whole
+		// answer, with the target as the time between two tokens.
 		sum.kvTokenSeconds += float64(r.outputTokens) * r.BetweenTokens.Seconds() * float64(r.PromptTokens+r.MaxTokens)
 	}
 	n := float64(len(reqs))
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -15,7 +15,8 @@
 	"github.com/stoatramp/stoatramp/internal/policy"
 )
 
-// CompareCmd simulates several routers on the same arrivals: the decision core (package decide) and the baselines.
+// CompareCmd simulates several routers on the same arrivals: the decision core of this project (package decide) and the
+// conventional routers of type baseline.
 type CompareCmd struct {
 	Mix    string        `default:"kalbarri,norrvik" help:"Workloads: kalbarri, norrvik, letter."`
 	Loads  string        `default:"0.5,0.8,0.95,1.1,1.3" help:"Loads, as shares of the site's saturation rate."`
@@ -28,9 +29,9 @@
 	JSON   bool          `name:"json" help:"Print JSON."`
 }
 
-// Result is the result of one router. Good is the goodput: the number of requests that were answered within both
-// latency targets (first token and between tokens). Bound is an upper bound on Good for any router. WastedTokens is the
-// number of prompt tokens that were processed for a request and not used for an answer.
+// Result holds the figures of one router in one simulation. Good is the goodput: the number of requests answered within
+// both latency targets, for the first token and between tokens. Bound is an upper bound on Good for any router.
+// WastedTokens is the number of prompt tokens that were processed and then not used for an answer.
 type Result struct {
 	Mix           string         `json:"mix"`
 	Load          float64        `json:"load"`
@@ -51,10 +52,10 @@
 	FirstP95MS    float64        `json:"first_p95_ms"`
 	BetweenP95MS  float64        `json:"between_p95_ms"`
 	EndReasons    map[string]int `json:"ends"`
-	// GoodByClient is, for each client, the share of its requests that were answered within both latency targets.
+	// GoodByClient is the share of each client's requests that were answered within both latency targets.
 	GoodByClient map[string]float64 `json:"good_by_client"`
-	// GoodBySecond is, for each second, the share of the requests arriving in it that were answered within both
-	// targets.
+	// GoodBySecond has, for each second of the run, the share of the requests arriving in that second that were
+	// answered within both latency targets.
 	GoodBySecond []float64 `json:"by_second"`
 
 	firstTokens, tokenGaps []time.Duration
@@ -174,7 +175,7 @@
 	return r
 }
 
-// runArrivals simulates until drainTime after the last moment at which requests arrive.
+// runArrivals runs the simulation for the time in which requests arrive (length), and for drainTime after it.
 func (r *simulation) runArrivals(reqs []*request, seed uint64, length time.Duration, fault string) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	for box := range r.boxes {
@@ -276,7 +277,7 @@
 	return all
 }
 
-// formatShares formats the share of good requests of each client, in alphabetical order of the clients.
+// formatShares formats the values of Result.GoodByClient, in alphabetical order of the clients.
 func formatShares(byClient map[string]float64) string {
 	var parts []string
 	for _, c := range slices.Sorted(maps.Keys(byClient)) {
--- a/internal/bench/drive.go
+++ b/internal/bench/drive.go
@@ -43,11 +43,11 @@
 
 // outcomeCounts counts how the requests ended.
 type outcomeCounts struct {
-	Complete      int // Answered completely, with the answer to this request.
-	Wrong         int // Ended like a complete answer, but with other content.
+	Complete      int // Answered completely and with the right content.
+	Wrong         int // Answered with an end marker, but with other content.
 	CutOff        int // The stream ended without its end marker.
-	Refused       int // Refused as not run by each box that was tried.
-	Unknown       int // An engine may have run the request, so it was not sent again.
+	Refused       int // No box ran the request: each box that was tried refused it.
+	Unknown       int // It is not known whether the request ran, so it was not sent again.
 	AnsweredTwice int // Two requests with the same idempotency key were both answered.
 	Resent        int // Sent again after a box had refused the request as not run.
 	Reasons       map[string]int
@@ -140,8 +140,8 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	if err == nil && once {
-		// Act as a caller that lost its answer, and send the request again with the same idempotency key. The second
-		// request must not be answered.
+		// Act like a caller that has lost its answer: send the request again with the same idempotency key. A box must
+		// not answer this second request.
 		if again := c.send(prompt, true); again == nil {
 			c.count(func(d *outcomeCounts) { d.AnsweredTwice++ })
 		}
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -7,14 +7,14 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// faultNames are the faults that the value "all" of --fault stands for.
+// faultNames are the faults that "--fault all" simulates, one after another.
 var faultNames = []string{"none", "prefill-dies", "decode-dies", "link", "frozen", "third", "cancels", "two"}
 
 // faultLength is how long a fault lasts.
 const faultLength = 10 * time.Second
 
-// inject schedules a fault that starts after a third of the length. Engines that crash start again after faultLength,
-// without any requests; their prefix caches survive.
+// inject schedules a fault that starts after a third of length, the time in which requests arrive. An engine that
+// crashes starts again after faultLength. It then has no requests, but its prefix cache has survived.
 func (r *simulation) inject(fault string, length time.Duration) {
 	at := r.start.Add(length / 3)
 	prefills, decodes := r.engineList[:r.m.prefills], r.engineList[r.m.prefills:]
@@ -54,7 +54,8 @@
 // burstLength is how long a burst of arrivals lasts.
 const burstLength = 5 * time.Second
 
-// withBurst adds requests that double the rate of arrivals for burstLength, starting after a third of the length.
+// withBurst doubles the rate of arrivals for burstLength, starting after a third of length, the time in which requests
+// arrive.
 func (m *mix) withBurst(seed uint64, reqs []*request, rate float64, length time.Duration) []*request {
 	for _, req := range m.arrivals(seed+77, rate, burstLength, 0) {
 		req.at += length / 3
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -111,8 +111,8 @@
 	return v[min(len(v)-1, int(p*float64(len(v))))]
 }
 
-// round sends all streams once and waits for their ends. The starts are staggered so that the streams don't all
-// generate their tokens at the same moments.
+// round sends all streams once and waits until they have ended. Their starts are staggered, so that they don't all
+// generate tokens at the same moments.
 func (c *LoadCmd) round(s *measurement, call func(context.Context, string) (time.Duration, int, error)) {
 	var wg sync.WaitGroup
 	for i := range c.Streams {
@@ -208,7 +208,7 @@
 	return v.Choices[0].Text
 }
 
-// direct sends the prefill and the decode of a request to engines, as the box does, but takes the engines in turn. It
+// direct sends the prefill and the decode of a request to engines without a box. It takes the engines in turn. It
 // returns the time to the first token and the number of tokens.
 func (c *LoadCmd) direct(ctx context.Context, prompt string) (time.Duration, int, error) {
 	i := int(c.n.Add(1))
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -9,24 +9,25 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// mix is a simulated site (its engines) with its workload (the classes of requests that arrive).
+// mix is a simulated site with its workload: the engines, and the classes of requests that arrive.
 type mix struct {
 	name              string
 	prefills, decodes int
 	halls             int
 	model             cost.Model
 	classes           []requestClass
-	// rateAmplitude is how far the rate of arrivals oscillates around its mean, as a share of the mean; ratePeriod is
-	// the period. The oscillation imitates the site's certification windows, in which more requests arrive.
+	// The rate of arrivals oscillates around its mean with the period ratePeriod. rateAmplitude is the amplitude as a
+	// share of the mean. This imitates a site at which more requests arrive in certain windows of time (certification
+	// windows).
 	rateAmplitude float64
 	ratePeriod    time.Duration
 }
 
-// requestClass describes requests of one kind. Its share is the part of all arrivals that are of this kind.
+// requestClass is a class of similar requests. share is the part of all requests that belong to the class.
 type requestClass struct {
 	share                     float64
 	promptLow                 int // The least number of prompt tokens without the shared prefix.
-	promptHigh                int // The largest number; the numbers are log-uniformly distributed.
+	promptHigh                int // The largest such number. The numbers are log-uniformly distributed.
 	prefixes                  int // The number of different prefixes that prompts share; 0 if prompts share none.
 	prefixTokens              int
 	outputLow, outputHigh     int
@@ -65,7 +66,8 @@
 	}
 }
 
-// request is one simulated request. It arrives at the time at after the start, and its answer has outputTokens tokens.
+// request is one simulated request. at is the time of its arrival, counted from the start; outputTokens is the length
+// of its answer.
 type request struct {
 	decide.Request
 	at           time.Duration
@@ -73,8 +75,8 @@
 	cancelAfter  time.Duration // How long after its arrival the caller cancels it; 0 if the caller does not.
 }
 
-// arrivals generates the requests of a run. They depend on the seed, but not on the router that serves them. cancels is
-// the probability that a caller cancels its request.
+// arrivals generates the requests of a run. The same seed gives the same requests for every router. cancels is the
+// probability that a caller cancels its request.
 func (m *mix) arrivals(seed uint64, rate float64, length time.Duration, cancels float64) []*request {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var out []*request
--- a/internal/bench/sim.go
+++ b/internal/bench/sim.go
@@ -15,7 +15,7 @@
 const (
 	// messageDelay is how long a message takes between a box (a machine that runs the router) and an engine.
 	messageDelay = 200 * time.Microsecond
-	// reportLag is the minimum age of the figures in an engine's load report.
+	// reportLag is how old the figures in an engine's load report are at least.
 	reportLag = 200 * time.Millisecond
 	// sampleInterval is how often an engine takes the figures for its load reports.
 	sampleInterval = 50 * time.Millisecond
@@ -28,7 +28,8 @@
 	cacheCapacity = 960
 )
 
-// decider makes the decisions of a simulated router. It is the decision core (decide.Core) or a baseline.
+// decider makes the decisions of a simulated router. It is the decision core (decide.Core) or a conventional router
+// (baseline).
 type decider interface {
 	Step(now time.Time, ev decide.Event) []decide.Action
 }
@@ -66,7 +67,8 @@
 	engines    map[string]*simEngine
 	engineList []*simEngine
 	flights    map[decide.ID]*simFlight
-	// transfers are the KV transfers that are in progress. Their bytesLeft is that at the time transfersAt.
+	// transfers are the KV transfers in progress. The field bytesLeft of each transfer is valid at the time
+	// transfersAt.
 	transfers   []*transfer
 	transfersAt time.Time
 	wakeUpSeq   int
@@ -146,8 +148,8 @@
 	f.unusedPrefill = 0
 }
 
-// call is one call to an engine, either a prefill or a decode. A decode fetches the KV cache that the request's attempt
-// kvAttempt left on the engine kvSource.
+// call is one call to an engine, either a prefill or a decode. A decode call fetches the KV cache from the engine
+// kvSource, where the prefill call with the attempt number kvAttempt has left it.
 type call struct {
 	flight         *simFlight
 	attempt        decide.Attempt
@@ -175,9 +177,9 @@
 	calls        map[callKey]*call
 	queue        []*call // Waiting prefills; the most urgent is first.
 	busy         bool
-	queuedTokens int // Tokens to process in waiting and running prefills, without those that were cached when last checked.
+	queuedTokens int // Tokens to process for waiting and running prefills, without cached tokens.
 	results      map[callKey]*call
-	cache        map[uint64]int // The value of cacheClock at the last use of each block.
+	cache        map[uint64]int // For each block, the value of cacheClock when the block was last used.
 	cacheClock   int
 	waiting      []*call
 	running      []*call
@@ -186,7 +188,7 @@
 	transfers    int // The number of KV transfers that now use its link.
 
 	dead    bool
-	stalled bool // New KV transfers to this engine never end.
+	stalled bool // KV transfers to this engine that start now never end.
 	frozen  bool // The engine takes no new figures for its load reports.
 	samples []loadSample
 }
@@ -380,8 +382,8 @@
 	r.scheduleTransferWakeUp()
 }
 
-// advanceTransfers updates all transfers to the current time. It ends transfers that are complete, and those whose call
-// was stopped or one of whose engines crashed.
+// advanceTransfers updates all transfers to the current time. It ends the transfers that are complete. It also ends a
+// transfer if its call was stopped or one of its two engines has crashed.
 func (r *simulation) advanceTransfers() {
 	passed := r.now.Sub(r.transfersAt).Seconds()
 	r.transfersAt = r.now
@@ -421,7 +423,8 @@
 	if soonest < 0 {
 		return
 	}
-	// Only the wake-up scheduled last has an effect. Otherwise an older one would schedule wake-ups of its own.
+	// Only the wake-up that was scheduled last has an effect. If earlier ones had an effect too, each would go on to
+	// schedule further wake-ups.
 	r.wakeUpSeq++
 	seq := r.wakeUpSeq
 	r.after(time.Duration(soonest*float64(time.Second))+time.Nanosecond, func() {
@@ -432,7 +435,7 @@
 	})
 }
 
-// removeCall ends a call. It takes the call out of the waiting and running streams, and frees its memory.
+// removeCall ends a call: it removes the call from the waiting and running streams, and frees its memory.
 func (e *simEngine) removeCall(c *call) {
 	delete(e.calls, callKey{c.flight.ID, c.attempt})
 	c.stopped = true
@@ -459,8 +462,8 @@
 	}
 }
 
-// crash fails the calls of the engine, and loses its queue and the KV caches that wait for a decode engine. A call of a
-// prefill engine does not fail if the request already has its first token. The prefix cache survives the crash.
+// crash ends the calls of the engine as failed, and drops its queue and the KV caches that wait for a decode engine. A
+// call of a prefill engine does not fail if the request already has its first token. The prefix cache is kept.
 func (e *simEngine) crash() {
 	e.dead = true
 	e.results = map[callKey]*call{}
@@ -489,7 +492,7 @@
 	}
 }
 
-// report sends the oldest kept sample of the engine's load to a box. That sample is about reportLag old.
+// report sends a load report to a box. The figures in it are the newest that are at least reportLag old.
 func (e *simEngine) report(box int) {
 	if len(e.samples) == 0 || e.dead {
 		return
--- a/internal/bench/site.go
+++ b/internal/bench/site.go
@@ -1,5 +1,6 @@
-// Package bench measures the router: in a simulation, and with real processes on loopback. Production code does not use
-// it. A box is a machine that runs the router; a site is a set of engines with a platform, both stand-ins or simulated.
+// Package bench measures the router, in a simulation and with real processes on loopback. Production code does not use
+// it. A box is a machine that runs the router. A site is a set of engines with a platform, all of them simulated or
+// stand-ins.
 package bench
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/stoatramp/stoatramp/internal/platform"
 )
 
-// SiteCmd runs a site of stand-ins for engines and the platform in a process of their own.
+// SiteCmd runs a site in a process of its own, with stand-ins for the engines and the platform.
 type SiteCmd struct {
 	Dir       string        `arg:"" help:"Directory that box.ini and site.json are written to."`
 	Prefills  int           `default:"4" help:"Prefill engines."`
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -60,8 +60,8 @@
 	return f
 }
 
-// benchmarkDecision measures the decision core: all events of one request, from its arrival to its end, in a pool of n
-// engines with some tens of requests in progress.
+// benchmarkDecision measures how long the decision core takes for one request, with all events from its arrival to its
+// end. The pool has n engines and some tens of requests in progress.
 func benchmarkDecision(b *testing.B, n int, p decide.Policy) {
 	c := decide.New(rand.New(rand.NewPCG(1, 2)), 1000)
 	now := time.Unix(1800000000, 0)
@@ -236,7 +236,7 @@
 }
 
 func printRecords() error {
-	const n = 600 // As many records as a box writes in one minute at the load it is designed for.
+	const n = 600 // The number of records that a box writes in one minute at the load it is designed for.
 	retained := retainedBytes(func() any {
 		g := record.NewRing(n)
 		for i := range n {
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// Guards against a box that goes back to an older version of the configuration. This happened when a replica of the
-// table that lags behind answered a read.
+// Guards against a box that goes back to an older version of the configuration, when a replica of the table that lags
+// behind answers a read.
 func TestFollow(t *testing.T) {
 	expectFollows(t, []int64{1, 1, 2}, []int64{1, 2})
 	expectFollows(t, []int64{5, 3, 5, 4, 6}, []int64{5, 6})
