--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -48,7 +48,8 @@
 	return b
 }
 
-// expectRun runs the tool with args against box b, and expects the exit code and a text that contains want.
+// expectRun runs the tool with args and expects the exit code and an output that contains want. The tool calls box b,
+// unless b is nil.
 func expectRun(t *testing.T, b *box.Box, code int, want string, args ...string) string {
 	t.Helper()
 	var out, errOut bytes.Buffer
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -186,7 +186,7 @@
 			r.Version, r.InForceMs, strings.Join(r.Missing, ", "))}
 	}
 	if r.Boxes == 0 && !a.JSON {
-		// A relay box does not know the other boxes, so it reports none.
+		// Only a gateway box reports the number of boxes. A relay box does not know the other boxes.
 		fmt.Fprintf(a.out, "Accepted as version %d and in force on this box after %d ms; the others follow the store, and 'status' shows their version.\n", r.Version, r.InForceMs)
 		return nil
 	}
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -73,7 +73,8 @@
 	RetryWindow time.Duration
 
 	// A cold endpoint is one that has just started and can serve fewer requests than later. In any second, all boxes
-	// together may send it at most ColdRateFactor times the requests that it can serve while cold, plus ColdRateSlack.
+	// together may send it at most ColdRateFactor (at least 1) times the requests that it can serve while cold, plus
+	// ColdRateSlack.
 	ColdRateFactor float64
 	ColdRateSlack  float64
 
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -86,7 +86,8 @@
 	return nil, outcome.Refuse(outcome.BadRequest, "the body ended early")
 }
 
-// parseCompletion parses and validates a body. It returns either the request or a refusal.
+// parseCompletion parses and validates a body, and removes the fields that the router sets itself. It returns either
+// the request or, with a nil request, the refusal.
 func parseCompletion(b []byte, chat bool) (*completionRequest, outcome.Outcome) {
 	var all map[string]json.RawMessage
 	if err := json.Unmarshal(b, &all); err != nil {
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -19,7 +19,8 @@
 	Type    string  `json:"type"`
 	Param   *string `json:"param"`
 	Code    string  `json:"code"`
-	// Reason is one of the reasons of package outcome. Run says whether an engine or service ran the request.
+	// Reason is one of the reasons of package outcome. Run is "not_run" if it is certain that no engine or service ran
+	// the request, and "may_have_run" otherwise.
 	Reason    outcome.Reason `json:"reason"`
 	Run       string         `json:"run"`
 	RequestID string         `json:"request_id"`
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,6 @@
 // Package ops serves the operators of a box (a machine that runs the router): the Connect service that the command-line
-// tool calls, the metrics, and profiles. All requests need an operator key; only the metrics can be opened to everyone.
+// tool calls, the metrics, and profiles. Operators need an operator key; only a relay box can serve its metrics without
+// a key. The package also answers the calls of other gateway boxes, which need the boxes' own key.
 package ops
 
 import (
@@ -58,7 +59,7 @@
 	return s
 }
 
-// Handler returns the handler for all requests to the operators' address, including calls from the other boxes.
+// Handler returns the handler for the operators' address, which takes the requests of operators and of the other boxes.
 func (s *Server) Handler() http.Handler {
 	all := http.NewServeMux()
 	path, peers := stoatrampv1connect.NewPeerHandler(&peerServer{s})
--- a/internal/ops/relay.go
+++ b/internal/ops/relay.go
@@ -29,7 +29,7 @@
 	Metrics            *telemetry.Metrics
 	// Operator reports whether a key is the key of an operator.
 	Operator func(key string) bool
-	// OpenMetrics makes the metrics readable without a key.
+	// OpenMetrics makes the metrics readable without an operator key.
 	OpenMetrics bool
 	// Stop starts a planned stop and returns at once.
 	Stop func()
@@ -48,7 +48,7 @@
 
 var _ stoatrampv1connect.OperatorHandler = (*RelayServer)(nil)
 
-// Handler serves everything on the operators' address.
+// Handler returns the handler for the operators' address.
 func (s *RelayServer) Handler() http.Handler {
 	mux := operatorMux(s, s.Metrics)
 	guarded := requireKey(s.Operator, mux)
