--- a/internal/decide/advise.go
+++ b/internal/decide/advise.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// RoleChange recommends that engines of a pool change their role.
+// RoleChange recommends that some engines of a pool change their role.
 type RoleChange struct {
 	Pool    string
 	Region  string
@@ -16,33 +16,33 @@
 }
 
 const (
-	// minGain is the factor by which a change of role must raise the capacity of a pool that has requests,
-	// because an engine that changes its role is unavailable for some seconds. minIdleGain is the factor for
-	// a pool without requests, for which a change costs nothing.
+	// minGain is the factor by which a change of role must raise the capacity of a pool that has requests. It is
+	// large because an engine that changes its role is unavailable for some seconds. minIdleGain is the factor for
+	// a pool without requests. There, a change costs nothing.
 	minGain     = 1.25
 	minIdleGain = 1.1
-	// idleAfter is the time without requests after which a pool counts as idle. The pool must also have been
-	// known to this box for that long.
+	// A pool without requests for idleAfter counts as idle. This box must also have known the pool for that long.
 	idleAfter = 2 * time.Second
-	// busyChangeDivisor bounds how many engines change their role at once while the pool has requests: the
-	// number of engines of the role divided by this. The others must do all the work until the change is done.
+	// busyChangeDivisor bounds how many engines change their role at the same time while the pool has requests. The
+	// bound is the number of engines of the role divided by busyChangeDivisor, but at least one. The other engines
+	// must do all the work until the change is done.
 	busyChangeDivisor = 4
-	// stableFor is the time for which the number of engines must not have changed. When a fleet starts or its
-	// list is read again, engines are listed one by one, and an incomplete list gives wrong recommendations.
+	// stableFor is how long the number of engines must have stayed the same. When a fleet starts or its list is
+	// read again, engines are listed one by one. An incomplete list gives wrong recommendations.
 	stableFor = 1500 * time.Millisecond
-	// defaultWorkRatio is the ratio of a request's work on a decode engine to its work on a prefill engine
-	// before any requests are observed. On real deployments it is 2.8 to 3.4 (docs/design/measures.md). In
-	// workRatio it counts as much as defaultRatioWeight observed requests.
+	// defaultWorkRatio is the work ratio (see workRatio) that is assumed before any requests are observed. On real
+	// deployments the ratio is 2.8 to 3.4 (docs/design/measures.md). In workRatio the default counts as much as
+	// defaultRatioWeight observed requests.
 	defaultWorkRatio   = 3.0
 	defaultRatioWeight = 100
 )
 
-// workRatio is the ratio of a mean request's work on a decode engine to its work on a prefill engine. It is a
-// weighted mean of the observed and the default ratio. The more requests were observed, the less the default
-// counts.
+// workRatio is a mean request's work on a decode engine, divided by its work on a prefill engine. The result is a
+// weighted geometric mean of the observed ratio and defaultWorkRatio. The more requests were observed, the less the
+// default counts.
 //
-// Example: the first 100 requests took decode engines as long as prefill engines, so the observed ratio is 1.
-// The default is 3 and has the same weight. The result is the geometric mean of both, 1.7.
+// Example: the first 100 requests took as much time of decode engines as of prefill engines, so the observed ratio is
+// 1. The default is 3 and has the same weight. The result is the geometric mean of 1 and 3, which is 1.7.
 func (p *pool) workRatio(region string) float64 {
 	n := p.sampleCount()
 	if n == 0 {
@@ -76,15 +76,16 @@
 	minWork  = 1e-6
 )
 
-// RecommendRoleChange returns engines that should change their role, if there are any. A pool can serve as
-// many requests as its scarcer role. So the best split of the engines into roles is the one with the lowest
-// load on the role with the higher load.
+// RecommendRoleChange returns engines that should change their role, if there are any. The number of requests that a
+// pool can serve depends on the role that is more heavily loaded. So the best split of the engines into roles is the
+// split with the lowest load on that role.
 //
-// Example: a request takes 100 ms of a prefill engine and 500 ms of a decode engine, and there are 3 prefill
-// and 6 decode engines. Per request, the prefill engines together are busy for 33 ms and the decode engines for
-// 83 ms. With 2 and 7 engines these are 50 and 71 ms, which raises the capacity by a factor of 1.17 (83/71). If
-// a decode engine took only 300 ms, 3 and 6 engines would give 33 and 50 ms, and 2 and 7 engines 50 and 43 ms.
-// The higher figure is the same, so nothing would change.
+// Example: a request takes 100 ms of a prefill engine and 500 ms of a decode engine, and there are 3 prefill and 6
+// decode engines. Per request, the prefill engines together are busy for 33 ms and the decode engines for 83 ms. With 2
+// and 7 engines these are 50 and 71 ms. This raises the capacity by a factor of 1.17 (83/71).
+//
+// Example: a request takes only 300 ms of a decode engine. Then 3 and 6 engines give 33 and 50 ms, and 2 and 7 engines
+// give 50 and 43 ms. The larger number is 50 ms in both cases, so nothing would change.
 func (c *Core) RecommendRoleChange() (RoleChange, bool) {
 	for _, name := range c.poolNames {
 		p := c.pools[name]
@@ -153,13 +154,13 @@
 	return RoleChange{Pool: p.Name, Region: region, Engines: pickAcrossHalls(from, n), Role: role}, true
 }
 
-// notLeaving returns the engines that may get new work, in the same order.
+// notLeaving returns the engines that are not leaving and so can get new work. They stay in the same order.
 func notLeaving(list []*engine) []*engine {
 	return slices.DeleteFunc(slices.Clone(list), func(e *engine) bool { return e.leaving() })
 }
 
-// pickAcrossHalls selects n engines of a role. Each is taken from the hall that has the most engines of the
-// role left, so that no hall loses many more than others.
+// pickAcrossHalls selects n engines of a role. It selects one after another, each from the hall that has the most
+// engines of the role left. So no hall loses many more engines than other halls.
 func pickAcrossHalls(list []*engine, n int) []string {
 	list = slices.Clone(list)
 	halls := map[string]int{}
--- a/internal/decide/advise_test.go
+++ b/internal/decide/advise_test.go
@@ -38,8 +38,8 @@
 	return c
 }
 
-// expectRoleChange checks how many engines are told to change to the given role. The pool has observed
-// requests with answers of the given length, the last of them the given time ago.
+// expectRoleChange checks how many engines are told to change to the given role. Before, the pool observed requests
+// with answers of the given length. The last of these requests arrived the given time ago.
 func expectRoleChange(t *testing.T, prefills, decodes, output int, ago time.Duration, changes int, role EngineRole) {
 	t.Helper()
 	c := newPoolCore(prefills, decodes, 0).observeOutputs(output)
@@ -90,7 +90,7 @@
 	}
 }
 
-// A box that has seen requests of other boxes only does not know the target between tokens, and so makes no
+// A box that has seen only requests of other boxes does not know the target between tokens. So it makes no
 // recommendation.
 func TestAdviseRemoteRequestsOnly(t *testing.T) {
 	c := newPoolCore(2, 7, 0)
@@ -102,8 +102,8 @@
 	}
 }
 
-// A pool has the right numbers of engines per role. The first few timings suggest slower engines, which must
-// not lead to a recommendation.
+// A pool has the right numbers of engines per role. The first few timings suggest slower engines. They must not lead to
+// a recommendation.
 func TestAdviseLittleEvidence(t *testing.T) {
 	c := newPoolCore(2, 7, 0).observeOutputs(4400)
 	p := c.pools["p"]
@@ -116,8 +116,8 @@
 	}
 }
 
-// A pool has no prefill engines. If decode engines can prefill prompts themselves, a request is sent to one.
-// Otherwise the request is refused as not run.
+// A pool has no prefill engines. If decode engines can prefill prompts themselves, a request is sent to a decode
+// engine. Otherwise the request is refused as not run.
 func TestNoPrefillEngines(t *testing.T) {
 	for _, self := range []float64{0, 0.5} {
 		c := newPoolCore(0, 3, self)
@@ -145,8 +145,8 @@
 	return n
 }
 
-// A decode engine refuses to reserve memory for a request. The request is placed on the other engine, without
-// a retry from the budget. When both have refused, it waits and is tried again after a short pause.
+// A decode engine refuses to reserve memory for a request. The request is placed on the other decode engine, without a
+// retry from the budget. When both have refused, the request waits, and is tried again after a short pause.
 func TestNoRoomTriesAnother(t *testing.T) {
 	c := newPoolCore(1, 2, 0)
 	before := retriesLeft(c)
@@ -166,7 +166,8 @@
 	}
 }
 
-// expectPrefillOn submits a request and expects the given engine to prefill its prompt, or any if none is given.
+// expectPrefillOn submits a request and expects the given engine to prefill the prompt. If no engine is given, any will
+// do.
 func expectPrefillOn(t *testing.T, c *Core, id ID, want string) Attempt {
 	t.Helper()
 	out := c.Step(c.now, Submit{Request{ID: id, Pool: "p", Region: "r", PromptTokens: 100, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond, Repeatable: true, PrefillNotRun: true}})
@@ -177,8 +178,8 @@
 	return a.Attempt
 }
 
-// An engine that refused a prompt is used only if all others refuse too, for some seconds. Its reason usually
-// persists, and each further refusal would cost one of the few retries.
+// For some seconds after an engine refused a prompt, it is used only if all other engines refuse too. The cause of a
+// refusal usually persists, and each further refusal would cost one of the few retries.
 func TestRefusingEngineIsLastResort(t *testing.T) {
 	c := newPoolCore(2, 2, 0)
 	out := c.Step(c.now, Submit{Request{ID: 1, Pool: "p", Region: "r", PromptTokens: 100, MaxTokens: 10, FirstToken: time.Second, BetweenTokens: 5 * time.Millisecond, Repeatable: true, PrefillNotRun: true}})
@@ -202,8 +203,8 @@
 	expectPrefillOn(t, c, 9, "")
 }
 
-// An engine reports that it is leaving, because it changes its role. It gets work again as soon as the
-// configuration lists it with the new role, without waiting for the next load probe.
+// An engine reports that it is leaving, because it changes its role. Later, the configuration lists the engine with the
+// new role. From then on the engine gets work again, even before the next load probe.
 func TestRoleChangeClearsLeaving(t *testing.T) {
 	c := newPoolCore(1, 2, 0)
 	e := c.engines["e01"]
@@ -222,8 +223,8 @@
 	}
 }
 
-// Shortly after its start a box has observed no requests, but cannot tell whether the pool is idle. So it does
-// not recommend a change with a small gain.
+// Shortly after its start, a box has observed no requests. It cannot tell yet whether the pool is idle. So it does not
+// recommend a change with a small gain.
 func TestAdviseAtStart(t *testing.T) {
 	c := newPoolCore(4, 5, 0)
 	c.now = c.pools["p"].createdAt.Add(stableFor)
@@ -232,7 +233,7 @@
 	}
 }
 
-// A box that starts with the estimates of other boxes uses the estimates at once, and not the default ratio.
+// A box that starts with the estimates of other boxes uses these estimates immediately, and not the default ratio.
 func TestAdviseWithPriorEstimates(t *testing.T) {
 	c := newPoolCore(2, 7, 0).observeOutputs(4400)
 	l := c.pools["p"].estimates()
@@ -246,8 +247,8 @@
 	}
 }
 
-// The streams of an engine may not slow each other, or not measurably in the first timings. Then memory and
-// slots determine how many streams run at once, and the engine is not treated as running one at a time.
+// The streams of an engine may not slow each other down, or not measurably in the first timings. Then memory and slots
+// determine how many streams run at the same time. The engine must not be treated as running one stream at a time.
 func TestBatch(t *testing.T) {
 	for _, tc := range []struct {
 		perStream time.Duration
--- a/internal/decide/arrive.go
+++ b/internal/decide/arrive.go
@@ -42,12 +42,12 @@
 	c.enqueue(f)
 }
 
-// defaultRetryAfter is the retry delay that a refused caller is told if the cause is temporary but its end
-// is unknown.
+// defaultRetryAfter is the retry delay that a refused caller is told if the cause is temporary, but it is unknown for
+// how long.
 const defaultRetryAfter = time.Second
 
-// checkCapacity refuses a request that is too large for every decode engine of its region, or whose region
-// lacks engines of a role that it needs. It reports whether the request may go on.
+// checkCapacity refuses a request that is too large for every decode engine of its region. It also refuses a request
+// whose region lacks engines of a role that the request needs. It reports whether the request may go on.
 func (c *Core) checkCapacity(f *flight) bool {
 	reg := f.pool.regionNamed(f.Region)
 	switch {
@@ -63,8 +63,8 @@
 	return false
 }
 
-// estimateWork computes the least engine time that the request takes, and the latest time at which its
-// prefill can start and still meet the first-token target. Both assume that no other request runs.
+// estimateWork computes the least engine time that the request uses (work). It also computes the latest time at which
+// the prefill can start and still meet the first-token target (latestStart). Both assume that no other request runs.
 func (c *Core) estimateWork(f *flight) {
 	leastPrefill := time.Duration(1<<63 - 1)
 	f.uncachedTokens = f.PromptTokens
@@ -96,8 +96,8 @@
 	return least
 }
 
-// retryAfter is the retry delay that a refused caller is told. It is the predicted time until the requests
-// before it have started, and at least a second. A caller that returns then has a chance of being served.
+// retryAfter is the retry delay that a refused caller is told. It is the predicted time until all waiting requests
+// that go first have started, but at least a second. A caller that retries then has a chance of being served.
 func (c *Core) retryAfter(f *flight) time.Duration {
 	return max(time.Second, f.pool.timeAhead(f)+c.shortestQueue(f))
 }
@@ -131,9 +131,9 @@
 	return v
 }
 
-// enqueue adds the request to the queue and then tries to start requests from its front, so that a new
-// request never overtakes a more urgent one. If the queue is full, a new request is refused. A stream that
-// lost its connection is always queued, because otherwise its answer would be cut off.
+// enqueue adds the request to the queue, and then tries to start requests in the order of the queue. So a new request
+// never overtakes a more urgent request. If the queue is full, a new request is refused. A stream that lost its
+// connection is queued even then, because otherwise its answer would be cut off.
 func (c *Core) enqueue(f *flight) {
 	p := f.pool
 	if len(p.queue.items) >= c.maxWaiting && f.connectionLostAt.IsZero() {
@@ -150,8 +150,8 @@
 	c.emit(Waiting{f.ID, f.waitReason(), View{Waiting: len(p.queue.items)}})
 }
 
-// waitReason is NoDecode if the last attempt to place the request found decode engines, but none with enough
-// free memory and speed. Otherwise it is NoPrefill.
+// waitReason is NoDecode if the last attempt to place the request found decode engines, but none of them had enough
+// free memory and was fast enough. Otherwise it is NoPrefill.
 func (f *flight) waitReason() outcome.Reason {
 	if f.lastChoice != nil && f.lastChoice.Excluded.NoRoom+f.lastChoice.Excluded.TooSlow > 0 && f.lastChoice.Compared == 0 {
 		return outcome.NoDecode
@@ -159,9 +159,8 @@
 	return outcome.NoPrefill
 }
 
-// drainQueue starts waiting requests, most urgent first, and refuses those that can no longer meet their
-// target. If a request cannot be started now, a few more are tried, so that a large request does not block
-// small ones.
+// drainQueue starts waiting requests, most urgent first. It refuses requests that can no longer meet their target. If a
+// request cannot be started now, drainQueue tries a few more, so that a large request does not block small ones.
 func (c *Core) drainQueue(p *pool) {
 	if p == nil {
 		return
@@ -192,7 +191,8 @@
 	p.throughput.update(c.now, len(p.queue.items) > 0)
 }
 
-// updateScarceRole sets the role of engine that most of the requests at the front of the queue wait for.
+// updateScarceRole sets the engine role that most requests at the front of the queue wait for. The front is as many
+// requests as drainQueue tried to place.
 func (p *pool) updateScarceRole(tried int) {
 	n := 0
 	considered := min(tried, len(p.queue.items))
@@ -216,8 +216,8 @@
 	return defaultMaxWait
 }
 
-// refuseUnlikely refuses waiting requests with RefuseEarly that are not expected to start in time. The sooner
-// their callers know, the sooner they can do something else.
+// refuseUnlikely refuses waiting requests with RefuseEarly that are not expected to start in time. A caller that
+// is told sooner can sooner do something else.
 func (c *Core) refuseUnlikely(p *pool) {
 	for _, f := range slices.Clone(p.queue.items) {
 		if !f.RefuseEarly || f.mayBeLate {
@@ -233,9 +233,9 @@
 	}
 }
 
-// startDeadline is the time at which a waiting request is given up. A stream that lost its connection may wait
-// for maxWait from the loss, a request that may be late for maxWait from its arrival, and any other request
-// until its latest start.
+// startDeadline is the time at which a waiting request is given up. A stream that lost its connection may wait for
+// maxWait after the loss. A request that may be late may wait for maxWait after its arrival. Any other request may
+// wait until latestStart.
 func (f *flight) startDeadline() time.Time {
 	switch {
 	case !f.connectionLostAt.IsZero():
--- a/internal/decide/attempt.go
+++ b/internal/decide/attempt.go
@@ -8,8 +8,9 @@
 
 // This file starts the prefill and decode calls of requests, and handles their success.
 
-// tryPlace starts the request if a pair of engines can take it. Decode memory is reserved before the prefill
-// starts, so that each prefill has an engine that will fetch its KV cache.
+// tryPlace starts the request if a pair of engines can serve it now. Decode memory is reserved before the prefill
+// starts, so that some engine is certain to have room for the KV cache. If the request would be late on the best pair,
+// tryPlace sets missesTarget instead.
 func (c *Core) tryPlace(f *flight) bool {
 	chosen, choice, ok := c.choose(f.pool, f, c.now)
 	f.lastChoice = choice
@@ -53,8 +54,7 @@
 	return true
 }
 
-// tooBusy reports whether even the chosen pair has so much queued that the request should wait on this box
-// instead.
+// tooBusy reports whether too much is queued even for the chosen pair. The request then waits on this box instead.
 func (c *Core) tooBusy(f *flight, chosen *chosenPair) bool {
 	if chosen.prefill == nil {
 		return chosen.Queue > maxPrefillBacklog
@@ -74,8 +74,8 @@
 	c.emit(StartDecode{ID: f.ID, Attempt: f.attempt, Decode: chosen.decode.Name, Priority: f.enginePriority(), Choice: choice})
 }
 
-// engineEpoch is the time from which engine priorities are counted, which keeps them small. Any fixed time
-// would do.
+// engineEpoch is the time from which engine priorities are counted. It keeps the priorities small. Any other fixed
+// time would do too.
 var engineEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // setStage begins a stage with the given predicted duration.
@@ -89,8 +89,8 @@
 	return max(minStallMargin, min(maxStallMargin, f.FirstToken/2))
 }
 
-// enginePriority is the request's order in milliseconds since engineEpoch. Engines run the request with the
-// lowest value first, so that the requests of all boxes are served earliest deadline first.
+// enginePriority is the request's order in milliseconds since engineEpoch. Engines run the request with the lowest
+// value first. So an engine serves the requests of all boxes in the order of their deadlines.
 func (f *flight) enginePriority() int { return int(f.order.Sub(engineEpoch).Milliseconds()) }
 
 func (c *Core) reserveDecode(f *flight, e *engine) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// releaseSelfPrefill removes the prompt from the ledger of the decode engine that prefills it itself.
+// releaseSelfPrefill removes the prompt from the ledger of the decode engine if that engine prefills the prompt itself.
 func (c *Core) releaseSelfPrefill(f *flight) {
 	if f.selfPrefillReserved {
 		f.decode.releasePrefill(c.now)
@@ -160,8 +160,8 @@
 	c.drainQueue(f.pool)
 }
 
-// startDecode sends the request to its decode engine. The planned transfer must have been removed from its
-// links before. Otherwise it would count as another transfer and delay itself in the prediction.
+// startDecode sends the request to its decode engine. The caller must have removed the planned transfer from the links
+// of both engines. Otherwise the prediction would count it as another transfer that shares the links.
 func (c *Core) startDecode(f *flight, moved outcome.Reason) {
 	f.attempt = f.newAttempt()
 	f.decodeAttempt = f.attempt
@@ -174,9 +174,9 @@
 	})
 }
 
-// improveDecode changes the decode engine if the answer would begin clearly sooner on another. It is
-// called after the prefill and before the transfer, because the load of links and engines has changed since
-// the decode engine was chosen. Memory is reserved on one of the two engines at all times.
+// improveDecode changes the decode engine if the answer would begin clearly sooner on another decode engine. It is
+// called after the prefill and before the transfer. By then, the load of links and engines has changed since the
+// choice.
 func (c *Core) improveDecode(f *flight) {
 	var excluded Exclusions
 	c.findDecodeOptions(f.pool, f, c.now, &excluded)
@@ -195,8 +195,8 @@
 	}
 }
 
-// reserveOtherDecode releases the memory on the present decode engine and reserves memory on another decode
-// engine. It reports whether another engine could take the request.
+// reserveOtherDecode releases the memory on the present decode engine and tries to reserve memory on another decode
+// engine. It reports whether another engine could take the request. The present engine becomes engineToAvoid.
 func (c *Core) reserveOtherDecode(f *flight) bool {
 	f.engineToAvoid = f.decode
 	c.releaseDecode(f)
--- a/internal/decide/core.go
+++ b/internal/decide/core.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// maxPrefillBacklog is how long a prompt may be predicted to wait on a prefill engine for
-	// queued prompts that are at least as urgent. If it would wait longer, the request waits on
-	// the box instead, where a better engine or a more urgent request can still come first.
+	// maxPrefillBacklog bounds the predicted wait of a prompt on a prefill engine. Only the wait for
+	// queued prompts that are at least as urgent counts. If the wait would be longer, the request waits
+	// on the box instead. There, a better engine or a more urgent request can still come first.
 	maxPrefillBacklog = 80 * time.Millisecond
-	// maxLinkBacklog is how long the transfer of a KV cache may be predicted to wait for other
-	// transfers on its links. If it would wait longer, the request waits on the box, which
-	// leaves the links to smaller transfers.
+	// maxLinkBacklog bounds how long the transfer of a KV cache is predicted to wait for other transfers
+	// on the same links. If the wait would be longer, the request waits on the box instead. This leaves
+	// the links to smaller transfers.
 	maxLinkBacklog = 100 * time.Millisecond
-	// minRebindGain is how much sooner an answer must be predicted to begin on another decode
-	// engine for that engine to be used. This is checked when the prompt has been prefilled.
+	// minRebindGain decides whether a request changes its decode engine once the prompt is prefilled. The
+	// answer must be predicted to begin at least this much sooner on the other decode engine.
 	minRebindGain = 5 * time.Millisecond
-	// A stage of a request (prefill or transfer) counts as stalled after stallFactor times its
-	// predicted duration plus a margin. The margin is half the first-token target, but at least
-	// minStallMargin and at most maxStallMargin. A stalled request is moved if another engine can
-	// take it, and otherwise left alone: a slow call is not a lost call, and giving up many calls
-	// at once would only load the other engines.
+	// A stage of a request (prefill or transfer) counts as stalled after stallFactor times its predicted
+	// duration plus a margin. The margin is half the first-token target, but at least minStallMargin and
+	// at most maxStallMargin. A stalled request is moved if another engine can take it. Otherwise it is
+	// left alone, because a slow call is not a lost call. If many calls were given up at the same time,
+	// they would only load the other engines.
 	stallFactor    = 3
 	minStallMargin = 300 * time.Millisecond
 	maxStallMargin = 2 * time.Second
 	// After hardStallTimeout plus the first-token target, a call is given up even if no other
 	// engine can take the request.
 	hardStallTimeout = 5 * time.Second
-	// expiryMargin is how long before the expiry of a KV cache on its prefill engine the cache is
-	// no longer fetched.
+	// expiryMargin is a safety margin before a prefill engine drops a KV cache. From this long before the
+	// expiry, the cache is no longer fetched.
 	expiryMargin = 50 * time.Millisecond
 	// defaultMaxWait bounds the wait of a request that may run late, if the request sets no bound.
 	defaultMaxWait = 30 * time.Second
-	// lateOrderDelay is added to the deadline by which requests that may run late are ordered, so
-	// that all others go before them. Without it, such requests would become the most urgent as
-	// soon as they are late, and would make the other requests late too.
+	// lateOrderDelay is added to the order (a deadline) of requests that may run late, so that all other
+	// requests go first. Without it, requests that are late would become the most urgent ones. They
+	// would then make the other requests late too.
 	lateOrderDelay = defaultMaxWait
 	// maxTries is how many times a request may be started, even if the retry budget allows more.
 	maxTries = 3
@@ -48,8 +48,8 @@
 	maxPlacementTries = 8
 )
 
-// stage is the stage of a request: it waits on the box, a prefill engine prefills the prompt, the
-// decode engine fetches the KV cache, or the answer is being streamed.
+// stage says how far a request is. It waits on the box, a prefill engine prefills the prompt, the decode engine
+// fetches the KV cache, or the answer is being streamed.
 type stage uint8
 
 const (
@@ -66,19 +66,19 @@
 	pool    *pool
 	stage   stage
 	arrived time.Time
-	// latestStart is the latest time at which the prefill can start and still meet the first-token
-	// target.
+	// latestStart is the latest time at which the prefill can start so that the first-token target is
+	// still met.
 	latestStart time.Time
-	// work is the least engine time that the request takes, by role. For a prefill engine it is the
-	// duration of the prefill, or of the transfer of the KV cache if that is longer. For a decode
-	// engine it is the request's share of a full batch while its answer is generated.
+	// work is the least engine time that the request uses, by role. On a prefill engine it is the duration
+	// of the prefill, or of the transfer of the KV cache if that is longer. On a decode engine it is the
+	// time to generate the answer, divided by the number of streams in a full batch (see decodeWork).
 	work [2]time.Duration
-	// order is the deadline by which requests are ordered, earliest first, on the box and on the
-	// engines. It is latestStart plus Priority, and lateOrderDelay later if yieldsToOnTime is set. For
-	// a request with CallerRetry it is the time of arrival.
+	// order is the deadline by which requests are ordered on the box and on the engines, earliest first.
+	// It is latestStart plus Priority. If yieldsToOnTime is set, lateOrderDelay is added. For a request
+	// with CallerRetry, order is the time of arrival.
 	order time.Time
-	// mayBeLate means that the request may start after latestStart: it waits on past its target
-	// instead of being refused.
+	// mayBeLate means that the request may start after latestStart. It then waits past its target and is
+	// not refused for that.
 	mayBeLate bool
 	// connectionLostAt is when the connection of a running stream was last lost; zero if it never was.
 	connectionLostAt time.Time
@@ -95,49 +95,49 @@
 	// prefillSent and decodeSent report whether a prefill call and a decode call were sent in any try so far.
 	prefillSent, decodeSent bool
 	// engineToAvoid is the engine on which the last call failed, or the decode engine that had to be
-	// replaced. It is used again only if there is no other.
+	// replaced. A new try uses this engine only if there is no other.
 	engineToAvoid *engine
-	// lastChoice is the result of the last attempt to place the request. missesTarget reports that in
-	// that attempt the best pair of engines was predicted to miss the first-token target.
+	// lastChoice is the result of the last attempt to place the request. missesTarget reports that the
+	// best pair of engines in that attempt was predicted to miss the first-token target.
 	lastChoice   *Choice
 	missesTarget bool
 
 	prefill             *engine
-	prefillAttempt      Attempt   // The prefill call whose KV cache is used; 0 if no engine holds a cache.
+	prefillAttempt      Attempt   // The number of the prefill call that made the KV cache; 0 if no engine holds a cache.
 	prefillReserved     bool      // Whether the ledger of the prefill engine contains the prompt.
 	selfPrefillReserved bool      // Whether the decode engine's ledger contains the prompt to prefill.
 	uncachedTokens      int       // Prompt tokens that are not cached on the prefill engine.
 	expires             time.Time // When the prefill engine drops the KV cache.
-	kvMayBeTaken        bool      // Whether a decode engine may have taken the KV cache from the prefill engine.
+	kvMayBeTaken        bool      // Whether a decode engine may have fetched the KV cache. The prefill engine then has it no longer.
 
 	predictedPrefillEnd time.Time
-	// ownWorkEnd is the end of the prefill that is predicted from this box's own work on the engine
-	// alone. Any delay beyond it is due to work of other boxes.
+	// ownWorkEnd is when the prefill would end if the engine ran only requests of this box. If the prefill
+	// ends later, work of other boxes delayed it.
 	ownWorkEnd time.Time
-	// plannedLinks are the two engines between which the current or next transfer takes place.
+	// plannedLinks are the two engines of the transfer in progress, or else of the planned transfer.
 	plannedLinks [2]*engine
 
 	decode        *engine
 	decodeAttempt Attempt // 0 if no decode engine was sent anything.
 	reservedKV    int     // Tokens reserved in the ledger of the decode engine.
 
-	// tokensAhead is the number of prompt tokens that were known to be queued on the prefill engine
-	// before the prompt. timing collects how long the engines took for the request.
+	// tokensAhead is the number of prompt tokens that this box knew to be queued on the prefill engine
+	// before this prompt. timing collects how long the engines needed for the request.
 	tokensAhead int
 	timing      Timing
 
 	streamStart time.Time // When the answer began.
 	// firstTokens is the number of tokens in the first event of the answer. wasMigrated is set once the
-	// stream was migrated to another decode engine.
+	// stream has been migrated to another decode engine.
 	firstTokens int
 	wasMigrated bool
-	// migrateTarget is the engine that the stream is being migrated to; nil if no migration is under
-	// way. The migration has the attempt number migrateAttempt, and targetReservedKV tokens are
-	// reserved in the ledger of the target. No migration starts before noMigrateBefore.
+	// migrateTarget is the engine to which the stream is being migrated; nil without a migration. The
+	// migration has the attempt number migrateAttempt. In the ledger of the target, targetReservedKV
+	// tokens are reserved. No migration starts before noMigrateBefore.
 	migrateTarget    *engine
 	targetReservedKV int
 	migrateAttempt   Attempt
-	retryTakenAt     time.Time // When the retry that pays for the migration was taken from the retry budget.
+	retryTakenAt     time.Time // When the retry that the migration counts as was taken from the retry budget.
 	noMigrateBefore  time.Time
 
 	stageStart    time.Time
@@ -163,11 +163,11 @@
 	return f.MaxTokens
 }
 
-// fullStreamTokens is the answer length from which a request counts as a whole stream when step times
-// are predicted. Shorter answers count in proportion, since they end after a few steps.
+// fullStreamTokens is the answer length from which a request counts as a whole stream in predictions of step
+// times. Shorter answers end after a few steps, so they count in proportion to their length.
 const fullStreamTokens = 64
 
-// streamWeight is the fraction of a stream as which the request counts when step times are predicted.
+// streamWeight is the fraction of a whole stream that the request counts as in predictions of step times.
 func (f *flight) streamWeight() float64 { return min(1, float64(f.MaxTokens)/fullStreamTokens) }
 
 // Core is the scheduling state of one box. It is not safe for concurrent use.
@@ -178,8 +178,8 @@
 	pools      map[string]*pool
 	poolNames  []string // Sorted pool names. Pools are visited in this order, so that equal events give equal results.
 	flights    map[ID]*flight
-	// priorEstimates are estimates of engine speeds and request lengths, by pool, from before this
-	// core started.
+	// priorEstimates are estimates of engine speeds and request lengths, by pool. Other cores made them before
+	// this core started.
 	priorEstimates map[string]Estimates
 	budget         retry.Budget
 	// lastTick is the time of the last tick; zero before the first.
@@ -197,7 +197,7 @@
 	bestPairs                       []pair
 }
 
-// New returns a core without pools that lets at most maxWait requests wait.
+// New returns a core without pools. At most maxWait requests can wait on it.
 func New(rng *rand.Rand, maxWait int) *Core {
 	c := &Core{
 		rng:            rng,
@@ -211,14 +211,14 @@
 	return c
 }
 
-// Notices tells the limits and pauses that engines announced to this box in their answers.
+// Notices tells which limits and pauses engines announced to this box in their answers.
 type Notices interface {
 	// ThrottledFor is how long an engine accepts no new requests of this box; 0 if it accepts some now.
 	ThrottledFor(engine string, now time.Time) time.Duration
 	// Sent records that a new request is sent to an engine.
 	Sent(engine string, now time.Time)
-	// IsPaused reports whether an engine asked this box for a pause. During a pause the engine is
-	// not even sent requests that were placed on it before.
+	// IsPaused reports whether an engine asked this box for a pause. During a pause, the engine is sent no
+	// request at all, not even one that was placed on it before.
 	IsPaused(engine string, now time.Time) bool
 }
 
@@ -238,7 +238,7 @@
 	return c.notices.ThrottledFor(e.Name, c.now)
 }
 
-// noteSent records that a request is sent to the engine.
+// noteSent records that a request is sent to the engine, here and in the notices.
 func (c *Core) noteSent(e *engine) {
 	e.lastUsed = c.now
 	if c.notices != nil {
@@ -250,8 +250,8 @@
 	return c.notices != nil && c.notices.IsPaused(e.Name, c.now)
 }
 
-// allThrottledFor is how long no engine of the role that the request needs accepts new requests; 0 if
-// an engine accepts some now.
+// allThrottledFor is how long the request finds no engine of a role that it needs, because all of them accept
+// no new requests. It is 0 if an engine of each needed role accepts some now.
 func (c *Core) allThrottledFor(f *flight) time.Duration {
 	reg := f.pool.regionNamed(f.Region)
 	if wait := c.shortestThrottle(reg.decode); wait > 0 || f.pool.SelfPrefillRatio > 0 {
@@ -260,8 +260,8 @@
 	return c.shortestThrottle(reg.prefill)
 }
 
-// shortestThrottle is the shortest time until one of the engines accepts a new request. Engines that are
-// leaving do not count. It is 0 if an engine accepts one now, or if there is none.
+// shortestThrottle is the shortest time until one of the engines accepts a new request. Engines that are leaving
+// do not count. The result is 0 if an engine accepts a request now, or if no engine is left to count.
 func (c *Core) shortestThrottle(list []*engine) (least time.Duration) {
 	for _, e := range list {
 		if e.leaving() {
@@ -278,14 +278,14 @@
 	return least
 }
 
-// SetRetryLimits sets the retries that the platform allows to all its boxes together. This box takes its
-// share of them, given the number of boxes and the time at which it started.
+// SetRetryLimits sets the retries that the platform allows to all its boxes together. The number of boxes and the
+// start time of this box determine which part of the retries this box may use.
 func (c *Core) SetRetryLimits(l retry.Limits, boxes int, started time.Time) {
 	c.budget.SetBound(l, boxes, started)
 }
 
-// SetGossipConnected sets whether this box receives the messages (gossip) of the other boxes, among them
-// the ends of their streams.
+// SetGossipConnected sets whether this box receives the messages (gossip) of the other boxes. Among them are the
+// messages about the ends of streams.
 func (c *Core) SetGossipConnected(yes bool) {
 	for _, p := range c.pools {
 		p.receivesStreamEnds = yes
@@ -384,8 +384,8 @@
 
 func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-// updateFleet replaces the configuration of pools and engines, and keeps the state of engines that
-// remain. The ledger of a removed engine is kept until its last request has ended.
+// updateFleet replaces the configuration of pools and engines, and then tries to start waiting requests. Engines
+// that remain keep their state. The state of a removed engine is kept until its last request has ended.
 func (c *Core) updateFleet(ev Fleet) {
 	for _, p := range ev.Pools {
 		if c.pools[p.Name] == nil {
@@ -413,7 +413,8 @@
 			c.engines[cfg.Name] = e
 		}
 		if e.Role != cfg.Role {
-			// The engine completed the role change that its report was about, and takes work again.
+			// The engine has completed the change of role that its report announced, so it takes work
+			// again.
 			e.report.Leaving = false
 		}
 		e.Engine = cfg
@@ -440,7 +441,7 @@
 	}
 }
 
-// noteSuccess records a successful call to an engine.
+// noteSuccess records a successful call to an engine. If the engine was set aside, it becomes usable.
 func (c *Core) noteSuccess(e *engine) {
 	if e.health.failuresInRow >= failuresToSetAside {
 		c.emit(StateChange{Engine: e.Name, State: Usable})
@@ -448,7 +449,7 @@
 	e.health.noteSuccess()
 }
 
-// noteFailure records a failed call to an engine.
+// noteFailure records a failed call to an engine. After several failures in a row, the engine is set aside.
 func (c *Core) noteFailure(e *engine) {
 	e.health.noteFailure(c.now)
 	if e.health.failuresInRow >= failuresToSetAside {
--- a/internal/decide/core_test.go
+++ b/internal/decide/core_test.go
@@ -82,11 +82,11 @@
 	}
 }
 
-// More requests wait for the only prefill engine than can be on time. The largest is refused at once, and the
-// others are started in time.
+// More requests wait for the only prefill engine than can be on time. The largest request is refused immediately, and
+// the others are started in time.
 func TestLargestRequestIsRefused(t *testing.T) {
 	s := newFixture(t, 1, 1)
-	s.arrive(1, "a", 4000) // Takes 400 ms of prefill and is started at once.
+	s.arrive(1, "a", 4000) // Needs 400 ms of prefill and is started immediately.
 	s.arrive(2, "a", 5000)
 	s.arrive(3, "a", 1000)
 	s.arrive(4, "a", 1500)
@@ -94,14 +94,14 @@
 	s.expectRefused(2, outcome.TooLate)
 	s.advance(400 * time.Millisecond)
 	s.step(PrefillDone{ID: 1, Attempt: 1, Expires: s.now.Add(time.Second)})
-	s.expectStarted(4) // It has the longer prompt, so it must start first to be on time.
+	s.expectStarted(4) // This request has the longer prompt, so it must start first to be on time.
 	s.advance(150 * time.Millisecond)
 	s.step(PrefillDone{ID: 4, Attempt: 1, Expires: s.now.Add(time.Second)})
 	s.expectStarted(3)
 }
 
-// One client submits many requests, another client one larger request. The larger request is still started,
-// since it is requests of the busy client that are refused.
+// One client submits many requests, another client one larger request. The larger request is still started. Requests of
+// the client with many requests are refused instead.
 func TestBulkDoesNotStarve(t *testing.T) {
 	s := newFixture(t, 1, 1)
 	s.arrive(1, "bulk", 3000)
@@ -118,8 +118,8 @@
 	s.expectStarted(2)
 }
 
-// After three failures in a row an engine gets no requests. When that period is over, it gets exactly one
-// request as a probe.
+// After three failures in a row, an engine gets no requests for a period. After this period, the engine gets exactly
+// one request as a probe.
 func TestSetAside(t *testing.T) {
 	s := newFixture(t, 2, 1)
 	bad := s.c.engines["a"]
@@ -147,8 +147,8 @@
 	}
 }
 
-// All prefill calls fail. The number of retries stays within the budget, which is a share of the number of
-// requests plus some free retries.
+// All prefill calls fail. The number of retries stays within the budget: a fraction of the number of requests, plus a
+// fixed number of retries.
 func TestRetryBudget(t *testing.T) {
 	s := newFixture(t, 3, 3)
 	retries := 0
@@ -217,8 +217,9 @@
 	}
 }
 
-// expectWait checks the predicted wait of a request with the given first-token target for an engine with the
-// given queue: the part for the prompt that is being prefilled, and the part for prompts at least as urgent.
+// expectWait checks the predicted wait of a request for an engine. The first-token target of the request and the queue
+// of the engine are given. The wait has two parts: for the prompt that is being prefilled, and for queued prompts that
+// are at least as urgent as the request.
 func expectWait(t *testing.T, u *urgency, target, queued, wantInProgress, wantUrgentQueue time.Duration) {
 	t.Helper()
 	inProgress, urgentQueue := u.wait(&flight{Request: Request{FirstToken: target}}, queued)
@@ -227,7 +228,7 @@
 	}
 }
 
-// A request waits for the prompt that is being prefilled and for queued prompts that are at least as urgent.
+// A request waits for the prompt that is being prefilled, and for queued prompts at least as urgent as the request.
 func TestUrgency(t *testing.T) {
 	ms := time.Millisecond
 	u := &urgency{classes: []urgencyClass{{target: 400 * ms, recentWork: 1, meanPrefill: 10 * ms}, {target: 2 * time.Second, recentWork: 9, meanPrefill: 170 * ms}}}
@@ -258,7 +259,7 @@
 	s.expectStarted(2)
 }
 
-// A pool has two engines in region r and 78 in another region. Each request of region r uses only those two.
+// A pool has two engines in region r and 78 in another region. Each request of region r uses only the two in region r.
 func TestRegionsOfOnePool(t *testing.T) {
 	s := newFixture(t, 0, 0)
 	f := Fleet{Pools: []Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: 5 * time.Second}}}
@@ -283,8 +284,8 @@
 	}
 }
 
-// Two decode engines may run a request (MaxEngines), and all calls fail. Further tries use only the two decode
-// engines that may have run the request already.
+// Two decode engines may run a request (MaxEngines), and all calls fail. After two decode engines may have run the
+// request, further tries use only these two.
 func TestMaxEngines(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newFixture(t, 1, 4)
--- a/internal/decide/failure.go
+++ b/internal/decide/failure.go
@@ -40,8 +40,8 @@
 		c.retryDecode(f, reason, ran, kvGone)
 	case streaming:
 		if f.Resumable {
-			// The caller waits in the middle of its answer, so the first-token target no longer matters, and
-			// any pair of engines is better than none.
+			// The caller has already received a part of the answer and waits for more. So the first-token
+			// target no longer matters, and any pair of engines is better than none.
 			f.mayBeLate = true
 			f.connectionLostAt = c.now
 			f.order = f.latestStart
@@ -53,13 +53,13 @@
 	}
 }
 
-// refusedKVPause is how long a decode engine that refused to reserve memory is not asked for as much again.
-// It is short, because several streams per second end on a busy engine.
+// refusedKVPause is a pause after a decode engine refused to reserve memory. In the pause, the engine is not asked for
+// as much memory or more. The pause is short, because several streams per second end on a busy engine.
 const refusedKVPause = 100 * time.Millisecond
 
-// handleNoRoom places a request again whose decode engine refused to reserve memory. The engine was full,
-// because its figures were old or other boxes were faster. Nothing was sent, so the placement does not count
-// as a try and takes no retry from the budget.
+// handleNoRoom places a request again after its decode engine refused to reserve memory. The engine was full, because
+// its reported load was out of date or other boxes were faster. Nothing was sent to any engine. So the placement does
+// not count as a try, and uses no retry of the budget.
 func (c *Core) handleNoRoom(ev ReservationRefused) {
 	f := c.flights[ev.ID]
 	selfPrefilling := f != nil && f.stage == transferring && f.prefill == nil
@@ -73,12 +73,12 @@
 	c.enqueue(f)
 }
 
-// retryDecode has another decode engine fetch the KV cache, if the prefill engine still has it. Otherwise it
-// abandons the try.
+// retryDecode lets another decode engine fetch the KV cache. This requires that the prefill engine still has the cache,
+// that the request may be run again, and that a retry is left. Otherwise retryDecode abandons the try.
 func (c *Core) retryDecode(f *flight, reason outcome.Reason, ran, kvGone bool) {
 	c.abortDecode(f)
-	// A call that may have run may have taken the KV cache, which can be taken only once. If another engine
-	// then refuses the request, the cache is gone, and calling further engines would waste retries.
+	// The KV cache can be fetched only once. A call that may have run may have fetched the cache. If another engine
+	// then refuses the request, the cache is gone, and calls to further engines would waste retries.
 	kvGone = kvGone || f.kvMayBeTaken && reason == outcome.EndpointRefused
 	f.kvMayBeTaken = f.kvMayBeTaken || ran
 	usable := !kvGone && c.now.Add(expiryMargin).Before(f.expires)
@@ -98,14 +98,14 @@
 	}
 }
 
-// canRunOn reports whether the decode engine may run the request. Once MaxEngines engines may have run a part
-// of it, only these engines may run it again.
+// canRunOn reports whether the decode engine may run the request. At most MaxEngines engines may run a part of the
+// request. Once that many may have run a part, only these engines may run the request again.
 func (f *flight) canRunOn(e *engine) bool {
 	return f.MaxEngines <= 0 || len(f.enginesRun) < f.MaxEngines || slices.Contains(f.enginesRun, e)
 }
 
-// canUseAnotherEngine reports whether MaxEngines allows a decode engine besides the present one and those
-// that may already have run a part of the request.
+// canUseAnotherEngine reports whether MaxEngines allows one more decode engine. The present decode engine counts as
+// used, and so do the engines that may already have run a part of the request.
 func (f *flight) canUseAnotherEngine() bool {
 	n := len(f.enginesRun)
 	if f.stage != prefilling && f.decode != nil && !slices.Contains(f.enginesRun, f.decode) {
@@ -114,8 +114,9 @@
 	return f.MaxEngines <= 0 || n < f.MaxEngines
 }
 
-// abandonTry ends the calls of the present try and releases its memory. It starts another try if the request
-// may be run again, the retry budget allows it and the first-token target can still be met.
+// abandonTry ends the calls of the present try and releases the memory reserved for it. It queues the request for
+// another try if the request may be run again, the first-token target can still be met and the retry budget allows it.
+// Otherwise it ends the request.
 func (c *Core) abandonTry(f *flight, reason outcome.Reason, ran bool) {
 	f.ran = f.ran || ran
 	if f.stage != prefilling || ran {
@@ -146,12 +147,12 @@
 	return f != nil && f.stage == streaming && f.Resumable && f.tries < maxTries && f.canUseAnotherEngine() && c.budget.Has(now, f.retriesForNextTry())
 }
 
-// TakeRetries takes n retries from the budget and reports whether there were n. If not, it takes none.
+// TakeRetries takes n retries from the budget, and reports whether the budget had n. If it had fewer, none is taken.
 func (c *Core) TakeRetries(now time.Time, n int) bool { return c.budget.Take(now, n) }
 
-// retriesForNextTry is how many retries the next try costs, if the present one failed. A platform counts
-// each prefill call and each decode call of a request beyond the first as a retry, so a try may cost two.
-// When one retry paid for both calls, the boxes together sent twice as many such calls as they had retries.
+// retriesForNextTry is how many retries the next try costs if the present try failed. A platform counts each prefill
+// call and each decode call beyond the request's first as a retry. So a try can cost two retries. When a try cost
+// only one retry for both calls, the boxes together sent twice as many repeated calls as they had retries.
 func (f *flight) retriesForNextTry() int {
 	f.prefillSent = f.prefillSent || f.prefill != nil
 	f.decodeSent = f.decodeSent || f.stage != prefilling
@@ -161,7 +162,7 @@
 	return 1
 }
 
-// currentEngine is the engine of the call that the present stage waits for; nil if there is none.
+// currentEngine is the engine whose response the present stage waits for; nil if there is none.
 func (f *flight) currentEngine() *engine {
 	if f.stage == prefilling {
 		return f.prefill
@@ -169,8 +170,8 @@
 	return f.decode
 }
 
-// engineToBlame is the engine responsible for a failure in the present stage. If the decode engine was
-// released and no other decode engine was found, it is the released engine.
+// engineToBlame is the engine responsible for a failure in the present stage. The decode engine may have been released
+// while no other decode engine was found. Then the released engine is to blame.
 func (f *flight) engineToBlame() *engine {
 	if e := f.currentEngine(); e != nil {
 		return e
@@ -251,8 +252,8 @@
 	delete(c.flights, f.ID)
 }
 
-// handleStall handles a stage that takes too long. If another engine can take the request or the hard timeout
-// has passed, the call counts as failed. Otherwise it gets more time.
+// handleStall handles a stage that takes too long. The call counts as failed if another engine can take the request or
+// the hard timeout has passed. Otherwise the call gets more time.
 func (c *Core) handleStall(f *flight) {
 	if c.now.Before(f.stageStart.Add(hardStallTimeout+f.FirstToken)) && !c.hasAlternative(f) {
 		f.stageDeadline = c.now.Add(f.stallMargin())
@@ -271,7 +272,7 @@
 	c.recoverFromFailure(f, reason, ran, false)
 }
 
-// hasAlternative reports whether a stalled request can be moved to another engine, and a retry is left for it.
+// hasAlternative reports whether a stalled request can be moved to another engine, with enough retries left for this.
 func (c *Core) hasAlternative(f *flight) bool {
 	calls := 1 // After the prefill, only the decode call has to be repeated.
 	if f.stage == prefilling {
@@ -295,12 +296,12 @@
 	})
 }
 
-// maxTickGap is the longest time between two ticks on a box that runs normally: five tick intervals. After a
-// longer time, the box itself must have been paused.
+// maxTickGap is the longest time between two ticks on a box that runs normally: five tick intervals. After a longer
+// gap, the box itself must have been paused.
 const maxTickGap = 5 * tickInterval
 
-// extendDeadlinesAfterPause adds the time for which this box was paused (frozen or without a CPU) to the
-// deadlines of all running stages. Answers that arrived in that time have not been read yet, so a missing
+// extendDeadlinesAfterPause detects that this box was paused (frozen or without a CPU), and adds the time of the pause
+// to the deadlines of all running stages. Answers that arrived during the pause have not been read yet. So a missing
 // answer does not mean that an engine failed. Each call that is given up costs a retry and another prefill.
 func (c *Core) extendDeadlinesAfterPause() {
 	gap := c.now.Sub(c.lastTick)
--- a/internal/decide/grant.go
+++ b/internal/decide/grant.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Grant reports whether a decode engine has room for a request of another box. If it has, the
-// request is added to the load of the engine until a report of the engine includes it.
+// Grant reports whether a decode engine has room (enough free memory and a free slot) for a request of
+// another box. If it has, Grant adds the request to the load of the engine. The request counts until a
+// report of the engine includes it.
 //
-// Each engine belongs to one box, its owner, and all other boxes ask that box before they send
-// a request. The owner knows at once what it granted. News of placements that boxes make on their
-// own takes some hundred milliseconds to reach the other boxes, so in a burst several boxes would
-// use the same free memory.
+// Each engine belongs to one box, the owner of the engine. All other boxes ask the owner before they send
+// a request. The owner knows immediately what it granted. Without owners, boxes would learn of each other's
+// placements some hundred milliseconds later. In a burst, several boxes would then use the same free memory.
 //
-// A grant guarantees nothing, since only the engine itself can reserve its memory. If this box
-// does not know the engine, the request is granted, since the asking box knows more about it.
+// A grant guarantees nothing, since only the engine itself can reserve its memory. If this box does not know
+// the engine, it grants the request, since the asking box knows more about the engine.
 func (c *Core) Grant(now time.Time, engine string, r Request) bool {
 	e := c.engines[engine]
 	if e == nil {
--- a/internal/decide/grant_test.go
+++ b/internal/decide/grant_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newGrantCore returns the core of the box that owns engine w, and so grants its memory to other
-// boxes. The engine has 63,000 tokens of memory and has just reported that no stream runs.
+// newGrantCore returns the core of the box that owns engine w. The owner of an engine grants the engine's memory to
+// other boxes. The engine has 63,000 tokens of memory and has just reported that no stream runs.
 func newGrantCore(now time.Time) *Core {
 	c := New(rand.New(rand.NewPCG(1, 1)), 10)
 	c.Step(now, Fleet{
@@ -35,9 +35,9 @@
 	return n
 }
 
-// Fifty boxes ask at the same time to place a stream on an engine that reported to be empty. Each
-// stream is expected to grow to 9,400 tokens and the engine has 63,000, so six to eight are granted.
-// If a grant did not count at once, all fifty would be granted.
+// Fifty boxes ask at the same time to place a stream on an engine. The engine reported that no stream runs. Each stream
+// is expected to grow to 9,400 tokens, and the engine has 63,000, so six to eight streams are granted. If a grant
+// counted only after a delay, all fifty would be granted.
 func TestGrantOnce(t *testing.T) {
 	now := time.Now()
 	if n := countGrants(newGrantCore(now), now, 50); n < 6 || n > 8 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// A granted stream counts until the next report of the engine, which either includes it or shows that
-// it was never started.
+// A granted stream counts until the next report of the engine. That report either includes the stream or shows that the
+// stream was never started.
 func TestGrantEndsWithReport(t *testing.T) {
 	now := time.Now()
 	c := newGrantCore(now)
@@ -69,7 +69,7 @@
 	}
 }
 
-// After an engine has refused to reserve memory, requests that need as much or more are not granted for a while.
+// After an engine refused to reserve memory, requests that need as much or more are not granted for a while.
 func TestNoGrantAfterRefusal(t *testing.T) {
 	now := time.Now()
 	c := newGrantCore(now)
--- a/internal/decide/hall_test.go
+++ b/internal/decide/hall_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// A prefill engine without a queue in another hall is preferred to one with a queue in the box's own hall.
+// A prefill engine without a queue in another hall is preferred to a prefill engine with a queue in the box's own hall.
 func TestQueueOutweighsHall(t *testing.T) {
 	c := newTwoHallCore()
 	c.Step(c.now, RemotePlacement{Engine: "prefill-a", At: c.now, Tokens: 5000})
--- a/internal/decide/learned.go
+++ b/internal/decide/learned.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Estimates holds what a core has estimated for a pool: the speed of its engines and the mean lengths of
-// its requests. It is stored and given to cores that start later.
+// Estimates holds what a core has estimated for a pool: the speed of the pool's engines and the mean lengths of
+// requests. Estimates are stored, and given to cores that start later.
 type Estimates struct {
 	Pool string
 	Speed
-	// Prompt, UncachedPrompt and Output are the mean lengths, in tokens, of prompts, of the uncached parts
-	// of prompts and of answers. TokenTarget is the target for the time between tokens.
+	// Prompt, UncachedPrompt and Output are mean lengths in tokens: of prompts, of the uncached parts of prompts,
+	// and of answers. TokenTarget is the target for the time between tokens.
 	Prompt, UncachedPrompt, Output float64
 	TokenTarget                    time.Duration
 	// Requests is how many requests the estimates are based on.
 	Requests int
 }
 
-// SetEstimates gives a core the estimates of a pool that other cores made before it started.
+// SetEstimates gives a core the estimates of a pool that other cores made before this core started.
 type SetEstimates struct{ Estimates }
 
 func (SetEstimates) event() {}
 
-// EstimatesChanged reports that an estimate of a pool changed by more than the share minPublishedChange,
-// so that the estimates should be published again.
+// EstimatesChanged reports that an estimate of a pool changed by more than the fraction minPublishedChange. The
+// estimates should then be published again.
 type EstimatesChanged struct{ Estimates }
 
 func (EstimatesChanged) action() {}
 
-// minPublishedChange is the fraction by which an estimate must differ from the last published value for the
-// estimates to be published again.
+// minPublishedChange decides when estimates are published again. An estimate must differ from its last published value
+// by more than this fraction.
 const minPublishedChange = 0.2
 
-// learn improves a pool's estimates by the timing of one request.
+// learn improves a pool's estimates by the timing of one request. If an estimate changed clearly, learn reports this.
 func (c *Core) learn(p *pool, t Timing) {
 	if !p.EstimatesSpeed || !p.speed.add(t) {
 		return
@@ -47,9 +47,9 @@
 	return Estimates{p.Name, p.speed.Speed, p.meanPrompt, p.meanUncached, p.meanOutput, p.tokenTarget, p.sampleCount()}
 }
 
-// maxPriorRequests bounds the number of requests as which prior estimates (those from before this core
-// started) count. It is large enough for them to outweigh the default ratio of the roles, and small
-// enough for changed traffic to show soon.
+// maxPriorRequests bounds how much prior estimates count. Prior estimates are those from before this core started. They
+// count as much as at most this number of requests. The number is large enough to outweigh defaultWorkRatio. It is
+// small enough for changed traffic to show soon.
 const maxPriorRequests = 4 * defaultRatioWeight
 
 // Estimates returns the estimates of all pools that estimate their speed and have had enough requests.
@@ -63,7 +63,7 @@
 	return out
 }
 
-// handleSetEstimates stores the estimates of a pool. The pool may be configured later.
+// handleSetEstimates stores the estimates of a pool. It also works before the pool is configured.
 func (c *Core) handleSetEstimates(l Estimates) {
 	c.priorEstimates[l.Pool] = l
 	if p := c.pools[l.Pool]; p != nil {
@@ -82,8 +82,8 @@
 	}
 }
 
-// Differs reports whether any figure of the two estimates differs by more than the given fraction of
-// the larger value.
+// Differs reports whether the two estimates differ in any compared value by more than the given fraction. The fraction
+// applies to the larger of the two values.
 func (l Estimates) Differs(o Estimates, fraction float64) bool {
 	other := o.figures()
 	for i, a := range l.figures() {
@@ -94,7 +94,7 @@
 	return false
 }
 
-// figures are the estimates that are compared by Differs.
+// figures are the values that Differs compares.
 func (l Estimates) figures() [5]float64 {
 	return [5]float64{l.PrefillRate, l.Step.Seconds(), l.FirstEventDelay.Seconds(), l.Prompt, l.Output}
 }
--- a/internal/decide/ledger.go
+++ b/internal/decide/ledger.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// engine is what a core knows of one engine: its configuration, the ledger and what was observed of it.
-// The ledger is the memory and work that this box has reserved on the engine.
+// engine is what a core knows of one engine: the engine's configuration, the ledger, and what was observed of the
+// engine. The ledger is the memory and work that this box has reserved on the engine.
 type engine struct {
 	Engine
 
-	// reservedKV is the memory, in tokens, and streams the number of streams that this box's requests
-	// have reserved on a decode engine. Short answers count as a fraction of a stream.
+	// reservedKV and streams are what this box's requests have reserved on a decode engine: the memory in tokens,
+	// and the number of streams. Short answers count as a fraction of a stream.
 	reservedKV int
 	streams    float64
 	// prefills is the number of this box's prompts that are queued or being prefilled on the engine.
@@ -20,8 +20,8 @@
 	// busyUntil is when a prefill engine is expected to finish all work that this box knows of.
 	busyUntil time.Time
 	link      link
-	// remoteWait is how long a prompt has to wait for work of other boxes, as observed at remoteWaitAt: the part
-	// of a wait that this box's own work does not explain.
+	// remoteWait is how long a prompt has to wait for work of other boxes, as observed at remoteWaitAt. It is the
+	// part of a wait that this box's own work does not explain.
 	remoteWait   time.Duration
 	remoteWaitAt time.Time
 
@@ -35,8 +35,8 @@
 	cache         blockCache
 	health        health
 
-	// refusedKV is the memory, in tokens, that the engine last refused to reserve. Until refusedKVUntil
-	// no request that needs as much or more is placed on it.
+	// refusedKV is the memory, in tokens, that the engine last refused to reserve. Until refusedKVUntil, requests
+	// that need this much or more are not placed on the engine.
 	refusedKV      int
 	refusedKVUntil time.Time
 
@@ -44,8 +44,8 @@
 	lastUsed time.Time
 }
 
-// placement is a request that was sent to an engine after the engine measured its last report, so that
-// the report does not include it.
+// placement is a request that was sent to an engine after the engine measured its last report. So that report does not
+// include the request.
 type placement struct {
 	id            ID
 	at            time.Time
@@ -56,8 +56,8 @@
 
 // reservation is decode memory reserved for a stream, in tokens.
 type reservation struct {
-	kv            int // The most memory that the stream may take.
-	prompt        int // The part of kv that is taken from the start.
+	kv            int // The most memory that the stream can use.
+	prompt        int // The part of kv that is in use from the beginning.
 	outputReserve int // Further memory that must be free when decoding begins.
 	answer        int // Expected length of the answer.
 }
@@ -69,15 +69,14 @@
 	maxReportDelay = 3 * time.Second
 )
 
-// statsUnreliable reports that the engine's reported load cannot be relied on: the engine did not answer
-// the last load probe, or its last report was already old when it arrived. The time since the last
-// report does not count, since engines report with their answers, and an engine without requests has no
-// reason to report.
+// statsUnreliable reports that the engine's reported load cannot be relied on. Either the engine did not answer the
+// last load probe, or its last report was already old when it arrived. The time since the last report does not count.
+// Engines report with their answers, so an engine without requests has no reason to report.
 func (e *engine) statsUnreliable() bool { return e.probeFailed || e.reportDelayed }
 
-// mayBeQueued reports that a prefill engine has at least as many tokens left to prefill as the request
-// needs, by a report measured since the request was sent. The request is then not stuck but may be queued
-// behind prompts of other boxes.
+// mayBeQueued reports that the request may still be queued behind prompts of other boxes, and so is not stuck. This is
+// the case if a report measured after the request was sent shows enough queued tokens on the prefill engine: at least
+// as many as the request needs.
 func (e *engine) mayBeQueued(f *flight) bool {
 	return e.hasReport && e.report.At.After(f.stageStart) && e.report.QueuedTokens >= f.uncachedTokens
 }
@@ -90,35 +89,34 @@
 	return now.Sub(e.report.At)
 }
 
-// leaving reports that the engine may get no new work: it is configured as leaving or evacuated, or its last
-// report says that it is leaving.
+// leaving reports that the engine must get no new work. Either the engine is configured as leaving or evacuated, or its
+// last report says that it is leaving.
 func (e *engine) leaving() bool { return e.Leaving || e.Evacuated || e.hasReport && e.report.Leaving }
 
-// cold reports that the engine was started recently and is still warming up, so that this box has to
-// wait before it sends the engine another request.
+// cold reports that the engine is still warming up after its start, and that this box must wait before it sends the
+// engine another request.
 func (e *engine) cold(now time.Time) bool { return e.Cold.Blocks(now, e.lastUsed) }
 
-// queueTime is how long a prompt that is sent now is expected to wait on the engine, for prompts of this
-// box and of other boxes.
+// queueTime is how long a prompt that is sent now is expected to wait on the engine. It covers the work of this box and
+// of other boxes.
 func (e *engine) queueTime(now time.Time) time.Duration {
 	return e.ownQueueTime(now) + e.remoteQueueTime(now)
 }
 
 func (e *engine) ownQueueTime(now time.Time) time.Duration { return max(0, e.busyUntil.Sub(now)) }
 
-// remoteQueueTime is what is left by now of the wait that other boxes cause. It assumes that they have
-// sent nothing since the wait was observed. If they have, the next prompt of this box shows it.
+// remoteQueueTime is the remaining wait that other boxes cause. It assumes that other boxes have sent nothing to the
+// engine since the wait was observed. If they have, the next prompt of this box shows it.
 func (e *engine) remoteQueueTime(now time.Time) time.Duration {
 	return max(0, e.remoteWait-now.Sub(e.remoteWaitAt))
 }
 
-// observeWait records the wait that other boxes caused: how much longer a prompt of this box takes than
-// the box's own work explains. While the prompt is not done, this is a lower bound, so it is only used
-// if it exceeds the known wait.
+// observeWait records the wait that other boxes caused. excess is how much longer a prompt of this box took than the
+// box's own work explains. While the prompt is not done, excess is a lower bound, and is recorded only if it exceeds
+// the known wait.
 //
-// Example: this box sends a prompt that takes 100 ms behind 50 ms of its own work, and the prompt is done
-// after 900 ms. So work of other boxes took 750 ms. A prompt that is sent 200 ms later is expected to
-// wait 550 ms for other boxes.
+// Example: this box sends a prompt that takes 100 ms behind 50 ms of its own work, and the prompt is done after 900 ms.
+// So work of other boxes took 750 ms. A prompt that is sent 200 ms later is expected to wait 550 ms for other boxes.
 func (e *engine) observeWait(now time.Time, excess time.Duration, done bool) {
 	if done || excess > e.remoteQueueTime(now) {
 		e.remoteWait, e.remoteWaitAt = max(0, excess), now
@@ -129,9 +127,9 @@
 	return seconds(float64(tokens) / e.PrefillRate)
 }
 
-// freeKV estimates the free memory of a decode engine, in tokens. It is the smaller of two figures. One
-// is the memory that this box's ledger leaves free, which is exact but ignores other boxes. The other is
-// the free memory that the engine reported, less the memory of requests sent since.
+// freeKV estimates the free memory of a decode engine, in tokens. It is the smaller of two values. The first is the
+// memory that this box's ledger leaves free, which is exact but ignores other boxes. The second is the free memory
+// that the engine last reported, less the memory of requests sent since that report.
 //
 // Example: the engine has memory for 1000 tokens. This box's requests reserve 300, of which 100 were sent
 // after the last report, which says that 500 are free. The ledger leaves 700 and the report 400, so 400
@@ -153,8 +151,8 @@
 	return e.Step + time.Duration((e.running()+1)*float64(e.StepPerStream))
 }
 
-// running estimates the number of streams on the engine. It is the larger of two figures: the streams in
-// this box's ledger, and the reported streams plus the streams placed since the report.
+// running estimates the number of streams on the engine. It is the larger of two values. The first is the number of
+// streams in this box's ledger. The second is the reported number plus the streams placed since the report.
 func (e *engine) running() float64 {
 	if !e.hasReport {
 		return e.streams
@@ -166,8 +164,8 @@
 	return max(e.streams, reportedStreams)
 }
 
-// cachedTokens is how many tokens of the prompt the engine is expected to have in its cache. It is less
-// than the whole prompt, since the engine must prefill one token to generate the next.
+// cachedTokens is how many tokens of the prompt the engine is expected to have in its cache. At least one token of the
+// prompt never counts as cached, since the engine must prefill one token to generate the next.
 func (e *engine) cachedTokens(f *flight) int {
 	return max(0, min(e.cache.matched(f.Blocks)*BlockTokens, f.PromptTokens-1))
 }
@@ -192,7 +190,8 @@
 	e.addPlacement(placement{id: id, at: now, reservation: b, streams: weight})
 }
 
-// addRemotePlacement adds a placement of another box, which counts until a report includes it.
+// addRemotePlacement adds a placement of another box. The placement counts until a report includes it. It is ignored if
+// the last report was measured later.
 func (e *engine) addRemotePlacement(s RemotePlacement) {
 	if e.hasReport && !s.At.After(e.report.At) {
 		return
@@ -207,13 +206,13 @@
 	e.addPlacement(w)
 }
 
-// releaseDecode releases a stream's memory in the ledger. If no report includes the stream yet, its
-// placement is removed too. Otherwise the estimate of free memory would be too low until the next report.
+// releaseDecode releases a stream's memory in the ledger. If no report includes the stream yet, the placement of the
+// stream is removed too. Otherwise the estimate of free memory would be too low until the next report.
 func (e *engine) releaseDecode(id ID, kv int, weight float64) {
 	e.reservedKV -= kv
 	e.streams = max(0, e.streams-weight)
 	if e.reservedKV == 0 {
-		e.streams = 0 // Rounding errors of added fractions would leave a rest.
+		e.streams = 0 // Rounding errors of added fractions could remain.
 	}
 	for i := range e.placements {
 		if e.placements[i].id == id && e.placements[i].kv > 0 {
@@ -228,7 +227,7 @@
 	}
 }
 
-// addStreamEnded removes an ended stream from the last report, if that report is older than the end.
+// addStreamEnded removes an ended stream from the last report, if that report was measured before the stream ended.
 func (e *engine) addStreamEnded(p *pool, ev StreamEnded) {
 	if !e.hasReport || e.report.Runs == nil || !ev.At.After(e.report.At) {
 		return
@@ -239,8 +238,8 @@
 	e.removeFromReport(p, ev)
 }
 
-// removeFromReport removes an ended stream from the report. Reports do not identify streams, so the
-// reported stream is removed whose size would by now be closest to that of the ended stream.
+// removeFromReport removes an ended stream from the report. Reports do not identify streams. So the function removes
+// the reported stream whose size by now is expected to be closest to the size of the ended stream.
 func (e *engine) removeFromReport(p *pool, ev StreamEnded) {
 	grown := int(ev.At.Sub(e.report.At) / max(time.Microsecond, e.stepTime()))
 	best, least := -1, int(endedTolerance*p.meanOutput)
@@ -258,8 +257,8 @@
 	e.forecast = memoryForecast{}
 }
 
-// endedTolerance is how much the size of an ended stream may differ from the expected size of the reported
-// stream that is removed for it, as a fraction of a mean answer.
+// endedTolerance bounds how much the size of an ended stream may differ from the expected size of the reported stream
+// that is removed. It is a fraction of a mean answer.
 const endedTolerance = 0.35
 
 func abs(n int) int { return max(n, -n) }
@@ -276,8 +275,8 @@
 	e.forecast = memoryForecast{}
 }
 
-// releasePrefill removes one of this box's prompts from the ledger. If none is left and there is no
-// reliable report, the engine counts as free from now on, even if it was predicted to be busy for longer.
+// releasePrefill removes one of this box's prompts from the ledger. If no other prompt is left and there is no reliable
+// report, the engine counts as free from now on, even if it was predicted to be busy for longer.
 func (e *engine) releasePrefill(now time.Time) {
 	e.prefills--
 	if e.prefills == 0 && (!e.hasReport || e.statsUnreliable()) {
@@ -285,8 +284,8 @@
 	}
 }
 
-// addReport replaces the engine's figures by those of a report, and drops placements that the report
-// includes. Reports may arrive out of order: a report older than the last is ignored.
+// addReport replaces the engine's reported load by a new report, and drops placements that the report includes. Reports
+// can arrive out of order: a report that was measured before the last one is ignored.
 func (e *engine) addReport(now time.Time, p *pool, r LoadReport) {
 	if e.hasReport && r.At.Before(e.report.At) {
 		return
@@ -315,20 +314,20 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// blockCache predicts which prompt blocks an engine has in its cache. Blocks are kept in two sets. New
-// blocks are added to the young set. When it is full, it becomes the old set, and the blocks of the
-// former old set are dropped. A look-up takes two map accesses, and blocks are dropped in about the
-// same order as on an engine whose memory is full.
+// blockCache predicts which prompt blocks an engine has in its cache. Blocks are kept in two sets, young and old. New
+// blocks are added to the young set. When the young set is full, it becomes the old set. The blocks of the former old
+// set are then dropped. A look-up needs two map accesses. Blocks are dropped in about the same order as on an engine
+// whose memory is full.
 //
-// The number of blocks that the engine really keeps is learned. The size of the sets shrinks whenever
-// fewer tokens were cached than predicted, and grows slowly otherwise.
+// The box learns how many blocks the engine really keeps. The size of the sets shrinks whenever fewer tokens were
+// cached than predicted. Otherwise it grows slowly.
 type blockCache struct {
 	young, old  map[uint64]struct{}
 	learnedSize float64 // Most blocks in the young set; 0 before the first observation.
 }
 
 const (
-	// maxBlocks and minBlocks limit the size of a set. Two sets of maxBlocks take about 150 KB per engine.
+	// maxBlocks and minBlocks limit the size of a set. Two sets of maxBlocks use about 150 KB per engine.
 	maxBlocks = 2048
 	minBlocks = 32
 	// cacheShrink and cacheGrow are the factors by which one observation changes the size.
@@ -336,8 +335,8 @@
 	cacheGrow   = 1.01
 )
 
-// size is the most blocks in the young set. The exact size is kept as a fraction, since a small size grows
-// by less than one block at a time.
+// size is the most blocks in the young set. The exact value is kept as a fraction (learnedSize), since a small size
+// grows by less than one block at a time.
 func (c *blockCache) size() int { return int(c.sizeOrMax()) }
 
 func (c *blockCache) sizeOrMax() float64 {
@@ -387,8 +386,8 @@
 	}
 }
 
-// matched counts how many leading blocks of a prompt are cached. If block i is cached, blocks 0 to i-1 are
-// too, since they were added with it, so a binary search finds the end.
+// matched counts how many leading blocks of a prompt are cached. If block i is cached, blocks 0 to i-1 are cached too,
+// since they were added together with block i. So a binary search finds the last cached block.
 func (c *blockCache) matched(blocks []uint64) int {
 	lo, hi := 0, len(blocks)
 	for lo < hi {
@@ -402,10 +401,10 @@
 	return lo
 }
 
-// health tracks the failures of an engine. After several failures in a row, the engine is set aside: no
-// requests are sent to it for some time. After that time, a single request is sent as a probe, and the time
-// starts again. Other requests follow only after the probe succeeds. If the probe is never answered, another
-// probe is sent after the same time.
+// health tracks the failures of an engine. After several failures in a row, the engine is set aside: no requests are
+// sent to it for some time. After that time, a single request is sent as a probe, and the time begins again. Other
+// requests follow only after the probe succeeds. If the probe is never answered, another probe is sent after the same
+// time.
 type health struct {
 	failuresInRow int
 	setAsideUntil time.Time
@@ -420,12 +419,12 @@
 	failuresToSetAside = 3
 	minSetAside        = time.Second
 	maxSetAside        = 30 * time.Second
-	// An engine that refuses a prompt is about to change its role, is faulty or is full, and usually goes
-	// on refusing for seconds. It is a last resort for minAvoidPeriod, and for twice as long after each
-	// further refusal, up to maxAvoidPeriod.
+	// An engine that refuses a prompt is about to change its role, is faulty or is full. Usually it goes on
+	// refusing for seconds. So it is a last resort for minAvoidPeriod. The period doubles with each further
+	// refusal, up to maxAvoidPeriod.
 	minAvoidPeriod = 2 * time.Second
 	maxAvoidPeriod = 8 * time.Second
-	// refusedCost, in seconds, is added to the cost of an engine in that time. It is more than the cost of any
+	// refusedCost, in seconds, is added to the cost of an engine in that period. It is more than the cost of any
 	// queue behind which a prompt can still be on time.
 	refusedCost = 0.8
 )
--- a/internal/decide/link.go
+++ b/internal/decide/link.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// link holds the transfers that use the network link of one engine, as far as this box knows them:
-// transfers in progress, and transfers planned for prompts that are still being prefilled. Transfers
-// on the same link share its rate evenly.
+// link holds the transfers that use the network link of one engine, as far as this box knows them. These are
+// transfers in progress, and planned transfers of prompts that are still being prefilled. Transfers on the
+// same link share its rate evenly.
 type link struct{ transfers []transfer }
 
 type transfer struct {
@@ -22,9 +22,9 @@
 	l.transfers = slices.DeleteFunc(l.transfers, func(t transfer) bool { return t.id == id })
 }
 
-// delay predicts how much longer a transfer that starts at the time ready takes because it shares the link
-// with the transfers that still run at that time. Sharing with n other transfers adds n times the
-// transfer's own duration, but never more than the total duration of the other transfers.
+// delay predicts how much longer a transfer takes because it shares the link. The transfer starts at the time
+// ready, and shares the link with the transfers that still run then. Each of these adds the new transfer's own
+// duration. But the delay is at most the total duration of these transfers.
 //
 // Example: two other transfers take 130 ms each. A transfer of 2 ms then takes 4 ms longer, and a
 // transfer of 500 ms takes 260 ms longer.
@@ -42,7 +42,8 @@
 	return min(time.Duration(sharing)*duration, total)
 }
 
-// planTransfer adds the request's transfer to the links of both engines. It starts at the time ready.
+// planTransfer adds the request's transfer, which starts at the time ready, to the links of both engines. A
+// transfer planned earlier is removed.
 func (f *flight) planTransfer(ready time.Time) {
 	f.cancelTransfer()
 	f.plannedLinks = [2]*engine{f.prefill, f.decode}
@@ -52,7 +53,7 @@
 	}
 }
 
-// cancelTransfer removes the request's transfer from its links, once it is done or given up.
+// cancelTransfer removes the request's transfer from the links of both engines. The transfer is done or given up.
 func (f *flight) cancelTransfer() {
 	for _, e := range f.plannedLinks {
 		if e != nil {
@@ -77,9 +78,9 @@
 	return max(known, time.Duration(p.predictionError.transferSlowdown*float64(alone)))
 }
 
-// predictionError tracks by how much recent predictions of cached tokens and transfer times were wrong.
-// Other boxes are the cause: news of the prompts that they send to the same engines arrives late, and there
-// is no news of their transfers. A box therefore measures the effect on its own requests.
+// predictionError tracks by how much recent predictions of cached tokens and transfer times were wrong. Other
+// boxes are the cause. News of the prompts that they send to the same engines arrives late, and there is no
+// news of their transfers. So a box measures the errors on its own requests.
 type predictionError struct {
 	transferSlowdown float64 // Mean ratio of the real transfer time to the time without sharing.
 	cacheErrorRate   float64 // Share of prompts whose cached part differed from the prediction by a block or more.
@@ -88,7 +89,8 @@
 // errorBlend is the weight of a new observation in the running means.
 const errorBlend = 0.1
 
-// observeCache compares the predicted number of cached prompt tokens with the actual one.
+// observeCache compares the predicted number of cached prompt tokens with the actual number, and updates the error
+// rate.
 func (s *predictionError) observeCache(predicted, actual int) {
 	mispredicted := 0.0
 	if d := predicted - actual; d >= BlockTokens || d <= -BlockTokens {
@@ -97,9 +99,9 @@
 	s.cacheErrorRate += errorBlend * (mispredicted - s.cacheErrorRate)
 }
 
-// affinityFactor is how strongly the preferred engine of a prefix is favored. While the box predicts
-// correctly which engine has the prefix in its cache, predictions are the better guide. They fail if other
-// boxes send the same prefix to other engines; it is then better that all boxes prefer the same engine.
+// affinityFactor says how much cheaper the preferred engine of a prefix is made. As long as the box predicts
+// correctly which engine has the prefix in its cache, the predictions are the better guide. The predictions fail if
+// other boxes send the same prefix to other engines. Then it is better that all boxes prefer the same engine.
 func (s *predictionError) affinityFactor() float64 {
 	return maxAffinityFactor * min(1, affinityGain*s.cacheErrorRate)
 }
--- a/internal/decide/memory.go
+++ b/internal/decide/memory.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// This file forecasts the memory use of decode engines. A stream takes more memory with every
-// token, so an engine that has room now may have none in a second. It then preempts a stream,
-// whose prompt is prefilled again while its caller waits.
+// This file forecasts the memory use of decode engines. A stream uses more memory with every token. So an
+// engine that has enough free memory now can run out of memory within a second. The engine then preempts a
+// stream. The prompt of that stream is prefilled again while the caller waits.
 
 // StreamLoad is one running stream in an engine's report.
 type StreamLoad struct {
@@ -21,18 +21,18 @@
 	// the length that the caller expects.
 	lengthSigma = 0.7
 	guessSigma  = 0.5
-	// overflowSigma is how many standard deviations above its expected use the memory of an engine
-	// must suffice for.
+	// overflowSigma is a safety margin, in standard deviations of an engine's memory use. The engine must
+	// have enough memory for the expected use plus this margin.
 	overflowSigma = 2.0
-	// unknownShare is the fraction of an engine's memory that is kept free for streams of other
-	// boxes that this box learns of late or never.
+	// unknownShare is the fraction of an engine's memory that is kept free for streams of other boxes. News
+	// of such streams reaches this box late or never.
 	unknownShare = 0.06
-	// maxForecastReportAge is how old a report of an engine may be for a forecast of its memory.
+	// maxForecastReportAge is the greatest age of an engine's report from which its memory use is forecast.
 	maxForecastReportAge = 3 * time.Second
 )
 
-// noForecastCost, in seconds, is added to the cost of an engine whose memory cannot be forecast. It
-// is more than the cost difference between similar engines, and less than the cost of a queue.
+// noForecastCost, in seconds, is added to the cost of an engine whose memory use cannot be forecast. It is more
+// than the usual cost difference between two engines of the same kind, and less than the cost of a queue.
 const noForecastCost = 0.03
 
 // lacksForecast reports that the memory use cannot be forecast, for lack of a recent report.
@@ -40,12 +40,12 @@
 	return !e.hasReport || e.reportAge(now) > maxForecastReportAge
 }
 
-// forecastHorizons are the times for which the memory use is forecast, counted from now. The unit is
-// the time that an answer of mean length takes.
+// forecastHorizons are the points in time for which the memory use is forecast, counted from now. The unit is
+// the time in which an answer of mean length is generated.
 var forecastHorizons = [...]float64{0, 0.15, 0.3, 0.5, 0.75, 1, 1.5}
 
-// longerThan is the probability that an answer is longer than n tokens. Its length is log-normally
-// distributed with the given median and standard deviation of the logarithm.
+// longerThan is the probability that an answer has more than n tokens. Answer lengths are log-normally
+// distributed. median is their median, and spread the standard deviation of the logarithm of the length.
 func longerThan(n, median, spread float64) float64 {
 	if n <= 0 {
 		return 1
@@ -53,14 +53,14 @@
 	return 0.5 * math.Erfc(math.Log(n/median)/(spread*math.Sqrt2))
 }
 
-// memoryForecast is the expected memory use of a decode engine, without the request that is to be
-// placed. It is kept for forecastLifetime unless the engine's load changes, since the core tries
-// to place a waiting request many times per second.
+// memoryForecast is the expected memory use of a decode engine, without the request that is to be placed. The
+// core tries to place a waiting request many times per second. So a forecast is used again for
+// forecastLifetime, unless the engine's load changes.
 type memoryForecast struct {
 	at time.Time
-	// mean and variance describe the distribution of the memory use in tokens at each horizon.
-	// max is the use at that time if no stream has ended by then. running is the expected number
-	// of streams that run now.
+	// mean and variance describe the distribution of the memory use, in tokens, at each horizon. max is
+	// the memory use at the horizon if no stream has ended by then. running is the expected number of
+	// streams that run now.
 	mean, variance, max [len(forecastHorizons)]float64
 	running             float64
 }
@@ -68,17 +68,17 @@
 const (
 	// forecastLifetime is how long a forecast is used before it is computed again.
 	forecastLifetime = 25 * time.Millisecond
-	// defaultStartTime stands for the time from the placement of a stream to its first token until
-	// that time can be estimated. Until then, prompt and OutputReserve of the stream count as used.
+	// defaultStartTime is the assumed time from the placement of a stream to its first token, as long as there
+	// is no estimate. In this time, the prompt and the OutputReserve of the stream count as used memory.
 	defaultStartTime = 200 * time.Millisecond
 )
 
-// forecastMemory returns the memory forecast of an engine with a recent report. It takes into
-// account that reported streams have grown or ended since the report.
+// forecastMemory returns the memory forecast of an engine that has a recent report. Since the report, streams
+// have grown or ended, and the forecast takes this into account.
 //
-// Example: a report from 1 s ago contains a stream that had generated 3,000 tokens, at 0.7 ms
-// each, and half of all answers end before 3,500. By now it has generated 4,400 tokens or,
-// more likely, has ended and freed its memory.
+// Example: a report from 1 s ago contains a stream that had generated 3,000 tokens, at 0.7 ms each. Half of
+// all answers have fewer than 3,500 tokens. If the stream still runs, it has generated 4,400 tokens by now.
+// More likely, the stream has ended and freed its memory.
 func (e *engine) forecastMemory(p *pool, now time.Time) *memoryForecast {
 	if o := &e.forecast; !o.at.IsZero() && now.Sub(o.at) < forecastLifetime {
 		return o
@@ -88,10 +88,11 @@
 	step := max(1e-6, (e.Step + time.Duration(e.report.Streams)*e.StepPerStream).Seconds())
 	since := e.reportAge(now).Seconds() / step
 	median := p.meanOutput * math.Exp(-lengthSigma*lengthSigma/2)
-	// Memory that the reported streams do not use is reserved for streams without a first token.
+	// Some reported memory is in use but belongs to no reported stream. It is reserved for streams that have no
+	// first token yet.
 	notBegun := float64(e.KVTokens - e.report.FreeKV)
-	// If this box receives the ends of streams, it has removed ended streams from the report, so all
-	// streams that are left still run.
+	// If this box receives the ends of streams, it has already removed ended streams from the report. So all
+	// streams in the report still run.
 	alive := func(r StreamLoad) float64 {
 		if p.receivesStreamEnds {
 			return 1
@@ -136,28 +137,28 @@
 	return p.speed.PrefillDelay + seconds(p.meanUncached/p.speed.PrefillRate) + p.speed.FirstEventDelay
 }
 
-// continueChance is the probability that a stream goes on for further tokens after it has generated
-// the given number of tokens.
+// continueChance is the probability that a stream generates at least so many further tokens, given that it
+// has already generated the given number.
 func continueChance(generated, further, median float64) float64 {
 	return longerThan(generated+further, median, lengthSigma) / max(1e-9, longerThan(generated, median, lengthSigma))
 }
 
-// addStream adds a stream that uses so many tokens at horizon i, and still runs then with the given
-// chance.
+// addStream adds a stream to the forecast for horizon i. chance is the probability that the stream still runs
+// then, and tokens the memory that it uses in that case.
 func (o *memoryForecast) addStream(i int, tokens, chance float64) {
 	o.max[i] += tokens
 	o.mean[i] += tokens * chance
 	o.variance[i] += tokens * tokens * chance * (1 - chance)
 }
 
-// hasRoom reports whether the engine is expected to have enough free memory for the request now, and
-// not to run out of memory later if it takes the request. Without a recent report with a list of
-// streams, only the memory that is free now counts.
+// hasRoom reports whether the request fits into the engine's memory. The engine must have enough free memory
+// now. If the request may not be late, the engine must also not be expected to run out of memory later.
+// Without a recent report that lists the streams, only the memory that is free now counts.
 //
-// Example: the engine has memory for 63,000 tokens, and answers have 4,400 tokens on average. A
-// request with a prompt of 4,000 tokens fits beside five streams of 9,000 tokens that have
-// generated 8,000 each, since most of these will have ended before the new one has grown. It does
-// not fit beside ten new streams of 5,000 tokens: 13,000 tokens are free now, but all of the
+// Example: the engine has memory for 63,000 tokens. Answers have 4,400 tokens on average, and the request has
+// a prompt of 4,000 tokens. On the engine run five streams of 9,000 tokens, 8,000 of them generated. Then the
+// request fits, since most of the five streams will have ended before the new stream has grown. With ten new
+// streams of 5,000 tokens instead, the request does not fit. 13,000 tokens are free now, but all of the
 // streams will grow.
 func (e *engine) hasRoom(p *pool, f *flight, now time.Time) bool {
 	if e.KVTokens-e.reservedKV < f.kvNeed() {
@@ -179,7 +180,7 @@
 		chance := longerThan(t, expected, guessSigma)
 		tokens := float64(f.PromptTokens) + t
 		mean, variance := o.mean[i]+tokens*chance, o.variance[i]+tokens*tokens*chance*(1-chance)
-		// The use is not higher than if none of the known streams ends.
+		// worst is the memory use if no known stream ends. The use cannot be higher than that.
 		worst := o.max[i] + tokens + unknownShare*float64(e.KVTokens)
 		if min(worst, mean+overflowSigma*math.Sqrt(variance)) > float64(e.KVTokens) {
 			return false
@@ -188,11 +189,11 @@
 	return true
 }
 
-// requestLengths are the mean lengths, in tokens, of the prompts and answers of a pool's requests. They
-// are 0 before the first request.
+// requestLengths are the mean lengths, in tokens, of the prompts and answers of a pool's requests. Before the
+// first request, all values are 0.
 type requestLengths struct {
 	meanPrompt float64
-	meanOutput float64 // Mean of the lengths that were expected of answers on arrival, not of their real lengths.
+	meanOutput float64 // Mean of the answer lengths that were expected on arrival. Real lengths play no part.
 	// meanUncached is the mean length of the uncached part of a prompt.
 	meanUncached float64
 	// tokenTarget is the between-tokens target of the last request.
@@ -215,7 +216,8 @@
 	l.tokenTarget = betweenTokens
 }
 
-// observeRemote adds the lengths of a request of another box, of which the cached part is not known.
+// observeRemote adds the lengths of a request of another box. The cached part of its prompt is not known, so the
+// whole prompt counts as uncached.
 func (l *requestLengths) observeRemote(ev RemotePlacement) {
 	l.observe(ev.At, ev.PromptTokens, ev.PromptTokens, ev.KV-ev.PromptTokens, l.tokenTarget)
 }
--- a/internal/decide/memory_test.go
+++ b/internal/decide/memory_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// expectOverflow checks the prediction for a request with a prompt of 4,000 tokens and an answer of
-// 4,400 on an engine with memory for 63,000 tokens: want says whether the memory is predicted not to
-// suffice. By a report of the given age, the engine has as many streams as runs says. Each stream uses as
-// much memory as tokens says, and has generated as many tokens of its answer as made says.
+// expectOverflow checks the memory prediction for a request with a prompt of 4,000 tokens and an answer of 4,400
+// tokens. The engine has memory for 63,000 tokens. Its report has the given age and lists runs streams. Each stream
+// uses memory for tokens tokens, and has generated made tokens of its answer. want is true if the memory must be
+// predicted not to suffice.
 func expectOverflow(t *testing.T, runs, tokens, made int, age time.Duration, want bool) {
 	t.Helper()
 	now := time.Now()
@@ -33,8 +33,8 @@
 func TestOverflowOldReport(t *testing.T)     { expectOverflow(t, 10, 5000, 0, 10*time.Second, false) }
 func TestOverflowNoStreams(t *testing.T)     { expectOverflow(t, 0, 0, 0, 0, false) }
 
-// A report that is some seconds old is brought up to date by estimate: streams that were nearly done
-// have ended since, and streams that had just begun have grown.
+// A report that is some seconds old is brought up to date by estimate. Since the report, streams that were nearly done
+// have ended, and streams that had just begun have grown.
 func TestOverflowReportAge(t *testing.T) {
 	now := time.Now()
 	p := &pool{requestLengths: requestLengths{meanOutput: 4400}}
@@ -66,7 +66,7 @@
 	}
 }
 
-// An engine has no room for a request if all its slots are taken, however much memory is free.
+// If all slots of an engine are in use, no request fits, however much memory is free.
 func TestOverflowSlots(t *testing.T) {
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 63000, Slots: 3, Step: time.Millisecond}, hasReport: true}
@@ -77,8 +77,8 @@
 	}
 }
 
-// An engine reports one stream of 5,000 tokens but little free memory, because it has reserved the
-// difference for streams without a first token. The reserved memory counts as used.
+// An engine reports one stream of 5,000 tokens, but little free memory. The engine has reserved the difference for
+// streams without a first token. The reserved memory counts as used.
 func TestOverflowReservedMemory(t *testing.T) {
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 63000}, hasReport: true}
@@ -89,8 +89,8 @@
 	}
 }
 
-// Two engines have the same free memory now. A request is placed on the engine whose streams are
-// expected to end soon, and not on the one whose streams have just begun.
+// Two engines have the same free memory now. On one engine, streams are expected to end soon. On the other, streams
+// have just begun. A request is placed on the first.
 func TestPlacementUsesForecast(t *testing.T) {
 	ending, begun := make([]StreamLoad, 8), make([]StreamLoad, 16)
 	for i := range ending {
@@ -115,9 +115,9 @@
 	}
 }
 
-// The forecast never exceeds the memory that an engine's streams use if none of them ends. Long
-// prompts with short answers can therefore fill an engine nearly completely. Without this limit, the
-// uncertainty about when six streams end counted as 2,000 tokens that the streams could never use.
+// The forecast never exceeds the memory that an engine's streams use if none of them ends. So long prompts with short
+// answers can fill an engine nearly completely. Without this limit, it was uncertain when six streams would end, and
+// the margin for this was 2,000 tokens that the streams could never use.
 func TestOverflowUpperBound(t *testing.T) {
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 28400, Step: 5 * time.Millisecond}, hasReport: true}
--- a/internal/decide/migrate.go
+++ b/internal/decide/migrate.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// This file migrates running streams from decode engines that will run out of memory, or that leave, to other
-// decode engines. An engine that runs out of memory preempts its newest stream: the stream's prompt is
+// This file migrates running streams to other decode engines. A stream is migrated if its decode engine will run out of
+// memory, or if the engine leaves. An engine that runs out of memory preempts its newest stream: the stream's prompt is
 // prefilled again while the caller waits. Migrating the stream's KV cache takes only milliseconds.
 
 // Migrate moves a running stream to another decode engine.
@@ -22,7 +22,7 @@
 	Leaving bool
 }
 
-// Migrated reports the end of a migration. From now on the stream has the attempt number of the Migrate.
+// Migrated reports that a migration is over. From now on the stream has the attempt number of the Migrate action.
 type Migrated struct {
 	ID      ID
 	Attempt Attempt
@@ -43,26 +43,29 @@
 const (
 	// migrateInterval is the time between two searches for streams to migrate.
 	migrateInterval = 60 * time.Millisecond
-	// migrateHorizonIndex is the index in forecastHorizons of the time up to which an engine must have enough
-	// memory. Its memory must suffice for migrateSigma standard deviations more than the expected use then.
+	// migrateHorizonIndex is an index in forecastHorizons. At that horizon, the memory of an engine must still be
+	// enough for the expected use plus migrateSigma standard deviations. Otherwise streams are migrated.
 	migrateHorizonIndex = 1
 	migrateSigma        = 0.5
-	// migrationCooldown is how long a stream is not migrated again after a migration ended or failed.
+	// migrationCooldown is for how long a stream is not migrated again after a migration succeeded, was aborted or
+	// failed.
 	migrationCooldown = 1500 * time.Millisecond
-	// minRemainingShare is how many tokens a stream must still be expected to generate to be migrated, as a
-	// fraction of a mean answer.
+	// minRemainingShare is the least part of an answer for which a migration is worthwhile. The stream must be
+	// expected to generate at least this fraction of a mean answer from now on.
 	minRemainingShare = 0.12
-	// crossHallReserve is how much more free memory a decode engine in another data hall must have to be
-	// preferred to one in the same hall, as a fraction of its memory. Migrations between halls take twice as long.
+	// crossHallReserve is how much more free memory a decode engine in another data hall must have than an engine
+	// in the same hall to be preferred. It is a fraction of the engine's memory. Migrations between halls take
+	// twice as long.
 	crossHallReserve = 0.1
-	// maxTargetReportAge is how old the last report of an engine may be that a stream is migrated to.
+	// maxTargetReportAge is the greatest age of the last report of an engine to which a stream is migrated.
 	maxTargetReportAge = 2 * time.Second
-	// sameStartTolerance is the largest difference between two observed start times that may belong to the same
-	// stream.
+	// sameStartTolerance allows for errors when the times at which two streams started are compared. Two observed
+	// times that differ by no more than this can belong to the same stream.
 	sameStartTolerance = 120 * time.Millisecond
 )
 
-// migrateStreams starts migrations of those streams of this box that shouldMigrate selects.
+// migrateStreams looks for streams of this box that should be migrated (see shouldMigrate), and starts their
+// migrations. It does so at most once per migrateInterval.
 func (c *Core) migrateStreams(p *pool) {
 	if !p.Migrates || c.now.Sub(p.lastMigrateCheck) < migrateInterval {
 		return
@@ -80,10 +83,10 @@
 	}
 }
 
-// shouldMigrate reports whether a stream should be migrated. Either its engine leaves, or its engine will
-// run out of memory and would then preempt this stream, its newest. Streams on an evacuated engine that
-// keeps running are not migrated: if the migration were aborted, they would have to continue in the hall that
-// is being evacuated.
+// shouldMigrate reports whether a stream should be migrated. There are two reasons: the stream's engine leaves, or the
+// engine will run out of memory and would then preempt this stream, its newest. A stream that is nearly done is not
+// migrated. Streams on an evacuated engine that keeps running are not migrated either. If such a migration were
+// aborted, the stream would have to continue in the hall that is being evacuated.
 func (c *Core) shouldMigrate(p *pool, f *flight) bool {
 	if f.decode.Evacuated && !f.decode.Leaving {
 		return false
@@ -103,7 +106,7 @@
 	return forecast.mean[migrateHorizonIndex]+migrateSigma*math.Sqrt(forecast.variance[migrateHorizonIndex]) > float64(e.KVTokens)
 }
 
-// isNewest reports whether no stream is known that began on the engine after this one.
+// isNewest reports whether the stream is the newest on its engine, as far as this box knows.
 func (e *engine) isNewest(f *flight) bool {
 	step := e.stepTime()
 	for _, r := range e.report.Runs {
@@ -130,11 +133,12 @@
 	if made < n {
 		return n - made
 	}
-	return n / 4 // The answer is longer than expected, and so is likely to go on for long.
+	return n / 4 // The answer is already longer than expected, so it will probably go on for long.
 }
 
-// startMigration migrates a stream to the engine that is forecast to have the largest free share of memory. If
-// no engine can take the stream or no retry is left, it does nothing.
+// startMigration starts to migrate a stream to the engine that is forecast to have the largest free fraction of its
+// memory. It takes a retry from the budget. If no engine can take the stream or no retry is left, the stream stays, and
+// is not considered again for migrateInterval.
 func (c *Core) startMigration(p *pool, f *flight) {
 	remaining := &flight{Request: f.Request, pool: p}
 	remaining.PromptTokens += f.outputSoFar(c.now)
@@ -145,8 +149,8 @@
 	var destination *engine
 	mostFree := 0.0
 	for _, option := range c.decodeOptions {
-		// An engine that does not answer its load probes would look better with time: its last reported streams
-		// are forecast to end.
+		// Streams are not migrated to an engine that does not answer its load probes. Its last reported streams
+		// are forecast to end, so the engine would seem to become emptier.
 		if option.e == f.decode || option.e.statsUnreliable() || option.e.report.Queued > 0 || option.e.lacksForecast(c.now) || option.e.reportAge(c.now) > maxTargetReportAge {
 			continue
 		}
@@ -169,10 +173,10 @@
 	c.emit(Migrate{f.ID, f.migrateAttempt, f.decode.Name, destination.Name, f.decode.Leaving})
 }
 
-// newAttempt returns an attempt number that no call or migration of the request has had.
+// newAttempt returns an attempt number that no call and no migration of the request has had.
 func (f *flight) newAttempt() Attempt { return max(f.attempt, f.migrateAttempt) + 1 }
 
-// releaseTarget releases the memory reserved on the engine that the stream was to be migrated to.
+// releaseTarget releases the memory that is reserved on the target engine of a migration.
 func (c *Core) releaseTarget(f *flight) {
 	if f.migrateTarget != nil {
 		f.migrateTarget.releaseDecode(f.ID, f.targetReservedKV, f.streamWeight())
@@ -206,6 +210,6 @@
 	}
 	f.noMigrateBefore = c.now.Add(migrationCooldown)
 	c.releaseTarget(f)
-	// No call was made, so the retry is given back: the stream may need it if its connection is lost.
+	// No call was made, so the retry is given back. The stream may need that retry if its connection is lost.
 	c.budget.Return(f.retryTakenAt, 1)
 }
--- a/internal/decide/migrate_test.go
+++ b/internal/decide/migrate_test.go
@@ -30,7 +30,7 @@
 	return s
 }
 
-// updateFleet sets the configuration of the engines; the named engine is leaving.
+// updateFleet sets the configuration of the engines, in which the named engine is leaving.
 func (s *migrateFixture) updateFleet(leaving string) {
 	f := Fleet{Pools: []Pool{{Name: "p", KVBytesPerToken: 1, PrefillExpiry: 5 * time.Second, ForecastsMemory: true, Migrates: true}}}
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -49,8 +49,8 @@
 	}
 }
 
-// report makes engine b report the given number of streams that have generated made tokens each, and engine c
-// report that it has no streams.
+// report lets engines b and c report. Engine b has the given number of streams that have each generated made tokens.
+// Engine c has no streams.
 func (s *migrateFixture) report(runs, made int) {
 	r := LoadReport{Engine: "b", At: s.now, FreeKV: 100000 - runs*9000, Streams: runs}
 	for range runs {
@@ -86,8 +86,8 @@
 	}
 }
 
-// An engine is about to run out of memory. Its newest stream is migrated to the engine with the most free memory,
-// and memory stays reserved on both engines until the stream continues on the new one.
+// An engine is about to run out of memory. Its newest stream is migrated to the engine with the most free memory.
+// Memory stays reserved on both engines until the stream continues on the new engine.
 func TestMovesNewest(t *testing.T) {
 	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
@@ -136,7 +136,7 @@
 	s.expectReservedOn()
 }
 
-// A stream is not migrated if newer streams run on its engine, since the engine would preempt one of these.
+// A stream is not migrated if newer streams run on its engine, since the engine would preempt a newer stream first.
 func TestOlderStreamIsNotMigrated(t *testing.T) {
 	s := newMigrateFixture(t)
 	s.now = s.now.Add(time.Second)
@@ -153,8 +153,8 @@
 	s.expectMigrations("an engine with room", 0)
 }
 
-// Streams are not migrated to an engine that does not answer load probes (it only seems to become empty), nor
-// to an engine on which streams wait for memory.
+// Streams are not migrated to an engine that does not answer load probes, since such an engine only seems to become
+// empty. They are not migrated either to an engine on which streams wait for memory.
 func TestNoMigrationToUnsuitableEngine(t *testing.T) {
 	s := newMigrateFixture(t)
 	s.now = s.now.Add(200 * time.Millisecond)
@@ -184,10 +184,10 @@
 	s.expectMigrations("a stream that is nearly done", 0)
 }
 
-// A migration takes a retry from the budget, and must return it if the migration fails before any call was made.
-// For a leaving engine the core tries again every 1.5 s while no other engine has room. Failed migrations used
-// to keep their retries, ten in all. None was left when a stream that could have been resumed lost its
-// connection, and its caller was disconnected.
+// A migration takes a retry from the budget. If the migration fails before any call was made, it must return the retry.
+// For a leaving engine, the core tries again every 1.5 s while no other engine has room. Past fault: failed migrations
+// kept their retries, ten in all. Then a stream lost its connection and could have been resumed, but no retry was left.
+// Its caller was disconnected.
 func TestFailedMigrationReturnsRetry(t *testing.T) {
 	s := newMigrateFixture(t)
 	before := s.retriesLeft()
--- a/internal/decide/notices_test.go
+++ b/internal/decide/notices_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// fakeNotices makes engines accept no new requests until the given times, and counts the requests sent to each
-// engine.
+// fakeNotices is a Notices for tests. Engines accept no new requests until the given times. It counts the requests sent
+// to each engine.
 type fakeNotices struct {
 	until map[string]time.Time
 	sent  map[string]int
@@ -70,7 +70,8 @@
 	s.expectStarted(1)
 }
 
-// All decode engines are throttled for 2 s. A request that may run late waits for them as it waits for memory.
+// All decode engines are throttled for 2 s. A request that may run late waits for that time, as it would wait for
+// memory.
 func TestPatientRequestWaitsForALimitedEngine(t *testing.T) {
 	soon := start.Add(2 * time.Second)
 	s, _ := newNoticeFixture(t, map[string]time.Time{"c": soon, "d": soon})
@@ -85,7 +86,7 @@
 	s.expectStarted(1)
 }
 
-// The chosen decode engine asks for a pause during the prefill. The other decode engine is then used.
+// The chosen decode engine asks for a pause while the prompt is prefilled. Then the other decode engine is used.
 func TestDecodeAvoidsPausedEngine(t *testing.T) {
 	s, a := newNoticeFixture(t, map[string]time.Time{})
 	s.arrive(1, "x", 100)
--- a/internal/decide/pause_test.go
+++ b/internal/decide/pause_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// expectRetriedElsewhere lets a decode call return nothing for 4 s and checks whether the core gives it up and
-// calls another engine. The box either runs normally for that time (ticking) or is paused.
+// expectRetriedElsewhere lets a decode call return nothing for 4 s. Then it checks whether the core has given up the
+// call and called another engine. In these 4 s, the box either runs normally (ticking) or is paused.
 func expectRetriedElsewhere(t *testing.T, ticking, want bool) *fixture {
 	t.Helper()
 	s := newFixture(t, 1, 3)
@@ -30,10 +30,10 @@
 	return s
 }
 
-// A box that was paused for some seconds must not give up its running calls when it resumes. It used to count
-// them as stalled although their answers were waiting to be read. Each call then cost a retry and a second
-// prefill, and if an engine had already taken the KV cache, the request was refused for lack of retries. In a
-// run of all tests on a busy machine, 14 of 200 streams ended this way or were started twice.
+// A box that was paused for some seconds must not give up its running calls when it resumes. Past fault: the box
+// counted the calls as stalled, although their answers were waiting to be read. Each call then cost a retry and a
+// second prefill. If an engine had already fetched the KV cache, the request was refused for lack of retries. In a run
+// of all tests on a busy machine, 14 of 200 streams ended this way or were started twice.
 func TestPausedBoxIsNoStall(t *testing.T) {
 	s := expectRetriedElsewhere(t, false, false)
 	s.step(FirstToken{ID: 1, Attempt: s.decodes[1].Attempt})
@@ -42,7 +42,7 @@
 	}
 }
 
-// A call that returns nothing during the pause, and nothing for 4 s after the pause, is given up like any other
+// A call returns nothing during the pause, and nothing for 4 s after the pause. It is then given up like any other
 // stalled call.
 func TestStallAfterPause(t *testing.T) {
 	expectRetriedElsewhere(t, true, true)
@@ -56,9 +56,9 @@
 	}
 }
 
-// A slow call is not given up if too few retries are left for the next try. After a try that sent a prefill and
-// a decode call, the next try costs two retries, and one was left. The request used to be ended for lack of
-// retries although the slow engine was still working on it.
+// A slow call is not given up if too few retries are left for the next try. After a try that sent a prefill and a
+// decode call, the next try costs two retries. Here, only one is left. Past fault: the request was ended for lack of
+// retries, although the slow engine was still working on it.
 func TestStalledCallKeptWithoutRetries(t *testing.T) {
 	s := newFixture(t, 2, 3)
 	s.c.budget.SetFixed(0, 3, time.Minute)
--- a/internal/decide/place.go
+++ b/internal/decide/place.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// sampleThreshold is the number of engines of one role up to which a decision compares
-	// all engines of the role. With more engines, a decision compares a random sample, and for prefill also
-	// the engines that the hash of the prompt's first block maps to. Random samples also keep
-	// boxes with the same old reports from all choosing the same engine.
+	// sampleThreshold is the number of engines of one role up to which a decision compares all of them.
+	// With more engines, a decision compares a random sample. For prefill it also compares the engines
+	// that the hash of the prompt's first block maps to. Boxes often have the same out-of-date load
+	// reports. If all boxes compared all engines, all would then choose the same engine.
 	sampleThreshold = 12
 	// sampleSize is the number of random draws for a sample. An engine that is drawn twice counts once.
 	sampleSize = 8
@@ -21,35 +21,40 @@
 	// maxCandidates is how many of the cheapest pairs of a prefill and a decode engine are kept
 	// per decision. An operator's policy can reorder these pairs, and `stoatramp why` shows them.
 	maxCandidates = 6
-	// crossHallCost, in seconds, is added to a pair whose two engines are in different data halls:
-	// the KV cache then crosses the links between halls, which all transfers share.
+	// crossHallCost, in seconds, is added to a pair whose two engines are in different data halls.
+	// The KV cache of such a pair crosses the links between halls, which all transfers share.
 	crossHallCost = 0.001
-	// remoteHallCost, in seconds, is added for each engine that is in another data hall than this
-	// box: prompt and answer would cross the links between halls. Boxes of different halls then
-	// also seldom choose the same engine at the same moment. A queue costs more, so an idle engine
-	// in another hall is preferred to an engine with a queue in the box's own hall. Values from
-	// 0.003 to 0.03 give results that differ only by the usual variation between runs.
+	// remoteHallCost, in seconds, is added for each engine that is in another data hall than this box.
+	// There are two reasons. First, prompt and answer would cross the links between halls. Second,
+	// boxes of different halls then seldom choose the same engine at the same moment. The wait in a
+	// queue costs more, so an idle engine in another hall is preferred to an engine with a queue in
+	// the box's own hall. Values from 0.003 to 0.03 give results that differ only by the usual
+	// variation between runs.
 	remoteHallCost = 0.010
-	// staleLoadCost, in seconds, is added for an engine whose reported load cannot be relied on
-	// (see statsUnreliable), which makes the engine a last resort. It is not excluded: if the
-	// reports of all engines fail, traffic must continue.
+	// staleLoadCost, in seconds, is added for an engine whose reported load cannot be relied on (see
+	// statsUnreliable). The engine is then a last resort, but it is not excluded. If the reports of all
+	// engines fail, traffic must continue.
 	staleLoadCost = 0.250
-	// stepLoadWeight, in seconds, is the cost of a decode engine whose step time equals the
-	// request's between-tokens target. The cost grows with the square of step time over target.
+	// stepLoadWeight, in seconds, is one part of a decode engine's cost. In a step, the engine generates
+	// one token for each running stream. The load is the step time divided by the request's
+	// between-tokens target. This part of the cost is stepLoadWeight times the square of the load. The
+	// step time itself and penalties are added to it.
 	stepLoadWeight = 0.030
-	// prefillWorkWeight is the factor by which the prefill time is added to the cost a second
-	// time: a prefill delays not only its own request but also the requests that come after it. So
-	// an engine with the prefix in its cache may be chosen in spite of a longer queue.
+	// prefillWorkWeight times the prefill time is added to the cost, in addition to the prefill time
+	// itself. With 2.0, the prefill time counts three times in total. The reason is that a prefill also
+	// delays the requests that come after it. So an engine with the prefix in its cache can be chosen
+	// in spite of a longer queue.
 	prefillWorkWeight = 2.0
-	// All boxes prefer the same prefill engine for a prefix (see preferredPrefill). That engine's cost is
-	// reduced by the prefill time of the part of the prefix that it has not cached, times a factor.
-	// The factor is maxAffinityFactor * affinityGain * the share of wrong cache predictions, and
-	// at most maxAffinityFactor. It rises with wrong predictions, because a box that cannot tell
-	// which engine has a prefix in its cache does better to follow the common preference.
+	// affinityGain and maxAffinityFactor determine how much cheaper the preferred prefill engine is. For
+	// each prefix, all boxes prefer the same prefill engine (see preferredPrefill). The cost of that
+	// engine is reduced by a factor times the prefill time of the prefix part that it has not cached.
+	// The factor is maxAffinityFactor * affinityGain * the share of wrong cache predictions, and at most
+	// maxAffinityFactor. The factor rises with wrong predictions. A box that cannot predict which engine
+	// has a prefix in its cache does better to follow the common preference.
 	affinityGain      = 4
 	maxAffinityFactor = 5.0
-	// avoidCost, in seconds, is added for the engine on which the request's last try failed. A retry
-	// goes there only if there is no other engine.
+	// avoidCost, in seconds, is added for the engine that this request should avoid (see
+	// flight.engineToAvoid). The request goes there only if there is no other engine.
 	avoidCost = 1
 	// costNoise, in seconds, is the upper bound of a random amount that is added to each cost.
 	costNoise = 0.001
@@ -74,36 +79,40 @@
 	// requestLengths are the mean lengths of recent prompts and answers.
 	requestLengths
 	// scarceRole is the engine role (prefill or decode) that most requests at the front of the queue
-	// wait for.
+	// wait for. The front consists of the requests that are placed first.
 	scarceRole EngineRole
-	// stepPerStreamAtMinStep is how much one more stream lengthens a step of the engine that has
-	// the shortest step with one stream.
+	// stepPerStreamAtMinStep belongs to the decode engine with the shortest step for a single stream. It
+	// is how much longer a step of that engine takes for each further stream.
 	stepPerStreamAtMinStep time.Duration
 	// maxLinkRate is the rate of the fastest link of a prefill engine, in bytes per second.
-	// minStep is the shortest step of a decode engine with one stream.
+	// minStep is the shortest step of a decode engine that runs a single stream. Engines that are
+	// configured as leaving or evacuated do not count in these values.
 	maxLinkRate float64
 	minStep     time.Duration
 	regions     map[string]*region
-	// receivesStreamEnds reports that this box receives the messages by which all boxes announce
-	// the ends of their streams. A reported stream without a StreamEnded event then still runs.
+	// receivesStreamEnds reports that this box receives the messages by which all boxes announce the
+	// ends of their streams. If an engine reports a stream and no StreamEnded event arrived for the
+	// stream, then the stream still runs.
 	receivesStreamEnds bool
-	// lastMigrateCheck is when streams to migrate to another engine were last searched for.
+	// lastMigrateCheck is when the core last searched for streams to migrate to another engine.
 	lastMigrateCheck time.Time
 }
 
-// region holds the engines of a pool that are in one region. A request is only ever placed on
-// engines of its own region.
+// region holds the engines of a pool that are in one region. A region is a set of data halls. A request
+// is only ever placed on engines of its own region.
 type region struct {
 	prefill         []*engine
 	decode          []*engine
 	stayingPrefills int // Prefill engines that are configured neither as leaving nor as evacuated.
-	// maxKV is the largest memory, in tokens, and maxSlots the largest number of slots of a decode
-	// engine that is neither leaving nor evacuated. 0 slots mean that only memory bounds streams.
+	// maxKV is the largest memory of one decode engine, in tokens. maxSlots is the largest number of
+	// slots of one decode engine. Engines that are leaving or evacuated do not count. If maxSlots is 0,
+	// only memory bounds the number of streams.
 	maxKV    int
 	maxSlots int
 }
 
-// regionNamed returns the engines of the pool that are in the named region, of which there may be none.
+// regionNamed returns the region with the given name. If the pool has no engine in the region,
+// regionNamed inserts an empty region into p.regions and returns it.
 func (p *pool) regionNamed(name string) *region {
 	found := p.regions[name]
 	if found == nil {
@@ -125,15 +134,15 @@
 // batchLimit is the result of maxBatch if more streams do not make a step longer.
 const batchLimit = 4096
 
-// decodeWork is the share of a decode engine's time that the request's answer takes: the time
-// that the answer takes in a full batch of requests like it, divided by the number of streams in
-// the batch. The between-tokens target, the memory or the slots limit the batch. Each stream
-// counts with half its answer's memory, since the streams of a batch are at all points of
-// their answers.
+// decodeWork is how much time of a decode engine the request's answer uses, as a duration. An engine runs
+// many streams at the same time. So decodeWork assumes a full batch of requests like this one. The
+// result is the time to generate the answer, divided by the number of streams in the batch. The
+// batch is limited by the between-tokens target, by memory or by slots. Each stream counts with the
+// memory of its prompt and half of MaxTokens, since the streams are at all points of their answers.
 //
-// Example: the target allows 100 streams, but the memory only 10 requests at half their answer
-// length, and a step with 10 streams takes 1 ms. An answer of 400 tokens takes 400 ms on a
-// tenth of the engine, so the result is 40 ms.
+// Example: the target allows 100 streams, but the memory only 10 such requests. A step with 10
+// streams takes 1 ms. An answer of 400 tokens then takes 400 ms. It uses a tenth of the engine
+// during that time, so the result is 40 ms.
 func (p *pool) decodeWork(f *flight) time.Duration {
 	n := p.maxBatch(f.BetweenTokens)
 	step := f.BetweenTokens
@@ -168,6 +177,8 @@
 // by which the hash of a prompt's first block is mapped to prefill engines.
 const ringPointsPerEngine = 16
 
+// rebuild updates what the pool derives from its list of engines. It sorts the engines by name, applies the
+// estimated speeds to the engines, recomputes the regions and other totals, and builds the hash ring anew.
 func (p *pool) rebuild() {
 	byName := func(a, b *engine) int { return cmp.Compare(a.Name, b.Name) }
 	slices.SortFunc(p.prefill, byName)
@@ -186,8 +197,8 @@
 	slices.SortFunc(p.ring, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
 }
 
-// updateFigures recomputes the figures that are derived from the configuration of all engines
-// of the pool, in total and by region.
+// updateFigures recomputes the values that are derived from the configuration of all engines: the fastest
+// link, the shortest step, the regions and the numbers of engines by role.
 func (p *pool) updateFigures() {
 	p.maxLinkRate, p.minStep = 0, 0
 	p.regions = map[string]*region{}
@@ -216,9 +227,9 @@
 	}
 }
 
-// preferredPrefill is the prefill engine that the hash of the prompt's first block maps to. All
-// boxes compute the same engine, since it depends on the configuration only and not on what a
-// box has observed. It is nil if the prompt has no full block or the pool has no prefill engine.
+// preferredPrefill is the prefill engine that the hash of the prompt's first block maps to. All boxes
+// compute the same engine, since it depends only on the configuration and not on what a box has
+// observed. The result is nil if the prompt has no full block or the pool has no prefill engine.
 func (p *pool) preferredPrefill(f *flight) *engine {
 	if len(f.Blocks) == 0 || len(p.ring) == 0 {
 		return nil
@@ -227,8 +238,8 @@
 	return p.ring[i%len(p.ring)].e
 }
 
-// appendAffine appends the first affineCount engines that follow the hash on the consistent hash
-// ring.
+// appendAffine appends up to affineCount engines to out. They are the first engines on the hash ring, from
+// the given hash on, that out does not contain yet.
 func (p *pool) appendAffine(out []*engine, prefix uint64) []*engine {
 	i := sort.Search(len(p.ring), func(i int) bool { return p.ring[i].hash >= prefix })
 	want := len(out) + affineCount
@@ -256,8 +267,8 @@
 	return out
 }
 
-// usable reports whether the engine may take new work, and counts the reason in excluded if it
-// may not. The region is not checked: callers pass only engines of the request's region.
+// usable reports whether the engine can be given new work. If it cannot, usable counts the reason in
+// excluded. It does not check the region: callers pass only engines of the request's region.
 func (c *Core) usable(e *engine, now time.Time, excluded *Exclusions) bool {
 	switch {
 	case e.leaving():
@@ -274,19 +285,19 @@
 	return false
 }
 
-// prefillOption is a prefill engine with its figures for one request. The figures are computed
-// once per engine and used for all pairs with the engine.
+// prefillOption is a prefill engine with the values predicted for one request. The values are computed once
+// per engine, and used for all pairs that contain the engine.
 type prefillOption struct {
 	e            *engine
 	cachedTokens int
 	queue        time.Duration // Predicted wait before the engine begins with the prompt.
-	urgentQueue  time.Duration // Part of queue: waiting for queued prompts that are at least as urgent.
+	urgentQueue  time.Duration // Part of queue: the wait for queued prompts at least as urgent as this request.
 	prefillTime  time.Duration
 	readyAt      time.Time // Predicted end of the prefill.
 	cost         float64   // The part of the cost that does not depend on the decode engine.
 }
 
-// decodeOption is a decode engine with its figures for one request.
+// decodeOption is a decode engine with the values predicted for one request.
 type decodeOption struct {
 	e    *engine
 	step time.Duration // Predicted time between tokens with this request's stream.
@@ -299,28 +310,32 @@
 	cost         float64
 	prefillIndex int
 	decodeIndex  int
-	// transfer, firstToken and queue are not compared. They are copied to the pair's Candidate.
+	// transfer, firstToken and queue play no part in the comparison of pairs. They are copied to the
+	// Candidate that describes the pair.
 	transfer   time.Duration
 	firstToken time.Duration
-	queue      time.Duration // Wait for the decode engine if prefillIndex is selfPrefill; 0 otherwise.
+	queue      time.Duration // Wait for the decode engine if it prefills the prompt itself (selfPrefill); otherwise 0.
 }
 
 // selfPrefill is the prefillIndex of a pair without a prefill engine: the decode engine prefills the
 // prompt itself.
 const selfPrefill = -1
 
-// chosenPair is the pair of engines that a request is placed on. prefill is nil if the decode engine
-// prefills the prompt itself. urgentQueue is the predicted wait for queued prompts that are at least as
-// urgent.
+// chosenPair is the pair of engines that a request is placed on. prefill is nil if the decode engine prefills
+// the prompt itself. urgentQueue is the predicted wait on the prefill engine for queued prompts that are at
+// least as urgent as the request.
 type chosenPair struct {
 	Candidate
 	prefill, decode *engine
 	urgentQueue     time.Duration
 }
 
-// choose returns the pair of a prefill and a decode engine with the lowest cost; ok is false if no
-// pair can take the request. Engines that cannot take it are removed from both samples first, so
-// the number of compared pairs depends on the sample sizes and not on the size of the pool.
+// choose selects a prefill and a decode engine for the request. The pair with the lowest cost wins, after an
+// operator's policy has added its costs to the cheapest pairs. ok is false if no pair can take the request.
+// choice records the comparison and is never nil.
+//
+// choose compares only sampled engines, and drops engines that cannot take the request before it forms
+// pairs. So the number of compared pairs depends on the sample sizes and not on the size of the pool.
 func (c *Core) choose(p *pool, f *flight, now time.Time) (best chosenPair, choice *Choice, ok bool) {
 	choice = &Choice{}
 	c.findDecodeOptions(p, f, now, &choice.Excluded)
@@ -391,8 +406,8 @@
 	}
 }
 
-// applyPolicy adds the costs that the operator's policy returns for the pairs, and sorts the pairs
-// again. If the policy fails for one pair, the built-in costs of all pairs are kept.
+// applyPolicy adds the costs that the operator's policy returns for the pairs, and sorts the pairs again. If
+// the policy fails for one pair, all pairs keep their built-in costs, and the fault is reported.
 func (c *Core) applyPolicy(f *flight, list []Candidate) {
 	var add [maxCandidates]float64
 	for i := range list {
@@ -409,7 +424,7 @@
 	slices.SortStableFunc(list, func(a, b Candidate) int { return cmp.Compare(a.Cost, b.Cost) })
 }
 
-// findPrefillOptions sets c.prefillOptions to the sampled prefill engines that may take the request.
+// findPrefillOptions sets c.prefillOptions to the sampled prefill engines that can take the request.
 func (c *Core) findPrefillOptions(p *pool, f *flight, now time.Time, excluded *Exclusions) {
 	c.prefillOptions = c.prefillOptions[:0]
 	preferred := p.preferredPrefill(f)
@@ -429,8 +444,8 @@
 	}
 }
 
-// findDecodeOptions sets c.decodeOptions to the sampled decode engines that may take the request,
-// have free memory for it and are fast enough.
+// findDecodeOptions sets c.decodeOptions to the sampled decode engines that can take the request. These
+// engines have enough free memory and, unless the request may be late, are fast enough.
 func (c *Core) findDecodeOptions(p *pool, f *flight, now time.Time, excluded *Exclusions) {
 	c.decodeOptions = c.decodeOptions[:0]
 	c.sampledDecodes = c.appendSample(c.sampledDecodes[:0], p.regionNamed(f.Region).decode)
@@ -446,8 +461,8 @@
 		if p.ForecastsMemory && e.lacksForecast(now) {
 			dec.cost += noForecastCost
 		}
-		// A step longer than the target excludes an engine, with two exceptions: the request may be
-		// late, or no stream runs on the engine, which is then as fast as it can be.
+		// An engine whose step takes longer than the target is excluded, with two exceptions. A request
+		// that may be late accepts a longer step. An engine without streams cannot become any faster.
 		if !f.mayBeLate && dec.step > f.BetweenTokens && e.running() >= 1 {
 			excluded.TooSlow++
 			continue
@@ -458,9 +473,9 @@
 	}
 }
 
-// penalty is the sum of the costs, in seconds, that apply if the engine is in another data hall than
-// the box, is to be avoided by this request, has figures that cannot be relied on, or refused
-// prompts recently.
+// penalty is the sum, in seconds, of the costs for four drawbacks of an engine. The engine is in another data
+// hall than the box. The request is to avoid the engine. The engine's reported load cannot be relied on.
+// The engine refused prompts recently.
 func (e *engine) penalty(f *flight, now time.Time) float64 {
 	cost := 0.0
 	if f.Hall != "" && e.Hall != f.Hall {
@@ -478,8 +493,8 @@
 	return cost
 }
 
-// predictPair computes the predicted time to the first token and the cost of a pair. The cost is the
-// sum of the costs of both engines, the time of the transfer and the cost of a pair across halls.
+// predictPair predicts the time to the first token and the cost of a pair. The cost is the sum of the costs of
+// both engines and the transfer time. If the engines are in different halls, crossHallCost is added.
 func (c *Core) predictPair(p *pool, f *flight, i, j int, now time.Time) pair {
 	pre, dec := &c.prefillOptions[i], &c.decodeOptions[j]
 	result := pair{prefillIndex: i, decodeIndex: j}
@@ -492,13 +507,13 @@
 	return result
 }
 
-// selfPrefillCost, in seconds, is added if a decode engine prefills the prompt itself, because that
-// slows down the engine's streams. While the pool has prefill engines, values from 0.05 to 100 give
+// selfPrefillCost, in seconds, is added if a decode engine prefills the prompt itself, because the prefill
+// slows down the streams of that engine. In pools with prefill engines, values from 0.05 to 100 give
 // results that differ only by the usual variation between runs.
 const selfPrefillCost = 0.3
 
-// predictSelfPrefill computes the predicted time to the first token and the cost if a decode engine
-// prefills the prompt itself.
+// predictSelfPrefill predicts the time to the first token and the cost if a decode engine prefills the prompt
+// itself.
 func (c *Core) predictSelfPrefill(p *pool, f *flight, j int, now time.Time) pair {
 	dec := &c.decodeOptions[j]
 	result := pair{prefillIndex: selfPrefill, decodeIndex: j, queue: dec.e.queueTime(now)}
@@ -508,14 +523,14 @@
 	return result
 }
 
-// selfPrefillWait is the shortest wait of a prompt among the decode engines that could prefill it
-// themselves. Decode engines prefill more slowly, and the extra prefill time counts as wait, so
-// that the result compares with the wait for a prefill engine. ok is false if decode engines of
-// the pool cannot prefill prompts, or none is there.
+// selfPrefillWait is the shortest wait if a decode engine prefills the prompt itself. The result can be
+// compared with the wait for a prefill engine. Decode engines prefill at another rate. So the result is the
+// queue time plus the prefill time on the decode engine, minus the prefill time at the full rate. ok is
+// false if decode engines cannot prefill prompts, or all decode engines of the region are leaving.
 //
-// Example: a prompt takes 100 ms at the full rate, and a decode engine prefills at half the rate
-// (SelfPrefillRatio 0.5). The engine takes 200 ms for the prompt, so without a queue the wait is
-// 100 ms. It is negative for a ratio above 1.
+// Example: a prompt takes 100 ms at the full rate, and a decode engine prefills at half that rate
+// (SelfPrefillRatio 0.5). The engine needs 200 ms for the prompt, so without a queue the result is
+// 100 ms. With a ratio above 1 and no queue, the result is negative.
 func (p *pool) selfPrefillWait(f *flight, now time.Time) (wait time.Duration, ok bool) {
 	if p.SelfPrefillRatio == 0 {
 		return 0, false
@@ -533,8 +548,8 @@
 	return wait, ok
 }
 
-// samplePrefills returns the prefill engines of the request's region that a decision about the
-// request compares.
+// samplePrefills returns the prefill engines that a decision about the request compares. All of them are in
+// the request's region.
 func (c *Core) samplePrefills(p *pool, f *flight) []*engine {
 	c.sampledPrefills = c.sampledPrefills[:0]
 	if len(f.Blocks) > 0 && len(p.prefill) > sampleThreshold {
--- a/internal/decide/promise_test.go
+++ b/internal/decide/promise_test.go
@@ -13,8 +13,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// model feeds generated events to a core and checks after each event that no guarantee is violated. It judges by
-// the events and the core's actions. Only finish looks at the core's state.
+// model feeds generated events to a core, and checks after each event that no guarantee is violated. It judges by the
+// events and by the core's actions. Only finish looks at the core's state.
 type model struct {
 	t       *rapid.T
 	c       *Core
@@ -29,17 +29,18 @@
 type trackedRequest struct {
 	req   Request
 	ended bool
-	// ran is set once an engine may have run some of it.
+	// ran is set once an engine may have run some part of the request.
 	ran bool
-	// mayHaveRunFailed is set once a call has failed that may have run some of the request.
+	// mayHaveRunFailed is set once a call that may have run some part of the request has failed.
 	mayHaveRunFailed bool
-	// openCalls maps the attempt numbers of calls that may hold memory on an engine to the engine.
+	// openCalls holds the calls that may hold memory on an engine. It maps the attempt number of a call to the
+	// engine.
 	openCalls      map[Attempt]string
 	currentAttempt Attempt
 	prefillAttempt Attempt // The prefill call that produced the KV cache.
 	stage          stage
-	// migrateAttempt is the attempt number of the running migration, and migrateTo its target engine. 0 means
-	// that no migration is running.
+	// migrateAttempt is the attempt number of the migration in progress, and migrateTo the target engine. If
+	// migrateAttempt is 0, no migration is in progress.
 	migrateAttempt Attempt
 	migrateTo      string
 }
@@ -132,7 +133,8 @@
 	return r
 }
 
-// checkAllowed checks that a request may be sent to the engine: same region, not leaving.
+// checkAllowed checks that a request may be sent to the engine: both have the same region, and the engine is not
+// leaving.
 func (m *model) checkAllowed(r *trackedRequest, engine string) {
 	if m.region[engine] != r.req.Region {
 		m.t.Fatalf("request of %s sent to %s in %s", r.req.Region, engine, m.region[engine])
@@ -179,7 +181,7 @@
 	return live[rapid.IntRange(0, len(live)-1).Draw(m.t, "request")]
 }
 
-// pickAttempt returns the attempt number for an event: mostly that of the current call, sometimes another.
+// pickAttempt returns the attempt number for an event: mostly the number of the current call, sometimes another number.
 func (m *model) pickAttempt(r *trackedRequest) Attempt {
 	if rapid.IntRange(0, 3).Draw(m.t, "stray") == 0 {
 		return Attempt(rapid.IntRange(0, int(r.currentAttempt)+1).Draw(m.t, "attempt"))
@@ -222,7 +224,7 @@
 	}
 	a := m.pickAttempt(r)
 	if r.stage == transferring && a == r.currentAttempt {
-		delete(r.openCalls, r.prefillAttempt) // The decode engine has taken the KV cache.
+		delete(r.openCalls, r.prefillAttempt) // The decode engine has fetched the KV cache.
 		r.stage = streaming
 	}
 	m.step(FirstToken{ID: r.req.ID, Attempt: a})
@@ -238,7 +240,7 @@
 	m.step(Done{ID: r.req.ID, Attempt: r.currentAttempt})
 }
 
-// endMigration ends a running migration with success, by an abort, or with a failure.
+// endMigration lets a migration in progress succeed, abort or fail.
 func (m *model) endMigration() {
 	r := m.pick()
 	if r == nil || r.migrateAttempt == 0 {
@@ -260,7 +262,7 @@
 	m.step(Migrated{ID: r.req.ID, Attempt: a, Aborted: stayed})
 }
 
-// noRoom lets a decode engine refuse to reserve memory, before anything was sent to an engine.
+// noRoom lets a decode engine refuse to reserve memory. At that point nothing was sent to any engine.
 func (m *model) noRoom() {
 	r := m.pick()
 	if r == nil {
@@ -354,7 +356,7 @@
 	}
 }
 
-// checkPromises feeds random sequences of events to a core. No sequence may violate a guarantee.
+// checkPromises feeds random sequences of events to a core. No sequence must violate a guarantee.
 func checkPromises(t *rapid.T) {
 	m := newModel(t)
 	t.Repeat(map[string]func(*rapid.T){
--- a/internal/decide/queue.go
+++ b/internal/decide/queue.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// waitQueue holds the waiting requests, sorted by flight.order. The order of a request never changes while it
-// waits, so a sorted slice is enough.
+// waitQueue holds the waiting requests, sorted by flight.order. The order of a waiting request never changes, so a
+// sorted slice is enough.
 type waitQueue struct{ items []*flight }
 
 func byOrder(a, b *flight) int {
@@ -30,9 +30,9 @@
 	}
 }
 
-// throughput measures how much work this box starts while requests wait: engine seconds per second, by role.
-// With n engines and no other box this is about n. With other boxes it is this box's share of n, and it falls
-// when engines are removed.
+// throughput measures how much work this box starts while requests wait, in engine seconds per second, by role. With
+// n engines and no other box, the throughput is about n. With other boxes, it is the part of n that this box gets.
+// It falls when engines are removed.
 type throughput struct {
 	engines     [2]float64 // The number of engines, by role.
 	estimate    [2]float64 // The present estimate, in engine seconds per second; 0 before the first measurement.
@@ -47,7 +47,7 @@
 	// estimate approaches the number of engines instead, with the weight idleBlend on each update.
 	throughputBlend = 0.5
 	idleBlend       = 0.01
-	// minThroughput is the lowest estimate, so that it can recover after a time in which nothing started.
+	// minThroughput is the lowest estimate. It lets the estimate recover after a time in which no request started.
 	minThroughput = 0.05
 )
 
@@ -59,7 +59,8 @@
 	}
 }
 
-// update is called after each change of the queue.
+// update is called after each change of the queue. While requests wait, it measures the throughput. Otherwise it moves
+// the estimate towards the number of engines.
 func (p *throughput) update(now time.Time, waiting bool) {
 	switch d := now.Sub(p.windowStart); {
 	case !waiting:
@@ -101,15 +102,16 @@
 // maxShed is the most requests that one call of shedLate refuses.
 const maxShed = 16
 
-// shedLate refuses waiting requests as soon as not all of them can be on time. It goes through the queue in
-// order and adds up the work for engines of the scarce role, until a request would start too late. From this
-// request and those before it, it selects the client with the most work, and refuses that client's largest
-// request. Refusing the largest keeps the most requests on time (Moore-Hodgson algorithm). Selecting by
-// client keeps the bulk load of one client from displacing the few requests of another.
+// shedLate refuses waiting requests as soon as not all of them can be on time. It goes through the queue in order and
+// adds up the work for engines of the scarce role, until it finds a request that would start too late. Of this request
+// and those before it, it determines the client with the most work. It refuses the largest request of that client, and
+// then repeats all this, at most maxShed times. Refusing the largest request keeps the most requests on time
+// (Moore-Hodgson algorithm). Selecting a client first protects the few requests of one client from the bulk load of
+// another.
 //
-// Example: there is one engine, and three requests of 400, 10 and 10 ms wait. The last two
-// would be late behind the first. If the first is refused, two of three are served in time. If requests were
-// refused only when they are late themselves, only one would be served in time.
+// Example: there is one engine, and requests of 400, 10 and 10 ms wait in this order. The last two would be late
+// because of the first. If the first is refused, two of the three are served in time. If requests were refused only
+// when they are late themselves, only the first would be served in time.
 func (c *Core) shedLate(p *pool) {
 	for range maxShed {
 		index := c.firstLateIndex(p)
@@ -140,8 +142,8 @@
 	return -1
 }
 
-// largestOfBusiestClient selects the client whose requests take the most work of the given role, and returns
-// its largest request. Requests that may be late do not count.
+// largestOfBusiestClient determines the client whose requests need the most work of the given role, and returns the
+// largest request of that client. Requests that may be late do not count.
 func largestOfBusiestClient(items []*flight, role EngineRole) *flight {
 	total := map[string]time.Duration{}
 	busiestClient := ""
@@ -163,8 +165,8 @@
 	return best
 }
 
-// The limits of a core for which SetRetryLimits was not called: retries of a share of its requests plus some
-// free retries per window. They keep retries from adding much load to engines that fail.
+// The limits of a core for which SetRetryLimits was not called. In each window, it may make retries for a fraction of
+// its requests, and a fixed number of retries (freeRetries) in addition. This bounds the load on engines that fail.
 const (
 	retryShare  = 0.1
 	freeRetries = 10
@@ -174,16 +176,16 @@
 // remoteLoad is what this box knows of the waiting and starting requests of all boxes.
 type remoteLoad struct {
 	waiting int // Requests that wait on the other boxes.
-	// starts are the times at which requests of all boxes were started, none older than startsWindow.
+	// starts are the times at which requests of all boxes were started in the last startsWindow.
 	starts []time.Time
 }
 
 const (
 	startsWindow = time.Second
 	maxStarts    = 8192
-	// minStartChance is the chance of starting in time below which a waiting request with RefuseEarly is
-	// refused. In 30 days of three small sites with 18,971 streams, 15,510 were served in time with 0.5,
-	// 15,339 with 0.8 and 15,080 with 0.9. With 0.8, refused callers were told in half the time.
+	// A waiting request with RefuseEarly is refused if its chance of starting in time is below minStartChance. In
+	// 30 days of three small sites with 18,971 streams, 15,510 were served in time with 0.5, 15,339 with 0.8 and
+	// 15,080 with 0.9. With 0.8, refused callers were told in half the time that this took with 0.5.
 	minStartChance = 0.5
 )
 
@@ -193,9 +195,9 @@
 	}
 }
 
-// startChance is the probability that a waiting request of this box starts within the given time. All waiting
-// requests, of which local wait on this box, are equally likely to be the next to start. If no requests are
-// known to wait on other boxes, it is 1.
+// startChance is the probability that a waiting request of this box starts within the given time. It assumes that all
+// waiting requests of all boxes are equally likely to be the next to start. localWaiting is the number of requests
+// that wait on this box. If no request is known to wait on other boxes, the result is 1.
 //
 // Example: 20 requests wait on all boxes, and 30 started in the last second. A waiting request then starts
 // within 0.5 s with a probability of 1 - exp(-30 * 0.5 / 20) = 0.53.
--- a/internal/decide/resume_test.go
+++ b/internal/decide/resume_test.go
@@ -24,8 +24,8 @@
 	return s
 }
 
-// A stream that loses its connection is resumed on other engines, however long it has been running. It used to
-// be ended instead if more than the maximum wait had passed since its arrival.
+// A stream that loses its connection is resumed on other engines, however long it has been running. Past fault: the
+// stream was ended if more than the maximum wait had passed since the request's arrival.
 func TestLongStreamThatBreaksIsResumed(t *testing.T) {
 	for _, lasts := range []time.Duration{time.Second, 3 * time.Second, 10 * time.Second} {
 		s := beginStream(t, lasts)
@@ -38,7 +38,7 @@
 	}
 }
 
-// A stream that loses its connection waits for engines no longer than its maximum wait. It is then ended, since
+// A stream that loses its connection waits for engines no longer than its maximum wait. Then the stream is ended, since
 // callers give up a stream that pauses for longer.
 func TestBrokenStreamWaitIsBounded(t *testing.T) {
 	s := beginStream(t, 3*time.Second)
--- a/internal/decide/retries_test.go
+++ b/internal/decide/retries_test.go
@@ -9,27 +9,30 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// The tests of this file check a limit on the calls of all boxes together. A platform allows some calls beyond
-// the first prefill and the first decode call of each request: in ten seconds, a fifth of the number of requests
-// and a few hundred more.
+// The tests of this file check a limit on the extra calls of all boxes together. Extra calls are calls beyond the
+// first prefill call and the first decode call of each request. In any ten seconds, the limit is a fifth of the
+// number of requests, plus a fixed number (slack) that depends on the platform.
 //
-// Engines got more calls than that in this situation: they rejected most calls, and meanwhile boxes were
-// restarted, cut off or killed. Each box spent an allowance of its own, and spent it again after a restart. It
-// was three calls at once and one more per ten seconds, with 8 boxes as well as with 85. In addition, all boxes
-// spent from a shared allowance before they learned that other boxes had spent it.
+// Past fault: boxes together made more extra calls than allowed. Engines rejected most calls, and meanwhile boxes
+// were restarted, cut off or killed. There were two causes. First, each box had retries of its own, three
+// immediately and another every ten seconds, with 8 boxes as well as with 85. After a restart the box had them
+// again. Second, all boxes also used retries from a shared budget, before they learned that other boxes had used
+// them.
 //
-// Observed on 85 boxes that were allowed 319 to 323 such calls: 324 when all boxes were killed, 434 when half of
-// the boxes were cut off, 462 when all boxes were restarted one after another, and no more than allowed in the
-// other cases. A stream that starts over costs two such calls, since its prompt is prefilled again too, but only
-// one retry was taken for both.
+// Observed with that fault on 85 boxes that were allowed 319 to 323 extra calls: 324 when all boxes were killed,
+// 434 when half of the boxes were cut off, and 462 when all boxes were restarted one after another. In the other
+// cases there were no more than allowed. A stream that starts over makes two extra calls, since its prompt is
+// prefilled again too. The faulty version counted these two calls as one retry.
+//
+// Now each box has a fixed part of the limit (see package retry).
 
-// retryPlatform describes a platform: its boxes, its request rate and its limit on repeated calls.
+// retryPlatform describes a platform: its boxes, its request rate and its limit on extra calls.
 type retryPlatform struct {
 	boxes int
 	// perSecond is the request rate of all boxes.
 	perSecond float64
-	// share, as a fraction of the requests, and slack bound the number of calls beyond the first prefill and
-	// the first decode call per request in each window.
+	// share and slack bound the number of extra calls in each window. share is a fraction of the requests, slack a
+	// number of calls.
 	share, slack float64
 	window       time.Duration
 }
@@ -59,8 +62,8 @@
 // restartsPerSecond is how many boxes per second are restarted between the 8th and the 18th second.
 type restartsPerSecond int
 
-// expectRetriesWithin lets all engines fail all calls for half a minute. In no window may the number of
-// repeated calls exceed what the platform allows.
+// expectRetriesWithin lets all engines fail all calls for half a minute. In no window may the number of extra
+// calls exceed what the platform allows.
 func expectRetriesWithin(t *testing.T, p retryPlatform, mode failureMode, restarts restartsPerSecond) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(1, uint64(p.boxes)))
@@ -116,7 +119,7 @@
 	c                 *Core
 	mode              failureMode
 	prefills, decodes map[ID]int
-	// extra counts the calls beyond the first of their kind per request, since it was last reset.
+	// extra counts the extra calls since the test last reset it: calls beyond the first of their kind per request.
 	extra int
 }
 
@@ -159,10 +162,11 @@
 	}
 }
 
-// An engine took the KV cache of a stream and then lost the connection. When the next engine refuses the request,
-// the core must conclude that the prefill engine no longer has the cache, and have the prompt prefilled again. It
-// used to call further engines, each of which tried to fetch the cache in vain. Observed: six decode calls for
-// one prompt, five of them refused; all retries were spent and the stream was answered with 504.
+// An engine fetched the KV cache of a stream, and then the connection to that engine was lost. The next engine
+// refuses the request. The core must conclude that the prefill engine no longer has the cache, and have the prompt
+// prefilled again. Past fault: the core called further engines instead, and each tried in vain to fetch the cache.
+// Observed: six decode calls for one prompt, five of them refused. All retries were spent, and the stream was
+// answered with 504.
 func TestTakenKVCacheIsRecomputed(t *testing.T) {
 	s := newFixture(t, 1, 3)
 	s.arrive(1, "c", 1000)
@@ -178,7 +182,7 @@
 	if s.decodes[1].Attempt != second.Attempt || s.prefills[1].Attempt <= second.Attempt {
 		t.Errorf("expected the prompt to be prefilled again after the refusal, got prefill %d, decode %d", s.prefills[1].Attempt, s.decodes[1].Attempt)
 	}
-	// If no engine can have taken the KV cache, a refusal does not mean that the cache is gone.
+	// If no engine can have fetched the KV cache, a refusal does not mean that the cache is gone.
 	s = newFixture(t, 1, 3)
 	s.arrive(1, "c", 1000)
 	s.step(PrefillDone{ID: 1, Attempt: s.prefills[1].Attempt, Expires: s.now.Add(5 * time.Second)})
--- a/internal/decide/snapshot.go
+++ b/internal/decide/snapshot.go
@@ -51,8 +51,8 @@
 // InFlight is the number of requests that have arrived and not ended.
 func (c *Core) InFlight() int { return len(c.flights) }
 
-// shortageShare is used twice: a decode engine is full if more than this share of its memory is used, and a
-// role is short if at least this share of its engines is busy or full.
+// shortageShare has two uses. A decode engine is full if more than this fraction of its memory is used. A role is short
+// of engines if at least this fraction of its engines is busy or full.
 const shortageShare = 0.8
 
 // Imbalance returns a sentence for each pool in which a role is short of engines.
--- a/internal/decide/speed.go
+++ b/internal/decide/speed.go
@@ -9,7 +9,7 @@
 // This file estimates the speed of a pool's engines from the timings of its requests. Engines do not
 // report their speed, and it can differ by a factor of ten and more between deployments.
 
-// Speed holds the speed figures of a pool's engines. Figures that are not known yet are 0.
+// Speed holds the speed of a pool's engines. Values that are not known yet are 0.
 type Speed struct {
 	PrefillRate float64 // Prompt tokens that a prefill engine prefills per second.
 	// PrefillDelay is the fixed part of a prefill's duration, without queueing and without the time per token.
@@ -25,19 +25,20 @@
 
 // Timing holds how long engines took for one request. Values that were not observed are 0.
 type Timing struct {
-	// PrefillTokens is the number of tokens that the prefill engine prefilled in PrefillTime: those of the
-	// prompt, and those known to be queued before it.
+	// PrefillTokens is the number of tokens that the prefill engine prefilled in PrefillTime. These are the tokens
+	// of the prompt, and the tokens known to be queued before the prompt.
 	PrefillTokens int
 	PrefillTime   time.Duration
 	// FirstEventDelay is the time from sending the request to a decode engine until the first event of
 	// the answer arrives, without the transfer of the KV cache.
 	FirstEventDelay time.Duration
-	// Step is the stream's mean time per token, and Streams the number of streams on the engine then.
+	// Step is the stream's mean time per token. Streams is the number of streams that the engine ran when the
+	// answer was complete.
 	Step    time.Duration
 	Streams float64
 }
 
-// RequestTiming reports the timing of a request of this box once it is answered.
+// RequestTiming reports the timing of a request of this box once the answer is complete.
 type RequestTiming struct {
 	ID ID
 	Timing
@@ -53,25 +54,25 @@
 func (RemoteTiming) event()   {}
 
 const (
-	// maxTimings is how many of the newest timings of each kind are used. At the rate at which boxes
-	// publish timings these are about half a minute, so one burst is not mistaken for slow engines.
+	// maxTimings is how many of the newest timings of each kind are used. At the rate at which boxes publish
+	// timings, these cover about half a minute. So a single burst is not mistaken for slow engines.
 	maxTimings = 128
 	// minTimings is how many timings an estimate needs. refitInterval is the number of new timings
 	// after which the estimates are computed again.
 	minTimings    = 8
 	refitInterval = 4
-	// maxAheadShare bounds the tokens known to be queued before a prompt, as a fraction of the prompt's
-	// uncached tokens. With more tokens, the prompt's timing is not used: the number of tokens queued
-	// is itself computed from the estimated rate.
+	// maxAheadShare bounds the tokens known to be queued before a prompt, as a fraction of the prompt's uncached
+	// tokens. If more tokens are queued, the timing of the prompt is not used. The reason is that the number of
+	// queued tokens is itself computed from the estimated rate.
 	maxAheadShare = 0.25
-	// undelayedQuantile is the fraction of prefills that count as undelayed. The others may have been
-	// queued behind prompts of other boxes that this box does not know of, or an engine was faulty.
+	// undelayedQuantile is the fraction of prefills that count as undelayed. Other prefills may have been queued
+	// behind prompts of other boxes that this box does not know of, or an engine may have been faulty.
 	undelayedQuantile = 0.25
-	// fitRounds is how often delay and time per token are each computed from the other. Each round
-	// multiplies the error by the size ratio of short to long prompts, which is about a half.
+	// fitRounds is how often the delay is computed from the time per token, and the time per token from the delay.
+	// Each round multiplies the error by the size ratio of short to long prompts, which is about a half.
 	fitRounds = 8
-	// minStreamSpread is how many more streams the fuller half of the timings must have than the emptier
-	// half, by their medians, for the step time per stream to be estimated.
+	// minStreamSpread is a condition for estimating the step time per stream. Timings are divided into two halves
+	// by their number of streams. The medians of the two halves must differ by at least this number of streams.
 	minStreamSpread = 2
 )
 
@@ -81,11 +82,11 @@
 	// prefillTimings, beginTimings and stepTimings are the newest timings that contain a prefill time, a
 	// first-event delay and a step time, oldest first.
 	prefillTimings, beginTimings, stepTimings []Timing
-	// prefillCount and stepCount count all timings so far with a prefill time and with a step time, and the
-	// requests behind the prior estimates.
+	// prefillCount counts all timings so far with a prefill time, and stepCount all with a step time. Both include
+	// the requests that the prior estimates are based on.
 	prefillCount, stepCount int
 	sinceFit                int // Timings since the estimates were last computed.
-	// prior holds the estimates of boxes that ran earlier, which were loaded at the start.
+	// prior holds the estimates of boxes that ran earlier, as given by SetEstimates.
 	prior Speed
 }
 
@@ -135,7 +136,7 @@
 	}
 }
 
-// blendPrior is the weighted mean of an estimate from n timings and the prior estimate, which counts as
+// blendPrior is the weighted mean of an estimate from n timings and the prior estimate. The prior estimate counts as
 // much as minTimings timings. A prior of 0 means that there is none.
 func blendPrior(n int, estimate, prior float64) float64 {
 	if prior <= 0 {
@@ -149,8 +150,8 @@
 	return seconds(blendPrior(n, estimate, prior.Seconds()))
 }
 
-// fitPrefill estimates the fixed delay and the time per token of undelayed prefills. Both are chosen so that
-// they explain the undelayed quantile of the prefill times of short prompts and that of long prompts.
+// fitPrefill estimates the fixed delay and the time per token of undelayed prefills. Both are chosen to explain two
+// observed values: the undelayed quantile of the prefill times of short prompts, and that of long prompts.
 //
 // Example: the fastest quarter of prompts of 2,000 tokens took up to 110 ms, and the fastest quarter of
 // prompts of 6,000 tokens up to 230 ms. So 4,000 tokens take 120 ms, the rate is 33,333 tokens per second
@@ -178,8 +179,8 @@
 	}
 }
 
-// fitSteps estimates the step time per stream from the difference of the medians of two halves of the
-// timings, those with few streams and those with many.
+// fitSteps estimates the step time. It divides the timings into two halves, with few streams and with many. The step
+// time per stream follows from the difference between the medians of the two halves.
 func (s *speed) fitSteps() {
 	n := len(s.stepTimings)
 	if n < minTimings {
@@ -195,7 +196,7 @@
 	}
 	stepTime := median(list, step)
 	baseStep := stepTime - perStream*median(list, streams)
-	if baseStep <= 0 { // Due to noise, the streams seem to take longer than the whole step.
+	if baseStep <= 0 { // Due to noise, the streams together seem to take longer than the whole step.
 		baseStep, perStream = stepTime, 0
 	}
 	s.Step, s.StepPerStream = blendPriorTime(n, baseStep, s.prior.Step), blendPriorTime(n, perStream, s.prior.StepPerStream)
@@ -207,7 +208,7 @@
 	return out
 }
 
-// lowQuantile is the value up to which the undelayed fraction of the timings lies.
+// lowQuantile is the value below which the undelayed fraction of the timings lies.
 func lowQuantile(list []Timing, of func(Timing) float64) float64 {
 	return quantileOf(list, of, undelayedQuantile)
 }
@@ -250,8 +251,8 @@
 	return !p.EstimatesSpeed || p.speed.PrefillRate > 0 && p.speed.Step > 0
 }
 
-// beginTime is the time from sending a request to a decode engine until the first event of the answer
-// arrives, without the transfer of the KV cache. While there is no estimate it is the given step time.
+// beginTime is the time from sending a request to a decode engine until the first event of the answer arrives. The
+// transfer of the KV cache does not count. While there is no estimate, the result is the given step time.
 func (p *pool) beginTime(step time.Duration) time.Duration {
 	if p.speed.FirstEventDelay > 0 {
 		return p.speed.FirstEventDelay
@@ -259,8 +260,8 @@
 	return step
 }
 
-// EstimateStreamTime predicts how long a pool's decode engines take to generate the given number of tokens,
-// if each gets one more stream than it has now. It is 0 for a pool without decode engines.
+// EstimateStreamTime predicts how long a pool's decode engines take to generate the given number of tokens. It assumes
+// that each engine gets one more stream than it has now. The result is 0 for a pool without decode engines.
 func (c *Core) EstimateStreamTime(name string, tokens int) time.Duration {
 	p := c.pools[name]
 	if p == nil || len(p.decode) == 0 {
@@ -273,7 +274,7 @@
 	return time.Duration(tokens) * sum / time.Duration(len(p.decode))
 }
 
-// meanStep is the mean time per token of a stream that is done; 0 if it cannot be told.
+// meanStep is the mean time per token of a stream that is done; 0 if it cannot be determined.
 func (f *flight) meanStep(now time.Time, output int) time.Duration {
 	if f.firstTokens <= 0 || output <= 2*f.firstTokens || f.decode == nil || f.wasMigrated {
 		return 0
--- a/internal/decide/speed_test.go
+++ b/internal/decide/speed_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// timingsOf generates n timings of engines of the given speed. Every second prefill is delayed, as if queued
-// behind prompts of other boxes, and every tenth stream is three times as slow, as if it was preempted.
+// timingsOf generates n timings of engines of the given speed. Every second prefill is delayed, as if it was queued
+// behind prompts of other boxes. Every tenth stream is three times as slow, as if it was preempted.
 func timingsOf(s Speed, n int) []Timing {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var out []Timing
@@ -69,8 +69,8 @@
 	expectSpeed(t, learnSpeed(p, timingsOf(slowEngine, maxTimings)), slowEngine)
 }
 
-// The estimates that other boxes made earlier apply until this box has enough timings. After that, the timings
-// have more weight.
+// The estimates that other boxes made earlier apply until this box has enough timings of its own. From then on, the
+// timings count more than those estimates.
 func TestPriorEstimates(t *testing.T) {
 	p := &pool{Pool: Pool{EstimatesSpeed: true}}
 	p.speed.setPrior(slowEngine, 100)
@@ -85,8 +85,8 @@
 		PrefillRate: 53_700, PrefillDelay: 14500 * time.Microsecond, FirstEventDelay: p.speed.FirstEventDelay, Step: 840 * time.Microsecond, StepPerStream: 20 * time.Microsecond})
 }
 
-// The predicted duration of an answer follows from the estimated speed. Slow engines take eight times as long as
-// fast engines, and a box that is about to stop must not accept the same streams on both.
+// The predicted duration of an answer follows from the estimated speed. Slow engines take eight times as long as fast
+// engines. So a box that is about to stop must not accept the same streams for slow engines as for fast engines.
 func TestStreamTime(t *testing.T) {
 	for _, s := range []Speed{fastEngine, slowEngine} {
 		c := newPoolCore(1, 2, 0)
--- a/internal/decide/types.go
+++ b/internal/decide/types.go
@@ -1,24 +1,21 @@
-// Package decide is the scheduling core of the router. It decides which engine
-// prefills a prompt, which one decodes the answer, and whether a request waits,
-// moves to other engines or is refused.
+// Package decide is the scheduling core of the router. It decides which engine prefills a prompt and which engine
+// decodes the answer. It also decides whether a request waits, moves to other engines or is refused.
 //
-// The core does no I/O, starts no goroutine and reads no clock. It takes typed
-// events and returns typed actions; time and randomness are passed in. The program
-// that passes events to the core and carries out its actions is one of three: the box
-// with its HTTP handlers, the benchmark with a virtual clock, or tests with generated
-// orders of events. All three run the very same code.
+// The core does no I/O, starts no goroutine and reads no clock. It gets typed events and returns typed actions; time
+// and randomness are passed in. A program passes events to the core and carries out the actions of the core. There
+// are three such programs: the box with its HTTP handlers, the benchmark with a virtual clock, and tests with
+// generated orders of events. All three run the very same code.
 //
-// A box is a machine that runs the router, and has its own core: no state is shared
-// between boxes. What a core has observed of an engine may be out of date. This costs
-// goodput (the share of requests that are served in time), but never breaks a guarantee. Whatever
-// boxes must agree on is kept in the platform's table instead (package claim).
+// A box is a machine that runs the router. Each box has its own core, and no state is shared between boxes. So what a
+// core has observed of an engine may be out of date. This costs goodput (the fraction of requests that are served in
+// time), but never breaks a guarantee. Whatever boxes must agree on is kept in the platform's table instead (package
+// claim).
 //
-// A pool is the set of engines that serve one model. Each engine has a role: prefill
-// engines compute the KV cache of a prompt, decode engines fetch the cache and generate the
-// answer as a stream of tokens. Engines are in the data halls (halls) of a region. A pair is a
-// prefill engine and a decode engine. Pairs are compared by cost, in seconds: predicted waits
-// and work, plus penalties for what should be avoided. The ledger of an engine is the list of
-// memory and work that this box has reserved there.
+// A pool is the set of engines that serve one model. Each engine has a role. Prefill engines compute the KV cache of a
+// prompt. Decode engines fetch the cache and generate the answer as a stream of tokens. Engines are in the data halls
+// (halls) of a region. A pair is a prefill engine and a decode engine. Pairs are compared by cost, in seconds. The cost
+// consists of predicted waits and work, plus penalties for what should be avoided. The ledger of an engine is the list
+// of memory and work that this box has reserved on the engine.
 package decide
 
 import (
@@ -43,8 +40,8 @@
 	ID     ID
 	Pool   string
 	Region string
-	// Hall is the data hall of the box, which makes engines in other halls cost more. If it is empty,
-	// halls do not matter.
+	// Hall is the data hall of the box. Engines in other halls then cost more. If Hall is empty, halls do not
+	// matter.
 	Hall   string
 	Route  string
 	Client string
@@ -62,51 +59,50 @@
 	// Two prompts have the same Blocks[i] only if they have the same text up to there.
 	Blocks []uint64
 
-	// FirstToken is the target for the time from arrival to the first token of the answer, and
-	// BetweenTokens the target for the time between two tokens.
+	// FirstToken is the target for the time from the request's arrival to the first token of the answer.
+	// BetweenTokens is the target for the time between two tokens.
 	FirstToken    time.Duration
 	BetweenTokens time.Duration
-	// Repeatable reports whether the request may be tried again after the failure of a call that may
-	// have run a part of it.
+	// Repeatable reports whether the request may be tried again after a failed call that may have run a part of the
+	// request.
 	Repeatable bool
-	// Resumable reports whether a stream that loses its decode engine may continue on another
-	// decode engine after the last token that the caller received. A Resumable request is Repeatable too.
+	// Resumable reports whether a stream that loses its decode engine may continue on another decode engine. The
+	// stream continues after the last token that the caller received. A Resumable request is Repeatable too.
 	Resumable bool
-	// MaxEngines bounds the number of decode engines that may run any part of the request; 0 means
-	// that only Repeatable limits it.
+	// MaxEngines bounds the number of decode engines that may run any part of the request. 0 means no such bound;
+	// only Repeatable then limits further tries.
 	MaxEngines int
-	// PrefillNotRun reports that a prefill alone does not count as running the request. Only
-	// generated tokens then do.
+	// PrefillNotRun reports that a prefill alone does not count as running the request. Then the request has run
+	// only if tokens were generated.
 	PrefillNotRun bool
 	// ServeLate reports that the request is to be run even if the FirstToken target cannot be met.
 	ServeLate bool
-	// CallerRetry reports that the caller was refused before and retries at the time it was given.
-	// The request then goes before others, since after another refusal the caller would have waited in vain.
+	// CallerRetry reports that the caller was refused before, and retries at the time that it was told. The request
+	// then goes before others. If it were refused again, the caller would have waited in vain.
 	CallerRetry bool
-	// RefuseEarly reports that a waiting request is refused as soon as it is not expected to start in
-	// time. Otherwise it waits until the latest time at which it could start.
+	// RefuseEarly reports that a waiting request is refused as soon as it is not expected to start in time. Without
+	// RefuseEarly, the request waits until the latest time at which it could start.
 	RefuseEarly bool
 	// MaxWait bounds the wait of a request that may run late; 0 stands for 30 seconds.
 	MaxWait time.Duration
-	// Priority is added to the deadline by which requests are ordered, in seconds: a request with a
-	// negative priority goes before others, one with a positive priority after them.
+	// Priority, in seconds, is added to the deadline by which requests are ordered. A request with a negative
+	// priority goes before others, and a request with a positive priority after them.
 	Priority int
-	// Kind and Rank are the name of the route's kind and its priority, 0 being the highest.
-	// Only policies read them.
+	// Kind is the name of the route's kind. Rank is the priority of that kind, 0 being the highest. Only policies
+	// read these two fields.
 	Kind string
 	Rank int
 	// Policy is the operator's program; if it is nil, only the built-in rules apply.
 	Policy Policy
 }
 
-// Policy is an operator's program, consulted before the built-in rules. It can
-// refuse requests, let them wait and add to costs, but it sees only engines that
-// the built-in rules allow.
+// Policy is an operator's program, consulted before the built-in rules. It can refuse requests, let requests wait, and
+// add to costs. It sees only engines that the built-in rules allow.
 type Policy interface {
 	// Admit is called once for each arrival.
 	Admit(r *Request, v View) Verdict
-	// Weigh returns seconds to add to the cost of a pair of a prefill and a decode engine. It is called
-	// for the pairs with the lowest built-in cost, at most six.
+	// Weigh returns seconds to add to the cost of a pair of a prefill and a decode engine. It is called only for
+	// the pairs with the lowest built-in cost, at most six.
 	Weigh(r *Request, c *Candidate) (float64, error)
 }
 
@@ -121,7 +117,7 @@
 // Verdict is a policy's answer for one arrival.
 type Verdict struct {
 	Refuse bool
-	// Wait lets the request wait past its first-token target; otherwise it would be refused.
+	// Wait lets the request wait past its first-token target. Without Wait, the request is refused then.
 	Wait bool
 	// Text is the operator's explanation, shown by `stoatramp why`.
 	Text string
@@ -152,18 +148,18 @@
 	Hall    string
 	Role    EngineRole
 	Leaving bool
-	// Evacuated engines finish the requests that they have and get no new ones, because their data
-	// hall is being evacuated. They keep running, so their streams are not moved. Engines with
-	// Leaving set will stop, so their streams may be moved to other engines.
+	// Evacuated engines are in a data hall that is being evacuated. They finish the requests that they have and get
+	// no new requests. They keep running, so their streams are not moved. Engines with Leaving set will stop, so
+	// their streams can be moved to other engines.
 	Evacuated bool
-	// Cold describes the engine's warm-up period after its start, during which it takes little load.
+	// Cold describes the engine's warm-up period after its start. In this period, the engine gets little load.
 	Cold pacing.Cold
 
 	PrefillRate float64 // Prompt tokens a second.
 	KVTokens    int     // Decode memory in tokens.
-	Slots       int     // The most streams that run at once; 0 if only memory bounds them.
-	// Step is the time that a step takes, in which each stream generates one token. StepPerStream
-	// is how much longer it takes for each stream that runs.
+	Slots       int     // The most streams that run at the same time; 0 if only memory bounds them.
+	// Step and StepPerStream determine the duration of a step, in which each stream generates one token. Step is
+	// the fixed part. StepPerStream is added once for each running stream.
 	Step          time.Duration
 	StepPerStream time.Duration
 	LinkRate      float64 // Rate of the engine's network link in bytes per second.
@@ -174,19 +170,20 @@
 	Name            string
 	KVBytesPerToken int
 	PrefillExpiry   time.Duration
-	// SelfPrefillRatio is the fraction of the prefill rate at which a decode engine prefills a prompt
-	// itself, between the tokens of its streams; 0 if it cannot.
+	// SelfPrefillRatio is for pools whose decode engines can prefill a prompt themselves, between the tokens of
+	// their streams. It is the rate of this prefill as a fraction of PrefillRate; 0 if decode engines cannot
+	// prefill.
 	SelfPrefillRatio float64
-	// ForecastsMemory reports that decode engines are asked for a list of their streams, from which
-	// their memory use is forecast. Engines without a recent report are then a last resort.
+	// ForecastsMemory reports that decode engines are asked for a list of their streams. The memory use of these
+	// engines is forecast from the list. Engines without a recent report are then a last resort.
 	ForecastsMemory bool
 	// Migrates reports that engines can hand a running stream over to another engine.
 	Migrates bool
-	// UnlistedEngines counts, by role, engines in the box's region that are used by other boxes only and
-	// so are missing in Fleet.Engines. They count when the numbers of engines per role are compared.
+	// UnlistedEngines counts engines in the box's region, by role, that are missing in Fleet.Engines because only
+	// other boxes use them. They still count when the numbers of engines per role are compared.
 	UnlistedEngines [2]int
-	// EstimatesSpeed reports that the configured rates and step times are only a first guess, and that
-	// the core estimates them from the timings of requests. Otherwise the configured values are used.
+	// EstimatesSpeed reports that the configured rates and step times are only a first guess. The core then
+	// estimates them from the timings of requests. Otherwise the configured values are used.
 	EstimatesSpeed bool
 }
 
@@ -233,7 +230,8 @@
 	ID      ID
 	Attempt Attempt
 	Reason  outcome.Reason
-	// Ran is false only if the engine cannot have run the request: no byte was sent to it, or it said so.
+	// Ran is false only if the engine cannot have run the request. Either no byte was sent to the engine, or the
+	// engine said that it has not run the request.
 	Ran bool
 	// KVGone reports that the prefill engine no longer has the KV cache.
 	KVGone bool
@@ -255,38 +253,38 @@
 	// FreeKV is the unreserved decode memory in tokens.
 	FreeKV  int
 	Streams int
-	// Queued counts the streams for which a decode engine has no memory: new ones, and those
-	// that it preempted and will prefill again.
+	// Queued counts the streams for which a decode engine has no memory. These are new streams, and streams that
+	// the engine preempted and will prefill again.
 	Queued int
 	// Runs lists the running streams; nil if the engine does not report them.
 	Runs    []StreamLoad
 	Leaving bool
 }
 
-// RemotePlacement reports that another box sent a request to an engine. It is ignored if the last
-// report of the engine was measured later, because that report includes the request.
+// RemotePlacement reports that another box sent a request to an engine. The event is ignored if the engine measured its
+// last report later, because that report includes the request.
 type RemotePlacement struct {
 	Engine string
 	At     time.Time
-	// Tokens is the number of tokens that a prefill engine has to prefill; 0 for a decode engine.
-	// KV is the memory, in tokens, that the request will take on a decode engine; 0 for a prefill
-	// engine. PromptTokens is the part of KV that is taken from the start, and OutputReserve is
-	// the further memory that must be free at the start.
+	// For a prefill engine, Tokens is the number of tokens to prefill, and KV is 0. For a decode engine, Tokens is
+	// 0, and KV is the memory, in tokens, that the request will use. PromptTokens is the part of KV that is in use
+	// from the beginning. OutputReserve is the further memory that must be free when decoding begins.
 	Tokens        int
 	KV            int
 	PromptTokens  int
 	OutputReserve int
 }
 
-// StreamEnded reports that a stream of this or another box ended on a decode engine. A report of the
-// engine that was measured later no longer includes the stream.
+// StreamEnded reports that a stream of any box ended on a decode engine. A report of the engine that was measured later
+// no longer includes the stream.
 type StreamEnded struct {
 	Engine string
 	At     time.Time
 	Tokens int // The memory that the stream used.
 }
 
-// RemoteQueue reports how many requests wait for engines on all other boxes together.
+// RemoteQueue reports how many requests wait on the other boxes, as a sum over these boxes. All of these
+// requests wait for an engine.
 type RemoteQueue struct{ Waiting int }
 
 // RemotePrefillRefused reports that an engine refused a prompt of another box.
@@ -299,7 +297,7 @@
 type Evicted struct {
 	Engine string
 	Blocks []uint64
-	// All reports that messages about dropped blocks were lost, so that any block may have been dropped.
+	// All reports that messages about dropped blocks were lost. Any block may then have been dropped.
 	All bool
 }
 
@@ -337,8 +335,8 @@
 	Choice   *Choice
 }
 
-// StartDecode sends the request to a decode engine, with the handle of the KV cache that the prefill
-// engine holds. If Prefill is empty, the decode engine prefills the prompt itself.
+// StartDecode sends the request to a decode engine, with the handle (the name of the KV cache on the prefill engine).
+// If Prefill is empty, the decode engine prefills the prompt itself.
 type StartDecode struct {
 	ID      ID
 	Attempt Attempt
@@ -347,8 +345,8 @@
 	PrefillAttempt Attempt
 	Decode         string
 	Priority       int
-	// Moved is why the decode engine that was chosen first could not be used, or why its call failed;
-	// OK if neither happened.
+	// Moved says why an earlier choice of decode engine no longer holds. Either the engine could not be used, or
+	// its call failed. Moved is OK if neither happened.
 	Moved outcome.Reason
 	// Choice is set only if Prefill is empty. Otherwise the Choice is in the StartPrefill action.
 	Choice *Choice
@@ -368,8 +366,7 @@
 	Reason outcome.Reason
 }
 
-// Waiting reports that the request waits on this box, with the role of engine that it waits for as
-// the reason.
+// Waiting reports that the request waits on this box. Reason names the role of engine that the request waits for.
 type Waiting struct {
 	ID     ID
 	Reason outcome.Reason
@@ -387,14 +384,14 @@
 type StateChange struct {
 	Engine string
 	State  State
-	// Until is when an engine that was set aside is tried again.
+	// Until is set if the engine was set aside. It is when the engine is tried again.
 	Until time.Time
 }
 
 // State is the observed state of an engine.
 type State uint8
 
-// The states of an engine. SetAside: several calls failed in a row, so no requests are sent for some
+// The states of an engine. SetAside: several calls failed in a row, so no requests are sent to the engine for some
 // time. Unresponsive: the engine did not answer a load probe.
 const (
 	Usable State = iota
@@ -418,8 +415,8 @@
 	Verdict Verdict
 }
 
-// End reports that a request was refused, or ended before its answer was complete. No End follows a
-// Done or Cancel event.
+// End reports that a request was refused, or ended before its answer was complete. After a Done or Cancel event, there
+// is no End for the request.
 type End struct {
 	ID      ID
 	Outcome outcome.Outcome
@@ -437,10 +434,10 @@
 
 // Choice records how the prefill and the decode engine of a request were selected.
 type Choice struct {
-	// Candidates are the compared pairs with the lowest cost, cheapest first, at most maxCandidates.
+	// Candidates are the compared pairs with the lowest cost, cheapest first. There are at most maxCandidates.
 	Candidates []Candidate `json:"candidates"`
-	// Compared is the number of pairs of a prefill and a decode engine that were compared, or the number
-	// of decode engines if no prefill engine could take the request.
+	// Compared is the number of pairs of a prefill and a decode engine that were compared. If no prefill engine
+	// could take the request, Compared is the number of decode engines.
 	Compared int `json:"compared"`
 	// Excluded counts the engines that could not take the request, by cause.
 	Excluded Exclusions `json:"passed_over"`
@@ -458,7 +455,7 @@
 	Throttled int `json:"throttled"`
 }
 
-// Candidate is one pair of a prefill and a decode engine with the figures it was judged by.
+// Candidate is one pair of a prefill and a decode engine, with the values on which the comparison was based.
 type Candidate struct {
 	Prefill string `json:"prefill"` // Empty if the decode engine prefills the prompt.
 	Decode  string `json:"decode"`
@@ -467,11 +464,11 @@
 	Cached      int           `json:"cached"`            // Prompt tokens expected to be cached.
 	Queue       time.Duration `json:"queue_ns"`          // Wait until the prefill engine is free.
 	PrefillTime time.Duration `json:"read_ns"`           // Prefilling the uncached part of the prompt.
-	Transfer    time.Duration `json:"transfer_ns"`       // Transfer of the KV cache, with the wait for others.
+	Transfer    time.Duration `json:"transfer_ns"`       // Transfer of the KV cache, including the wait for other transfers.
 	FirstToken  time.Duration `json:"first_token_ns"`    // Predicted time to the first token, from now.
 	Step        time.Duration `json:"between_tokens_ns"` // Predicted time between tokens.
 	FreeKV      int           `json:"free_kv_tokens"`    // Free decode memory before this request, in tokens.
-	Cost        float64       `json:"cost_s"`            // The minimized cost, in seconds.
+	Cost        float64       `json:"cost_s"`            // In seconds. The pair with the lowest cost is chosen.
 	// ReportAge is the age of the decode engine's last report; 0 if there is none.
 	ReportAge time.Duration `json:"report_age_ns"`
 }
--- a/internal/decide/urgency.go
+++ b/internal/decide/urgency.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// urgency tracks how the recent prefill work is distributed over requests with different first-token
-// targets. Engines prefill the most urgent prompts first. So a request waits for the prompt that is being
-// prefilled and for queued prompts that are at least as urgent, not for the whole queue.
+// urgency tracks how the recent prefill work is distributed over requests with different first-token targets. Engines
+// prefill the most urgent prompts first. So a request does not wait for the whole queue. It waits for the prompt that
+// is being prefilled, and for queued prompts that are at least as urgent as the request.
 type urgency struct{ classes []urgencyClass }
 
 // urgencyClass is the recent prefill work of all requests with the same first-token target.
@@ -25,8 +25,8 @@
 	refusedLatenessFactor = 0.5
 )
 
-// urgencyTarget is the target by which the urgency of a request is judged: the first-token target, or
-// defaultMaxWait for a request that goes behind all requests that can still be on time.
+// urgencyTarget is the target by which the urgency of a request is judged. This is the first-token target. For a
+// request that goes behind all requests that can still be on time, it is defaultMaxWait.
 func (f *flight) urgencyTarget() time.Duration {
 	if f.yieldsToOnTime {
 		return defaultMaxWait
@@ -51,8 +51,8 @@
 	c.meanPrefill += time.Duration(meanPrefillBlend * float64(f.work[Prefill]-c.meanPrefill))
 }
 
-// observeLateness records how much later than predicted a prompt was prefilled. Such delays are due to
-// prompts of other boxes, news of which arrives late, so a box measures them on its own requests.
+// observeLateness records how much later than predicted a prompt was prefilled. Such delays are due to prompts of other
+// boxes. News of those prompts arrives late, so a box measures the delays on its own requests.
 func (u *urgency) observeLateness(f *flight, late time.Duration) {
 	for i := range u.classes {
 		if c := &u.classes[i]; c.target == f.urgencyTarget() {
@@ -61,8 +61,8 @@
 	}
 }
 
-// fadeLateness reduces the lateness of the request's class. It is called when a request is refused only
-// because of that lateness. Otherwise no request of the class might ever run again and correct it.
+// fadeLateness reduces the lateness of the request's class. It is called when a request is refused only because of that
+// lateness. Otherwise all requests of the class might be refused, and none would run and correct the lateness.
 func (u *urgency) fadeLateness(f *flight) {
 	for i := range u.classes {
 		if c := &u.classes[i]; c.target == f.urgencyTarget() {
@@ -71,7 +71,7 @@
 	}
 }
 
-// lateness is the mean delay of recent prefills of the request's class.
+// lateness is the mean delay of recent prefills of the request's class, beyond their predicted end.
 func (u *urgency) lateness(f *flight) time.Duration {
 	for _, c := range u.classes {
 		if c.target == f.urgencyTarget() {
@@ -81,9 +81,9 @@
 	return 0
 }
 
-// wait predicts how long a request waits for a prefill engine whose queue takes the given time. inProgress
-// is the wait for a less urgent prompt that is being prefilled, and urgentQueue the wait for queued
-// prompts that are at least as urgent.
+// wait predicts how long a request waits for a prefill engine. queued is the time that the engine needs for its whole
+// queue. inProgress is the wait for a less urgent prompt that is being prefilled. urgentQueue is the wait for queued
+// prompts that are at least as urgent as the request.
 //
 // Example: the queue takes 500 ms, a tenth of all recent work is at least as urgent as the request, and less
 // urgent prompts take 170 ms each. The request waits 170 ms for the prompt that is being prefilled, and
--- a/internal/learned/learned.go
+++ b/internal/learned/learned.go
@@ -1,7 +1,7 @@
-// Package learned shares the estimates of boxes, which are what they learned about engines and requests, such as the
-// speed of an engine. They are kept in one small row of the platform's store. Boxes that start, even if all restart at
-// once, continue from what other boxes learned. No guarantee depends on the row. If it is outdated, lost or wrong, this
-// only costs goodput (requests served in time) until the box has observed enough itself.
+// Package learned shares the estimates of boxes through one small row of the platform's store. Estimates are what a box
+// learned about engines and requests, such as the speed of an engine. A box that starts continues from what other boxes
+// learned, even if all boxes restart at the same time. No guarantee depends on the row. If the row is outdated, lost or
+// wrong, this only costs goodput (requests served in time), until the box has observed enough itself.
 package learned
 
 import (
@@ -19,20 +19,21 @@
 // Key is the key of the row in the store.
 const Key = "pools"
 
-// Pools is what the box itself has learned. It has estimates for each pool, a group of engines that serve one model.
+// Pools gives access to what this box has learned. There are estimates for each pool, a group of engines that serve one
+// model.
 type Pools interface {
 	Estimates() []decide.Estimates
 	SetEstimates(decide.Estimates)
 }
 
-// Syncer reads the row when its box starts. After that it updates the row whenever the row differs clearly from what
-// the box has learned.
+// Syncer reads the row when its box starts. After that it checks the row regularly, and updates it if the row differs
+// clearly from what the box has learned.
 type Syncer struct {
 	Rows  lease.Rows
 	Pools Pools
 	// Boxes returns the number of boxes. The more boxes there are, the less often each of them checks the row.
 	Boxes func() int
-	// Failed is called with each failure, and what failed.
+	// Failed is called after each failure. what says which action failed.
 	Failed func(what string, err error)
 }
 
@@ -43,11 +44,11 @@
 	// doubles with each attempt, up to maxRetryDelay.
 	minRetryDelay = time.Second
 	maxRetryDelay = 16 * time.Second
-	// checkInterval is the mean time between two checks of the row, counting the checks of all boxes together. It is
-	// a fifth of the duration of a traffic burst. Each check costs one call to the store.
+	// checkInterval is the mean time between two checks of the row, if the checks of all boxes are counted
+	// together. It is a fifth of the duration of a traffic burst. Each check costs one call to the store.
 	checkInterval = 4 * time.Second
-	// minDifference is the relative difference between an estimate in the row and the box's own above which the box
-	// writes its own. Boxes that observe the same engines differ by less.
+	// minDifference decides when the box replaces an estimate in the row by its own. The two must differ by more
+	// than this fraction. Boxes that observe the same engines differ by less.
 	minDifference = 0.15
 )
 
@@ -89,7 +90,8 @@
 	return mean/2 + time.Duration(rand.Int64N(int64(mean)))
 }
 
-// load takes over the estimates in the row. It returns false if ctx is done before the row could be read.
+// load gives the estimates in the row to this box. It repeats failed attempts to read the row. It returns false if ctx
+// is done before the row could be read.
 func (k *Syncer) load(ctx context.Context) bool {
 	for delay := minRetryDelay; ; delay = min(maxRetryDelay, 2*delay) {
 		stored, _, err := k.read(ctx)
@@ -108,7 +110,7 @@
 	}
 }
 
-// update writes the row if the estimates of this box differ clearly from those in the row.
+// update writes the row if the estimates of this box differ clearly from the estimates in the row.
 func (k *Syncer) update(ctx context.Context) error {
 	own := k.Pools.Estimates()
 	if len(own) == 0 {
@@ -128,7 +130,7 @@
 	return err
 }
 
-// merge replaces estimates in the row by the box's own where the two differ clearly.
+// merge replaces estimates in the row by the box's own if they differ clearly. It also adds pools that the row lacks.
 func merge(stored, own []decide.Estimates) (merged []decide.Estimates, changed bool) {
 	merged = stored
 	for _, m := range own {
@@ -177,12 +179,12 @@
 	}
 	text, err := json.Marshal(out)
 	if err != nil {
-		panic(fmt.Sprintf("learned: %v", err)) // Only NaN and infinities cannot be encoded, and they are never learned.
+		panic(fmt.Sprintf("learned: %v", err)) // Only NaN and infinities cannot be encoded, and boxes never learn such values.
 	}
 	return text
 }
 
-// decode decodes the text of the row. It leaves out pools with implausible figures, and returns an error for them.
+// decode decodes the text of the row. If a pool has implausible values, decode leaves it out and returns an error.
 func decode(text []byte) (out []decide.Estimates, err error) {
 	var doc rowDoc
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -226,7 +228,7 @@
 	return p.Pool != "" && p.Step > 0 && p.Requests >= 0
 }
 
-// sleep waits for the time d. It returns false if ctx is done before.
+// sleep waits for the duration d. It returns false if ctx is done earlier.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
