--- a/internal/learned/learned_test.go
+++ b/internal/learned/learned_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// fakeStore is a table of the store with one row. The store may be unavailable.
+// fakeStore is a table of the store with one row. The store can be made unavailable.
 type fakeStore struct {
 	mu          sync.Mutex
 	row         lease.Row
@@ -44,7 +44,7 @@
 	return r.row, nil
 }
 
-// fakePools has the estimates that a box has learned itself, and those that it received from the row.
+// fakePools holds two kinds of estimates: those that a box has learned itself, and those that it received from the row.
 type fakePools struct {
 	mu         sync.Mutex
 	own        []decide.Estimates
@@ -70,7 +70,7 @@
 	}
 }
 
-// runSyncers runs the syncers of several boxes for the time d.
+// runSyncers runs the syncers of several boxes for the duration d.
 func runSyncers(t *testing.T, r *fakeStore, d time.Duration, boxes ...*fakePools) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -97,7 +97,8 @@
 	})
 }
 
-// Boxes whose estimates differ little write the row only once. A clear change of the estimates is written.
+// Boxes whose estimates differ little write the row only once. If the estimates change clearly, the row is written
+// again.
 func TestWritesOnlyClearChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeStore{}
@@ -129,7 +130,7 @@
 	})
 }
 
-// A box that starts during an outage of the store loads the row once the store is back, and meanwhile makes few calls.
+// A box starts during an outage of the store. It loads the row once the store is back. Until then it makes few calls.
 func TestStartsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeStore{unavailable: true, row: lease.Row{Value: encode([]decide.Estimates{estimatesWithStep(5 * time.Millisecond)}), Version: 1}}
@@ -155,7 +156,8 @@
 	}
 }
 
-// A row that another version of the program wrote, or a corrupt row, must not lead to implausible estimates.
+// The row may have been written by another version of the program, or be corrupt. It must not lead to implausible
+// estimates.
 func TestDecodeRow(t *testing.T) {
 	valid := string(encode([]decide.Estimates{estimatesWithStep(5 * time.Millisecond)}))
 	expectDecoded(t, valid, 1, false)
--- a/internal/limit/grants.go
+++ b/internal/limit/grants.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// A client's limits hold for all boxes together. Each box counts the requests of the client and sends their rate to
-// the client's owner, a box that all boxes agree on by hashing the client's name. The owner responds with the box's
-// share of the limits. If a share is wrong for a moment, the client gets slightly more or less than its limits. Nothing
-// else depends on shares.
+// A client's limits hold for all boxes together. Each client has an owner: a box that all boxes agree on by hashing the
+// client's name. Each box counts the requests of the client and sends their rate to the owner. The owner responds with
+// the part of the limits that the box may grant, its share. If a share is wrong for a moment, the client gets slightly
+// more or less than its limits. Nothing else depends on shares.
 
 // Demand is the rate at which a client sent requests to one box, in requests per second. Refused requests count too.
 type Demand struct {
@@ -21,12 +21,12 @@
 	Fraction float64
 }
 
-// demandTTL is how long the latest demand of a box counts. A box that is gone is forgotten after this time, and its
-// share goes to the other boxes.
+// demandTTL is how long the latest demand of a box counts. When a box is gone, its demand is forgotten after this time.
+// Its share then goes to the other boxes.
 const demandTTL = 4 * time.Second
 
-// Owner is the state that a box keeps for the clients that it owns, whose limits it divides among all boxes. It is not
-// safe for concurrent use.
+// Owner is the state that a box keeps for the clients that it owns. The box divides the limits of these clients among
+// all boxes. An Owner is not safe for concurrent use.
 type Owner struct {
 	clients map[string]map[string]demandReport
 }
@@ -39,8 +39,8 @@
 // NewOwner returns an owner that has not received any demand yet.
 func NewOwner() *Owner { return &Owner{clients: map[string]map[string]demandReport{}} }
 
-// Update records the demands of a box and returns the box's share for each, in the same order. The share of a box is
-// its part of the total recent demand of that client.
+// Update records the demands of a box. It returns the share of that box for each demand, in the same order. The share
+// is the box's demand divided by the recent demand of all boxes for that client.
 func (h *Owner) Update(now time.Time, box string, demands []Demand) []Share {
 	out := make([]Share, len(demands))
 	for i, d := range demands {
@@ -66,7 +66,7 @@
 	return out
 }
 
-// Forget drops the clients from which no box has reported demand for demandTTL.
+// Forget drops clients without recent demand: no box has reported demand for them in the last demandTTL.
 func (h *Owner) Forget(now time.Time) {
 	for client, boxes := range h.clients {
 		for name, b := range boxes {
@@ -80,11 +80,12 @@
 	}
 }
 
-// SetDefault sets the default part: the part of a client's limits that this box may grant while it has no share from
-// the client's owner. It is 1 divided by the number of boxes.
+// SetDefault sets the default part. This is the part of a client's limits that this box may grant while the client's
+// owner has given it no share. It should be 1 divided by the number of boxes.
 func (t *Table) SetDefault(part float64) { t.defaultShare.Store(&part) }
 
-// Demands returns the demand of each client since the last call, and resets the counts. since is the time since then.
+// Demands returns the demand of each client since the last call, and resets the counts. since is the time that has
+// passed since the last call.
 func (t *Table) Demands(since time.Duration) []Demand {
 	var out []Demand
 	for i := range t.shards {
@@ -101,7 +102,8 @@
 	return out
 }
 
-// SetShare sets the part of a client's limits that this box may grant, as the client's owner decided.
+// SetShare sets the part of a client's limits that this box may grant, as decided by the client's owner. It does
+// nothing if this box keeps no buckets for the client.
 func (t *Table) SetShare(s Share) {
 	sh := t.shard(s.Client)
 	sh.mu.Lock()
@@ -122,10 +124,10 @@
 	return t.defaultPart()
 }
 
-// DropShare returns to the default part for a client, because the client's owner does not respond.
+// DropShare removes the share for a client, because the client's owner does not respond. The default part applies then.
 func (t *Table) DropShare(client string) { t.SetShare(Share{Client: client}) }
 
-// scaled returns the limits that this box enforces if it may grant the given part of them.
+// scaled returns the limits that this box enforces if it may grant only the given part of the client's limits.
 func (s Set) scaled(part float64) Set {
 	return Set{Requests: s.Requests.scaled(part), Tokens: s.Tokens.scaled(part)}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,7 +1,7 @@
-// Package limit enforces the limits of clients, of which each box enforces its share. A client has two token buckets.
-// Each request is taken from the first bucket before it runs. Its tokens are taken from the second bucket after the
-// response, when their number is known. So the second bucket may go below zero, and then the client must wait until it
-// has been refilled.
+// Package limit enforces the limits of clients. Each box enforces a part of each limit, its share. On a box, a client
+// has two token buckets, one for requests and one for tokens. A request is taken from the request bucket before it
+// runs. The tokens of the request are taken from the token bucket after the response, when their number is known. So
+// the token bucket can go below zero. The client must then wait until the bucket has been refilled.
 package limit
 
 import (
@@ -25,8 +25,8 @@
 	RetryAfter time.Duration
 }
 
-// Table holds the token buckets of all clients, divided into shards to reduce lock contention. The buckets of a client
-// take about 150 bytes and are created on first use.
+// Table holds the token buckets of all clients. It is divided into shards to reduce lock contention. The buckets of a
+// client are created on first use and occupy about 150 bytes.
 type Table struct {
 	shards       [numShards]shard
 	defaultShare atomic.Pointer[float64] // The part granted to clients without a share; nil means all.
@@ -67,7 +67,8 @@
 	return &t.shards[h%numShards]
 }
 
-// Take takes one request of the client from its bucket, or returns why the request is refused.
+// Take takes one request from the client's request bucket. If the request is refused, Take returns the reason and
+// false. Refused requests count as demand too.
 func (t *Table) Take(now time.Time, client string, s Set) (Refusal, bool) {
 	if s.Requests.Rate <= 0 && s.Tokens.Rate <= 0 {
 		return Refusal{}, true
@@ -89,7 +90,7 @@
 	return Refusal{}, true
 }
 
-// Spend takes the tokens that a request used from the client's bucket, once their number is known.
+// Spend takes the tokens that a request used from the client's token bucket. It is called once their number is known.
 func (t *Table) Spend(now time.Time, client string, s Set, tokens int) {
 	if s.Tokens.Rate <= 0 {
 		return
@@ -108,7 +109,8 @@
 	return 1
 }
 
-// get returns a client's buckets, refilled up to now, and the client's limits scaled to the part that this box grants.
+// get returns a client's buckets, refilled up to now, and the limits that this box enforces. These are the client's
+// limits scaled to the part that this box may grant. If the client has no buckets yet, get creates full ones.
 func (sh *shard) get(now time.Time, client string, s Set, part float64) (*buckets, Set) {
 	b := sh.clients[client]
 	if b != nil && b.share > 0 {
@@ -127,8 +129,8 @@
 	return b, s
 }
 
-// burst returns the most units that may be used at once. It is Burst, but at least one unit and at least the units of
-// one second.
+// burst returns the most units that can be used without a pause. This is Burst, but at least one unit, and at least the
+// units of one second.
 func (r Rule) burst() float64 { return max(1, r.Rate, r.Burst) }
 
 // timeToReach returns how long a bucket takes to refill from level to want.
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -32,8 +32,8 @@
 	expectGranted(t, Set{Requests: Rule{Rate: 10, Burst: 50}}, 100, 10, 50+99)
 }
 
-// Tokens are counted after the response, so the bucket may go below zero. The refusal of the next request says when the
-// bucket is refilled.
+// Tokens are counted after the response, so the token bucket can go below zero. The next request is then refused. The
+// refusal says when the bucket will be refilled.
 func TestTokens(t *testing.T) {
 	s := Set{Tokens: Rule{Rate: 100}}
 	table := NewTable()
@@ -50,7 +50,7 @@
 	}
 }
 
-// simFleet simulates several boxes. Every second they report their demand to one owner and receive their shares.
+// simFleet simulates several boxes. Every second, each box reports its demand to one owner and receives its shares.
 type simFleet struct {
 	owner  *Owner
 	tables []*Table
@@ -67,7 +67,7 @@
 	return f
 }
 
-// run sends perSecond requests per second, distributed over the boxes by weights. It returns the rate of granted
+// run sends perSecond requests per second, distributed over the boxes by weights. The result is the rate of granted
 // requests in the second half of the time.
 func (f *simFleet) run(seconds, perSecond int, weights []float64, ownerUp bool) float64 {
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -110,22 +110,23 @@
 	}
 }
 
-// All boxes together grant a client its limit, however its requests are distributed over the boxes.
+// All boxes together grant a client its limit. It does not matter how the client's requests are distributed over the
+// boxes.
 func TestSharesAddUpToLimit(t *testing.T) {
 	even := []float64{.125, .125, .125, .125, .125, .125, .125, .125}
 	uneven := []float64{.7, .2, .1, 0, 0, 0, 0, 0}
 	expectRate(t, newSimFleet(8, 100).run(60, 400, even, true), 100, 0.05)
 	expectRate(t, newSimFleet(8, 100).run(60, 400, uneven, true), 100, 0.05)
-	// Below its limit, a client is refused only few requests: those that come before the shares follow its requests.
+	// A client that stays below its limit is refused only few requests, before the shares follow its distribution.
 	expectRate(t, newSimFleet(8, 100).run(60, 60, uneven, true), 60, 0.05)
-	// Without an owner each box grants the default part, so all boxes together never exceed the limit.
+	// Without an owner, each box grants the default part. So all boxes together never exceed the limit.
 	expectRate(t, newSimFleet(8, 100).run(60, 400, even, false), 100, 0.05)
 	if got := newSimFleet(8, 100).run(60, 400, uneven, false); got > 100 {
 		t.Errorf("expected at most 100 per second without an owner, got %.1f", got)
 	}
 }
 
-// A box that reports no more demand loses its share after demandTTL.
+// When a box reports no more demand, its share goes to other boxes after demandTTL.
 func TestShareOfRemovedBoxExpires(t *testing.T) {
 	owner := NewOwner()
 	owner.Update(start, "a", []Demand{{"c", 30}})
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,9 +1,9 @@
-// Package notice tracks what endpoints announce about themselves in response headers: a limit on the requests per
-// second, that they are leaving (about to shut down), or a pause in which a box should not send. Before a box sends a
-// request to an endpoint, it asks the Table whether it may.
+// Package notice tracks what endpoints announce about themselves in response headers. An endpoint can announce a limit
+// on the requests per second, that it is leaving (about to shut down), or a pause in which a box should not send.
+// Before a box sends a request to an endpoint, the box asks the Table whether it may.
 //
-// Notices are stored under the endpoint's ID, which differs at each start of an endpoint. So they outlive changes of
-// the endpoint list and of the configuration, but not a restart of the endpoint.
+// Notices are stored under the endpoint's ID. The ID differs at each start of an endpoint. So notices stay valid when
+// the endpoint list or the configuration changes, but not when the endpoint restarts.
 package notice
 
 import (
@@ -18,16 +18,16 @@
 
 // Notice is what one response header announces about the endpoint that sent it.
 type Notice struct {
-	// Limit is how many requests per second the endpoint accepts from all boxes together, or 0 if it announces no
+	// Limit is how many requests per second the endpoint accepts from all boxes together; 0 if it announces no
 	// limit.
 	Limit float64
 	// Leaving says that the endpoint will shut down and accepts no new requests.
 	Leaving bool
-	// Pause is how long the endpoint wants no further requests from this box after it rejected a request, or 0 if it
-	// asks for no pause.
+	// Pause is how long the endpoint wants no further requests from this box, after it rejected a request; 0 if the
+	// endpoint asks for no pause.
 	Pause time.Duration
-	// Malformed describes a malformed part of the header, and is empty if there is none. A malformed part changes
-	// nothing: what the endpoint announced earlier still applies.
+	// Malformed describes a malformed part of the header; it is empty if there is none. A malformed part changes
+	// nothing, so earlier announcements of the endpoint still apply.
 	Malformed string
 }
 
@@ -36,16 +36,16 @@
 	Endpoint string
 	// Region is the region of the endpoint. The boxes listed for that region share the endpoint's limit.
 	Region string
-	// Sent is when the request was sent, by the clock of package clock.
+	// Sent is when the request was sent, as package clock tells the time.
 	Sent time.Time
-	// Completed says that the endpoint completed a caller's request. Only such a response can clear a limit, because
-	// other responses may not repeat the limit although it still applies.
+	// Completed says that the endpoint completed a caller's request. Only the response to such a request can lift a
+	// limit. Other responses need not repeat a limit that still applies.
 	Completed bool
 	Notice    Notice
 }
 
-// minLimitChange is the relative change of a limit above which the limit counts as changed. An endpoint may announce
-// a slightly different number in each response.
+// minLimitChange is how far a limit must change to count as changed, as a fraction of the old limit. An endpoint may
+// announce a slightly different number in each response.
 const minLimitChange = 0.1
 
 // Change is a change of an endpoint's announced state by a response.
@@ -54,41 +54,43 @@
 // Changes of an endpoint's announced state.
 const (
 	_ Change = iota
-	// LimitAnnounced means that an endpoint announced its first limit or a changed one. LimitRepeated means that it
-	// announced the same limit again after repeatInterval. LimitLifted means that the limit no longer applies.
+	// LimitAnnounced means that an endpoint announced its first limit or a changed limit. LimitRepeated means that
+	// it announced the same limit, and that the limit was last published at least repeatInterval ago. LimitLifted
+	// means that the limit no longer applies.
 	LimitAnnounced
 	LimitRepeated
 	LimitLifted
 	// LeavingAnnounced means that the endpoint announced for the first time that it is leaving. PauseRequested means
-	// that it asked for a pause that ends later than the previous one.
+	// that the endpoint asked for a pause that ends later than the pause it asked for before.
 	LeavingAnnounced
 	PauseRequested
-	// MalformedNotice means that the endpoint sent a malformed notice that differs from the one last reported.
+	// MalformedNotice means that the endpoint sent a malformed notice. The notice differs from the malformed notice
+	// that was last reported, and that report is at least repeatInterval old.
 	MalformedNotice
 )
 
-// endpoint is the announced state of one endpoint. The zero value has announced nothing.
+// endpoint is the announced state of one endpoint. The zero value means that nothing was announced.
 type endpoint struct {
 	region string
 	limit  float64 // Requests per second; 0 for none.
-	// limitSentAt is when the box sent the latest request whose response announced the limit. publishedAt is when the
-	// limit was last published to the other boxes.
+	// limitSentAt belongs to responses that announced the limit. It is when the box sent the latest request with
+	// such a response. publishedAt is when the limit was last published to the other boxes.
 	limitSentAt, publishedAt time.Time
 	pacer                    pacing.Pacer
-	// boxesVersion is the version of the list of boxes for which the pacer's share was computed. nextRenewal is when
-	// the list is checked again; it is zero after a change of the limit.
+	// boxesVersion is the version of the list of boxes from which the pacer's share was computed. nextRenewal is
+	// when this list is checked again. nextRenewal is zero after a change of the limit, which causes a check.
 	boxesVersion int64
 	nextRenewal  time.Time
 	leaving      bool
 	pausedUntil  time.Time // When the pause requested of this box ends; zero if none was requested.
-	// malformed is the malformed notice that was last reported, and malformedAt when. An endpoint may send a
-	// different one with each response.
+	// malformed is the malformed notice that was last reported, and malformedAt the time of that report. An
+	// endpoint may send a different malformed notice with each response.
 	malformed    string
 	malformedAt  time.Time
 	lastNoticeAt time.Time // When the endpoint last sent a notice.
 }
 
-// Boxes lists the boxes that may send to endpoints of a region, with a version that changes with the list.
+// Boxes lists the boxes that may send to the endpoints of a region. The version changes with the list.
 type Boxes func(region string) (names []string, version int64)
 
 // Table holds the announced state of endpoints. It is safe for concurrent use.
@@ -96,8 +98,8 @@
 	box   string
 	boxes Boxes
 	epoch time.Time
-	// numEndpoints is the number of endpoints in byID. It is read without the lock, so that nothing waits for the
-	// lock while there are none. numLimited is the number of endpoints with a limit.
+	// numEndpoints is the number of endpoints in byID. It is read without the lock, so that callers need no lock
+	// while there are no endpoints. numLimited is the number of endpoints with a limit.
 	numEndpoints, numLimited atomic.Int64
 
 	mu   sync.Mutex
@@ -109,11 +111,11 @@
 	return &Table{box: box, boxes: boxes, epoch: clock.Now(), byID: map[string]*endpoint{}}
 }
 
-// repeatInterval is how often a limit that still applies is published again, since messages are lost and boxes
-// restart. It is also the least time between two reports of malformed notices of one endpoint.
+// repeatInterval is how often a limit that still applies is published again. This is needed because messages are lost
+// and boxes restart. repeatInterval is also the least time between two reports of malformed notices of one endpoint.
 const repeatInterval = 5 * time.Second
 
-// Observe records the notice in a response, and returns the changes that it makes to the endpoint's state.
+// Observe records the notice in a response. It returns how the notice changed the endpoint's state.
 func (t *Table) Observe(now time.Time, a Answer) []Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,7 +148,8 @@
 	return changes
 }
 
-// updateLimit records what a response says about the endpoint's limit. The caller must hold t.mu.
+// updateLimit records what a response says about the endpoint's limit, and returns the resulting change. The caller
+// must hold t.mu.
 func (t *Table) updateLimit(now time.Time, e *endpoint, a Answer) []Change {
 	switch {
 	case a.Notice.Limit > 0:
@@ -170,7 +173,8 @@
 	return nil
 }
 
-// Has reports whether an endpoint has sent any notice. If it has not, a response without a notice changes nothing.
+// Has reports whether an endpoint has sent any notice that is still remembered. If it has not, a response without a
+// notice changes nothing.
 func (t *Table) Has(id string) bool {
 	if t.numEndpoints.Load() == 0 {
 		return false
@@ -188,8 +192,8 @@
 	e.limit, e.pacer, e.nextRenewal = 0, pacing.Pacer{}, time.Time{}
 }
 
-// Leaving reports whether an endpoint has announced that it is leaving. It cannot take this back until it restarts, and
-// then it has another ID.
+// Leaving reports whether an endpoint has announced that it is leaving. The endpoint cannot take this back. After a
+// restart, it has another ID.
 func (t *Table) Leaving(id string) bool {
 	if t.numEndpoints.Load() == 0 {
 		return false
@@ -230,7 +234,8 @@
 	return max(remainingPause, e.pacer.Wait(now, t.epoch))
 }
 
-// Sent accounts for a request that was sent to an endpoint and accepted by it.
+// Sent records a request that was sent to an endpoint. The request counts against this box's share of the endpoint's
+// limit.
 func (t *Table) Sent(id string, now time.Time) {
 	if t.numEndpoints.Load() == 0 {
 		return
@@ -246,8 +251,8 @@
 // renewInterval is the time between two checks of the list of boxes for an endpoint with a limit.
 const renewInterval = 250 * time.Millisecond
 
-// renewShare computes this box's share of an endpoint's limit again if the limit or the list of boxes has changed. The
-// caller must hold t.mu.
+// renewShare updates this box's share of an endpoint's limit if the limit or the list of boxes has changed. It checks
+// the list at most once per renewInterval, and after each change of the limit. The caller must hold t.mu.
 func (t *Table) renewShare(e *endpoint, id string, now time.Time) {
 	if now.Before(e.nextRenewal) {
 		return
@@ -266,12 +271,13 @@
 	return b
 }
 
-// endpointTTL is how long after its last notice an endpoint is remembered if no notice of it is in force, or if it is
-// not listed. The time is longer than an endpoint can be missing from the list because its row expired during an outage
-// of the store.
+// endpointTTL is how long an endpoint is remembered after its last notice. An endpoint that is listed and has a notice
+// in force is remembered longer. During an outage of the store, the endpoint's row can expire. The endpoint is then
+// missing from the list, but for less than endpointTTL.
 const endpointTTL = 10 * time.Minute
 
-// Expire forgets the endpoints that sent no notice for endpointTTL, unless a notice is in force and they are listed.
+// Expire forgets endpoints that sent no notice for endpointTTL. It keeps those that are listed and have a notice in
+// force.
 func (t *Table) Expire(now time.Time, listed func(id string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -10,8 +10,8 @@
 
 func singleBox(string) ([]string, int64) { return []string{"b"}, 1 }
 
-// answerAt returns a response to a request that was sent at the given time. The response announces the limit, or none
-// if the limit is 0.
+// answerAt returns a response to a request that was sent at the given time. The response announces the given limit. If
+// the limit is 0, the response announces no limit.
 func answerAt(seconds float64, limit float64) Answer {
 	return Answer{Endpoint: "e", Sent: timeAt(seconds), Completed: true, Notice: Notice{Limit: limit}}
 }
@@ -23,7 +23,8 @@
 // answerDelay is the time between a request and its response.
 const answerDelay = 50 * time.Millisecond
 
-// expectChanges passes responses to a table one after another, and expects the change that each makes; 0 means none.
+// expectChanges passes responses to a table one after another. It expects the given change from each response; 0 means
+// no change.
 func expectChanges(t *testing.T, answers []Answer, want ...Change) *Table {
 	t.Helper()
 	table := NewTable("b", singleBox)
@@ -41,14 +42,14 @@
 		0, LimitAnnounced, 0, LimitAnnounced, LimitLifted, 0)
 }
 
-// Responses on separate connections may arrive out of order: if the request was sent before the one whose response
-// announced the limit, a response without a limit does not lift it.
+// Responses on separate connections can arrive out of order. A response without a limit does not lift a limit if its
+// request was sent before the request whose response announced the limit.
 func TestLimitNotLiftedByAnAnswerSentBefore(t *testing.T) {
 	expectChanges(t, []Answer{answerAt(2, 6), answerAt(1, 0)}, LimitAnnounced, 0)
 }
 
-// Only a completed request's response lifts a limit. Failures, and calls that the box makes for itself, need not repeat
-// the limit.
+// Only the response to a completed request lifts a limit. Other responses need not repeat the limit: failures, and
+// responses to calls that the box makes for itself.
 func TestLimitNotLiftedByAFailure(t *testing.T) {
 	failed := answerAt(2, 0)
 	failed.Completed = false
@@ -64,7 +65,8 @@
 	}
 }
 
-// expectKept has an endpoint send a notice, and expects that after some time the table remembers the endpoint or not.
+// expectKept lets an endpoint send a notice. Some time later, the table must still remember the endpoint if want is
+// true, and must have forgotten it otherwise.
 func expectKept(t *testing.T, n Notice, later time.Duration, listed, want bool) {
 	t.Helper()
 	table := NewTable("b", singleBox)
@@ -75,8 +77,8 @@
 	}
 }
 
-// An endpoint may be missing from the list because its row expired while the store was unavailable, so it is remembered
-// for endpointTTL. While it is listed, notices in force stay longer than that.
+// While the store is unavailable, an endpoint's row can expire, and the endpoint is then missing from the list. So the
+// endpoint is remembered for endpointTTL. A listed endpoint with a notice in force is remembered longer.
 func TestKeepForgetsIdleAndUnlistedEndpoints(t *testing.T) {
 	for _, n := range []Notice{{Limit: 6}, {Leaving: true}} {
 		expectKept(t, n, endpointTTL, false, true)
@@ -93,7 +95,7 @@
 	expectChanges(t, []Answer{leaves, leaves, answerAt(2, 0)}, LeavingAnnounced, 0, 0)
 }
 
-// If several responses ask for pauses, the pause ends at the latest of the requested times.
+// If several responses ask for pauses, the pause lasts until the latest of the requested times.
 func TestRestIsExtendedNotShortened(t *testing.T) {
 	pauseAnswer := func(at float64, pause time.Duration) Answer {
 		return Answer{Endpoint: "e", Sent: timeAt(at), Notice: Notice{Pause: pause}}
@@ -116,7 +118,7 @@
 	}
 }
 
-// If an endpoint announces a limit and asks for a pause, the box keeps to both.
+// If an endpoint announces a limit and also asks for a pause, the box obeys both.
 func TestRestHoldsWithinTheLimit(t *testing.T) {
 	answer := answerAt(1, 100)
 	answer.Notice.Pause = 10 * time.Second
--- a/internal/pacing/cold.go
+++ b/internal/pacing/cold.go
@@ -1,15 +1,19 @@
 package pacing
 
-// This file bounds what all boxes together send to a cold endpoint, which is one that has just started and can serve
-// only a few requests per second yet.
+// This file bounds what all boxes together send to a cold endpoint. An endpoint is cold when it has just started and
+// can serve only a few requests per second yet.
 //
 // The bound is far smaller than one request per box: for example 58 requests per second plus 5, for 986 boxes. So only
 // a few boxes send anything to an endpoint while it is cold.
 //
-// Alternatives: one box, the owner of the endpoint, could admit each request. Then every box could send, but each
-// request would cost a call to the owner, no request would be admitted while the owner is unavailable, and twice the
-// bound while two boxes act as owner. The boxes could also lend their shares of the bound to the owner, with the same
-// drawbacks but fewer calls. Boxes that may not send use other endpoints for the few seconds in which one is cold.
+// Alternative: one box, the owner of the endpoint, could admit each request. Then every box could send. But each
+// request would cost a call to the owner, and no request would be admitted while the owner is unavailable. While two
+// boxes act as owner, twice the bound would be admitted.
+//
+// Alternative: the boxes could lend their shares of the bound to the owner. This has the same drawbacks with fewer
+// calls.
+//
+// Boxes that may not send to a cold endpoint use other endpoints. An endpoint is cold only for a few seconds.
 
 import (
 	"math"
@@ -33,16 +37,16 @@
 	// cases: boxes whose lists of boxes differ for some seconds, and requests that are sent in two different
 	// seconds but arrive in the same one.
 	coldUsableShare = 0.5
-	// requestsPerSender is how many requests per second each selected box may send: one at any moment plus its
-	// sustained rate. With fewer senders and more requests for each, more boxes could send nothing.
+	// requestsPerSender is how many requests each selected box may send in any second. One request may come at any
+	// moment, and the others follow at the sustained rate. With a higher value, fewer boxes could send.
 	requestsPerSender = 2
 )
 
 // ColdPace is the least time between two requests of one box to a cold endpoint, or 0 if the box may send none.
 type ColdPace time.Duration
 
-// Cold says until when an endpoint is cold, and at which pace this box may send to it until then. The zero value means
-// that the endpoint is not cold.
+// Cold says until when an endpoint is cold, and at which pace this box may send to it in that time. The zero value
+// means that the endpoint is not cold.
 type Cold struct {
 	Until time.Time
 	Pace  ColdPace
@@ -57,7 +61,7 @@
 // boxes are all boxes that may send to the endpoint.
 //
 // Example: with a rate of 39, a factor of 1.5 and a slack of 5, the bound is 63.5 requests in any second. Half of the
-// bound is divided among 15 boxes. Each of these may send at once, and then again every 896 ms.
+// bound is divided among 15 boxes. Each of the 15 may send one request immediately, and then another every 896 ms.
 func NewColdPace(box string, boxes []string, endpoint string, rate float64, l ColdLimits) ColdPace {
 	bound := l.maxPerSecond(rate)
 	usable := max(coldUsableShare*bound, min(bound, requestsPerSender))
@@ -65,7 +69,8 @@
 	if senders == 0 || !selected(box, boxes, endpoint, senders) {
 		return 0
 	}
-	// At any moment a box may send one request at once, so in a second it sends one more than its sustained rate.
+	// At any moment a box may send one request. So in any second it can send one request more than its sustained
+	// rate.
 	sustainedRate := usable/float64(senders) - 1
 	if sustainedRate <= 0 {
 		return 0
--- a/internal/pacing/cold_test.go
+++ b/internal/pacing/cold_test.go
@@ -11,7 +11,8 @@
 var testLimits = ColdLimits{Factor: 1.5, Slack: 5}
 
 // simulateArrivals returns when requests arrive at a cold endpoint in twenty seconds. All boxes always have a request
-// for it and send as fast as they may. Each box uses its own list of boxes, and a request takes up to 300 ms to arrive.
+// for the endpoint, and send as fast as they may. Each box uses its own list of boxes. A request takes up to 300 ms to
+// arrive.
 func simulateArrivals(rng *rand.Rand, lists map[string][]string, rate float64, l ColdLimits) (at []time.Duration) {
 	const duration = 20 * time.Second
 	for box, list := range lists {
@@ -45,8 +46,9 @@
 	return out
 }
 
-// expectWithin simulates boxes whose lists of boxes each lack the share missing of the boxes. It expects that the
-// arrivals of every second are within the bound, and that the endpoint receives at least the share minUsed of its rate.
+// expectWithin simulates boxes whose lists are incomplete: from each list, the fraction missing of the boxes is left
+// out. In every second, the arrivals must be within the bound. The endpoint must receive at least the fraction minUsed
+// of its rate.
 func expectWithin(t *testing.T, boxes int, missing, rate float64, l ColdLimits, minUsed float64) {
 	t.Helper()
 	seeds := uint64(20)
@@ -70,8 +72,8 @@
 }
 
 // The bound for a cold endpoint holds for any number of boxes, without communication between them. If each of 986 boxes
-// sent one request per second, a bound of 63 would be exceeded. The bound also holds if a third of each box's list is
-// missing.
+// sent one request per second, a bound of 63 would be exceeded. The bound also holds if each box's list lacks a third
+// of the boxes.
 func TestBoundOverAllBoxes(t *testing.T) {
 	for _, boxes := range []int{1, 7, 23, 80, 400, 986} {
 		expectWithin(t, boxes, 0, 39, testLimits, 0.02)
@@ -82,8 +84,8 @@
 	expectWithin(t, 80, 0, 2, ColdLimits{}, 0.4)
 }
 
-// An endpoint that can serve less than one request per second receives none while it is cold. A box that is not on its
-// own list of boxes may not send.
+// An endpoint that can serve less than one request per second receives no request while it is cold. A box that is not
+// on its own list of boxes must not send.
 func TestSendsNothing(t *testing.T) {
 	if p := NewColdPace("box-0", boxNames(1), "e", 0.5, ColdLimits{}); p != 0 {
 		t.Errorf("expected no pace for an endpoint with a rate of 0.5 per second, got %s", time.Duration(p))
@@ -96,8 +98,8 @@
 	}
 }
 
-// BenchmarkPaceOf measures computing the pace of one box for one cold endpoint, for several numbers of boxes. A box
-// does this whenever its list of boxes changes.
+// BenchmarkPaceOf measures how long one box needs to compute its pace for one cold endpoint, for several numbers of
+// boxes. A box does this whenever its list of boxes changes.
 func BenchmarkPaceOf(b *testing.B) {
 	for _, n := range []int{80, 400, 986} {
 		list := boxNames(n)
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -1,14 +1,16 @@
-// Package pacing bounds what all boxes together send to one endpoint, and at which pace each box may send to it.
+// Package pacing bounds what all boxes together send to one endpoint, and sets how fast each box may send to it. A box
+// is a machine that runs the router, and an endpoint is a back end.
 //
-// The bounds apply to the sum over all boxes, also while boxes are cut off from each other. An equal share of the
-// bound for each box would often be less than one request, so only a few boxes are selected to send. Each box
-// determines by itself whether it is selected and how much it may send. It does so by rendezvous hashing: for each
-// endpoint, a hash ranks the boxes of the list, and the highest-ranked boxes are selected.
+// A bound applies to the sum over all boxes, even while boxes are cut off from each other. If the bound were divided
+// equally, each box would often get less than one request. So only a few boxes are selected to send.
+//
+// Each box determines by itself whether it is selected and how much it may send. Each box has a list of all boxes.
+// For each endpoint, a hash ranks the boxes on the list (rendezvous hashing). The highest-ranked boxes are selected.
 package pacing
 
 import "github.com/cespare/xxhash/v2"
 
-// selected reports whether a box is on the list and among its n highest-ranked boxes for an endpoint.
+// selected reports whether a box is on the list boxes, and is one of the n highest-ranked boxes for an endpoint.
 func selected(box string, boxes []string, endpoint string, n int) bool {
 	ownRank, listed, higherRanked := rank(box, endpoint), false, 0
 	for _, other := range boxes {
--- a/internal/pacing/share.go
+++ b/internal/pacing/share.go
@@ -10,8 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// By the platform's rules, all boxes together may exceed an endpoint's limit as follows: in any limitWindow they may
-// send limitFactor times what the limit allows in that time, plus limitSlack requests. This is called the bound.
+// By the platform's rules, all boxes together may exceed an endpoint's limit to some extent. In any limitWindow they
+// may send limitFactor times what the limit allows in that time, plus limitSlack requests. This number is called the
+// bound.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
@@ -23,14 +24,15 @@
 	// two cases: boxes whose lists of boxes differ for some seconds, and requests that arrive closer together
 	// than they were sent.
 	limitUsableShare = 0.75
-	// unselectedSlack is the part of the bound, in requests, for the boxes that are not selected. Each of them
-	// may send in its own time slot, but the slots of two boxes may coincide.
+	// unselectedSlack is the part of the bound, in requests, that is kept for boxes that are not selected. Each of
+	// them may send only in its own time slots. But slots of two boxes can overlap.
 	unselectedSlack = 1
-	// maxSlot bounds the length of a slot, the time in which a box that is not selected may send one request.
-	// With longer slots, all of these boxes would send at once after a period without traffic.
+	// maxSlot bounds the length of a slot. In a slot, a box that is not selected may send one request. With longer
+	// slots, more of them would overlap, and their boxes would send at the same time after a period without
+	// traffic.
 	maxSlot = 2 * time.Second
-	// minBoxesIfUnlisted is the least number of boxes that a box assumes while it is not on its own list of
-	// boxes, because that list is then outdated or was not read yet.
+	// minBoxesIfUnlisted is the least number of boxes that a box assumes while its own list of boxes does not
+	// contain the box itself. The list is then outdated or was not read yet.
 	minBoxesIfUnlisted = 100
 )
 
@@ -39,9 +41,9 @@
 type Share struct {
 	Selected bool
 	Rate     float64 // Requests per second.
-	Burst    float64 // Requests at once; at least 1.
-	// A slot of length Slot begins once per Period. The first one begins Phase after the epoch, the time from which
-	// the box counts its slots.
+	Burst    float64 // Requests that may be sent without a pause between them; at least 1.
+	// Slots apply to a box that is not selected. A slot of length Slot begins once per Period. The first slot
+	// begins Phase after the epoch, the time from which the box counts its slots.
 	Period, Phase, Slot time.Duration
 }
 
@@ -50,9 +52,9 @@
 //
 // The sum over all boxes is bounded without communication between them. An equal share of the limit for each box would
 // not work: 400 boxes that each send one request far exceed a limit of 6. So a few boxes are selected by rendezvous
-// hashing and receive one share of the limit each. All other boxes together receive one more share, in time slots.
-// With its slots each of them finds out by itself when the limit is lifted, even if no message of another box
-// reaches it.
+// hashing, and each of them gets one share of the limit. All other boxes together get one more share, in time slots.
+// When the limit is lifted, a box notices this by the requests that it sends in its slots. It needs no message of
+// another box for this.
 //
 // Example: a limit of 6 per second allows at most 41 requests in 4 s. Of 60 boxes five are selected, each with 1
 // request per second. Each of the other 55 boxes has a slot every 55 s.
@@ -74,8 +76,8 @@
 	return Share{Period: period, Phase: time.Duration(phase * float64(period)), Slot: min(maxSlot, period/2)}
 }
 
-// slot returns the number of the slot at a time, which is given as the time since the epoch. ok is false between two
-// slots.
+// slot returns the number of the slot that contains the given time. The time is counted from the epoch. ok is false if
+// the time lies between two slots.
 func (s Share) slot(at time.Duration) (n int64, ok bool) {
 	at -= s.Phase
 	if at < 0 {
@@ -84,11 +86,11 @@
 	return int64(at / s.Period), at%s.Period < s.Slot
 }
 
-// Pacer limits what one box sends to its share. The zero value allows nothing.
+// Pacer keeps what one box sends within the share of the box. The zero value allows nothing.
 type Pacer struct {
 	share Share
-	// level is how many requests the box could send at once at the time at. It starts at zero, because requests
-	// that were sent before the limit was known may still arrive.
+	// level is how many requests the box could send without a pause at the time at. The level starts at zero,
+	// because requests that were sent before the limit was known may still be on their way.
 	level    float64
 	at       time.Time
 	lastSlot int64 // The slot that was used last, counted from 1; 0 if none was used.
@@ -108,11 +110,12 @@
 	p.at = now
 }
 
-// unselectedRetryDelay is after how long a caller may retry if its request reached a box that is not selected. The
-// retry may reach a selected box.
+// unselectedRetryDelay is after how long a caller may retry if its request reached a box that is not selected. By then
+// the caller may reach a selected box.
 const unselectedRetryDelay = time.Second
 
-// Wait returns how long the box must not send, or 0 if it may send a request now. Slots are counted from epoch.
+// Wait returns how long the box must wait before it sends a request, or 0 if it may send now. Slots are counted from
+// epoch.
 func (p *Pacer) Wait(now, epoch time.Time) time.Duration {
 	if !p.share.Selected {
 		if n, open := p.share.slot(now.Sub(epoch)); open && p.lastSlot != n+1 {
@@ -127,7 +130,7 @@
 	return max(time.Millisecond, time.Duration((1-p.level)/p.share.Rate*float64(time.Second)))
 }
 
-// Sent accounts for a request that the box sends now.
+// Sent records a request that the box sends now. The request uses up the slot, or lowers the level by one.
 func (p *Pacer) Sent(now, epoch time.Time) {
 	if !p.share.Selected {
 		n, _ := p.share.slot(now.Sub(epoch))
--- a/internal/pacing/share_test.go
+++ b/internal/pacing/share_test.go
@@ -10,9 +10,9 @@
 	"github.com/stoatramp/stoatramp/internal/quota"
 )
 
-// strategy is a way in which boxes enforce an endpoint's limit together. In selectedBoxes (the one in use) a few boxes
-// are selected to send; in equalShares each box may send an equal share; in lentShares boxes lend their shares to one
-// box, the owner, which admits requests.
+// strategy is a way in which boxes enforce an endpoint's limit together. With selectedBoxes, the strategy in use, a few
+// boxes are selected to send. With equalShares, each box may send an equal share. With lentShares, boxes lend their
+// shares to one box, the owner, which admits requests.
 type strategy uint8
 
 const (
@@ -32,8 +32,8 @@
 	limit    float64
 	boxes    []*simBox
 	now      time.Duration
-	// arrived are the arrival times of the requests that count. Requests of boxes that are cut off, frozen or
-	// just started do not count.
+	// arrived are the arrival times of the requests that count. Requests of boxes that are cut off, frozen or were
+	// started recently do not count.
 	arrived  []time.Duration
 	requests int
 }
@@ -42,11 +42,12 @@
 	name         string
 	list         []string // The boxes that this box knows of.
 	disconnected bool     // The box is cut off or frozen, so its requests do not count.
-	// recoveredAt is when the box last started, or was last disconnected.
+	// recoveredAt is when the box last started, or when its last disconnection was over.
 	recoveredAt time.Duration
 	bucket      bucket
-	lastSlot    int64 // The slot that was used last, counted from 1.
-	// share is the box's share of the limit. It was computed for the list of boxes that begins at shareList.
+	lastSlot    int64 // The slot that was used last, counted from 1; 0 if none was used.
+	// share is the box's share of the limit, computed from a list of boxes. shareList points to the first box of
+	// that list, so that a new list is noticed.
 	share     Share
 	shareList *string
 	pool      *quota.Pool
@@ -102,7 +103,7 @@
 	return out
 }
 
-// maySend reports whether a box may send a request now, and if so accounts for that request.
+// maySend reports whether a box may send a request now. If so, the request counts against the box's share.
 func (s *shareSim) maySend(b *simBox) bool {
 	switch s.strategy {
 	case equalShares:
@@ -124,8 +125,8 @@
 	return true
 }
 
-// owner returns the box to which the given box lends its share: the first one on its list, if both are connected.
-// Otherwise it returns the given box itself.
+// owner returns the box to which the given box lends its share. This is the first box on the list of the given box, if
+// both are connected. Otherwise owner returns the given box itself.
 func (s *shareSim) owner(b *simBox) *simBox {
 	for _, o := range s.boxes {
 		if o.name == b.list[0] && !o.disconnected && !b.disconnected {
@@ -167,7 +168,7 @@
 	simRecoveryTime = 3 * time.Second // How long the requests of a box that started or was disconnected do not count.
 )
 
-// run sends requests to all boxes evenly, at a rate of load times the limit, while fault disturbs the boxes.
+// run sends requests to all boxes evenly, while fault disturbs the boxes. The rate is load times the limit.
 func (s *shareSim) run(load float64, fault func(s *shareSim)) {
 	due := 0.0
 	for s.now = 0; s.now < simLength; s.now += simStep {
@@ -195,7 +196,7 @@
 	slices.Sort(s.arrived)
 }
 
-// worstWindow returns the largest number of arrivals in any limitWindow, divided by the bound for that time.
+// worstWindow finds the limitWindow with the most arrivals. It returns these arrivals divided by the bound.
 func (s *shareSim) worstWindow() float64 {
 	maxArrived, from := 0, 0
 	for i, at := range s.arrived {
@@ -207,7 +208,7 @@
 	return float64(maxArrived) / (limitFactor*s.limit*limitWindow.Seconds() + limitSlack)
 }
 
-// unused returns the share of the limit that was not used although there were requests for it.
+// unused returns the fraction of the limit that was not used, although there were requests for it.
 func (s *shareSim) unused() float64 {
 	return 1 - float64(len(s.arrived))/min(float64(s.requests), s.limit*simLength.Seconds())
 }
@@ -268,7 +269,7 @@
 	}},
 }
 
-// The arrivals from all boxes together stay within the bound, whichever other boxes each box knows of.
+// The arrivals from all boxes together stay within the bound, even if boxes have different lists of boxes.
 func TestLimitHoldsForTheSumOfAllBoxes(t *testing.T) {
 	for _, n := range []int{8, 60, 400} {
 		for _, limit := range []float64{0.5, 6, 60} {
@@ -297,8 +298,8 @@
 	}
 }
 
-// Every box that is not selected gets a slot: a box that never sends to an endpoint cannot receive the response that
-// lifts the limit of that endpoint.
+// Every box that is not selected gets a slot. Without a slot, a box would never send to an endpoint. It could not
+// receive the response that lifts the limit of that endpoint.
 func TestEveryBoxHasASlot(t *testing.T) {
 	list := (&shareSim{boxes: newShareSim(selectedBoxes, 60, 6, 1).boxes}).boxNames()
 	for _, box := range list {
@@ -309,8 +310,8 @@
 	}
 }
 
-// TestWays prints two figures for each strategy and fault: the arrivals in the worst window as a share of the bound,
-// and the share of the limit that was not used.
+// TestWays prints two values for each strategy and fault. The first is the arrivals in the worst window as a fraction
+// of the bound. The second is the fraction of the limit that was not used.
 func TestWays(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("prints a table with -v")
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,16 +1,19 @@
 // Package retry bounds the retries of all boxes together, so that retries do not overload a failing service further. A
-// retry, or extra call, is each call of a request beyond its first one.
+// box is a machine that runs the router. An extra call is a call of a request beyond the request's first call. Package
+// decide counts prefill calls and decode calls separately: the first call of each kind is not an extra call.
 //
-// In any window of time, the platform allows all of its boxes together a share of the requests as extra calls, and a
-// number of free calls in addition. Each box uses an equal part of the free calls, and the share of its own requests.
-// This needs no communication, so the bound holds for the sum even while boxes are cut off from each other or
-// restarted.
+// The platform sets a bound on the number of extra calls in any window of time. The bound is a fraction of the number
+// of requests (Share), plus a fixed number (FreeCalls). It applies to the sum over all boxes. The fixed number is
+// divided equally among the boxes. The fraction applies on each box to the requests that arrived at that box. This
+// needs no communication. So the sum stays within the bound even while boxes are cut off from each other or restarted.
 //
-// Alternatives: the boxes could share one budget and publish what they used. This exceeds the bound while messages are
-// lost. In simulations of 85 boxes whose engines reject most calls, the boxes made 1.3 times the allowed calls with
-// half of the boxes cut off, and 1.4 times with all boxes restarted in turn. Or one box could grant retries, but then
-// each retry costs a call, and that box must be found. Fixed parts cost nothing, but a box that alone meets a fault has
-// fewer calls to use.
+// Alternative: the boxes could share one budget and publish what they used. Extra calls then exceed the bound while
+// messages are lost. In simulations of 85 boxes, engines rejected most calls. The boxes made 1.3 times the allowed
+// calls with half of the boxes cut off, and 1.4 times with all boxes restarted in turn.
+//
+// Alternative: one box could grant the retries. Then each retry costs a call to that box, and that box must be found.
+//
+// Fixed parts cost no calls. Their drawback: if only one box meets a fault, it can use only its own part of the bound.
 package retry
 
 import (
@@ -20,19 +23,21 @@
 
 // Limits are the extra calls that the platform allows all of its boxes together.
 type Limits struct {
-	// In any Window, a service may receive the share Share of its requests, plus FreeCalls, as extra calls.
+	// In any Window, a service may receive at most Share times its number of requests, plus FreeCalls, as
+	// extra calls.
 	Share     float64
 	FreeCalls float64
 	Window    time.Duration
 }
 
 const (
-	// usableShare and usableFree are the fractions of Share and FreeCalls that boxes use. They leave some for calls
-	// that reach a service closer together than they were sent, and for boxes that are not listed yet.
+	// usableShare and usableFree are the fractions of Share and FreeCalls that boxes use. The remaining calls are
+	// a reserve for two cases: calls that reach a service closer together than they were sent, and boxes that are
+	// not listed yet.
 	usableShare = 0.75
 	usableFree  = 0.9
 	// maxTransit is the longest time between a call of Take and the arrival of the extra call at the service.
-	// Connecting may take 0.7 s.
+	// Connecting can take 0.7 s.
 	maxTransit = time.Second
 	// numSlots is the number of slots, parts of equal length, in which a window is counted.
 	numSlots = 22
@@ -57,12 +62,12 @@
 	arrived, spent int
 }
 
-// SetBound sets the part of the platform's bound that this box may use if there are the given number of boxes. A box
-// that does not know that number (0) gets no free calls, only a share of its own requests. The same applies in the
-// first window after a start, since the box may have used its free calls before it restarted.
+// SetBound sets the part of the platform's bound that this box may use. boxes is the number of boxes. If that number
+// is not known (0), the box gets no free calls, only the fraction for its own requests. The same applies in the first
+// window after a start, since the box may have used its free calls before it restarted.
 //
-// Example: of 210 free calls each of 85 boxes gets 2.2. So it may make two extra calls in a window, and a third one
-// after five requests have arrived.
+// Example: the bound contains 210 free calls, and each of 85 boxes gets 2.2 of them. So a box may make two extra calls
+// in a window, and a third extra call after five requests have arrived.
 func (b *Budget) SetBound(l Limits, boxes int, started time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -77,8 +82,8 @@
 	b.freeFrom = started.Add(window)
 }
 
-// SetFixed sets a share of the requests and a number of free calls for a box on its own. The free calls are available
-// at once.
+// SetFixed sets a budget for a box on its own: a fraction of the requests, and a number of free calls. The free calls
+// are available immediately.
 func (b *Budget) SetFixed(share, free float64, window time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,7 +91,7 @@
 	b.freeFrom = time.Time{}
 }
 
-// CountRequest counts a request that arrived, of which a share may be used as extra calls.
+// CountRequest counts a request that arrived. Each request raises the number of allowed extra calls.
 func (b *Budget) CountRequest(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -102,7 +107,7 @@
 	return b.has(now, n)
 }
 
-// Take reserves n extra calls, all or none, and reports whether they may be made.
+// Take takes n extra calls from the budget if all n are allowed, and reports whether they are. Otherwise it takes none.
 func (b *Budget) Take(now time.Time, n int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,8 +118,8 @@
 	return true
 }
 
-// Return gives back n extra calls that were taken at the given time and not made. Extra calls that were taken longer
-// than a window ago no longer count, so for them it does nothing.
+// Return gives back n extra calls that Take took at the given time and that were not made. It does nothing if they were
+// taken more than a window ago, since they no longer count.
 func (b *Budget) Return(taken time.Time, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/budget_test.go
+++ b/internal/retry/budget_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// In any window, the budget allows no more extra calls than the free calls plus a share of the requests that arrived in
-// that window and the window before it.
+// In any window, extra calls stay within a bound: the free calls, plus a fraction of the requests. Requests count if
+// they arrived in that window or in the window before.
 func TestBudget(t *testing.T) {
 	for seed := range uint64(300) {
 		expectBounded(t, seed)
@@ -46,7 +46,7 @@
 	}
 }
 
-// Extra calls that are given back may be taken again in the same window. They add nothing to a later window.
+// Extra calls that are given back can be taken again in the same window. They add nothing to a later window.
 func TestReturn(t *testing.T) {
 	var b Budget
 	b.SetFixed(0, 2, 10*time.Second)
@@ -80,8 +80,8 @@
 	return n
 }
 
-// expectAllowed expects that a box is allowed want extra calls after arrived requests, at the time age after its start
-// and with the given number of boxes.
+// expectAllowed expects that a box is allowed want extra calls. The box was started the duration age ago, knows of the
+// given number of boxes, and has counted arrived requests.
 func expectAllowed(t *testing.T, boxes int, age time.Duration, arrived, want int) {
 	t.Helper()
 	var b Budget
@@ -105,7 +105,7 @@
 func TestBudgetWithUnknownBoxes(t *testing.T) { expectAllowed(t, 0, time.Minute, 20, 3) }
 func TestBudgetAfterStart(t *testing.T)       { expectAllowed(t, 8, 10*time.Second, 20, 3) }
 
-// Once the budget is used up, it is available again after the window plus maxTransit, and not before.
+// After the budget is used up, it is available again when the window plus maxTransit has passed, and not earlier.
 func TestBudgetRefillsAfterWindow(t *testing.T) {
 	var b Budget
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/roles/roles.go
+++ b/internal/roles/roles.go
@@ -1,6 +1,6 @@
 // Package roles switches engines between the prefill role and the decode role as the traffic requires. Only the box
-// that holds the lease does so; a lease is an exclusive right for a limited time. The box waits after
-// its orders before it gives more, because an engine that switches its role serves nothing for some seconds.
+// that holds the lease gives such orders. A lease is an exclusive right for a limited time. After its orders, the box
+// waits before it gives more, because an engine that switches its role serves nothing for some seconds.
 package roles
 
 import (
@@ -22,7 +22,7 @@
 	SetRole(ctx context.Context, engine string, role decide.EngineRole, l lease.Lease) error
 }
 
-// Leases grants the lease, without which a box may not send orders.
+// Leases grants the lease. A box without the lease must not send orders.
 type Leases interface {
 	Acquire(ctx context.Context) (lease.Lease, error)
 }
@@ -31,31 +31,32 @@
 type Manager struct {
 	Fleet  Fleet
 	Leases Leases
-	// CheckInterval is the mean time between two checks of the recommendation. StableChecks is the number of
-	// consecutive checks that must give the same recommendation before it is carried out.
+	// CheckInterval is the mean time between two checks of the recommendation. StableChecks is how many checks in a
+	// row must give the same recommendation before this box carries it out.
 	CheckInterval time.Duration
 	StableChecks  int
-	// Cooldown is how long this box waits after it sent orders, or found that another box holds the lease, before
-	// it tries again.
+	// Cooldown is how long this box waits after it sent orders. It waits as long after it found that another box
+	// holds the lease.
 	Cooldown time.Duration
-	// ExtraChecks returns in how many further checks a recommendation must be the same before this box carries it
-	// out. It lets another box act first, so that this box sees the result. nil means no further checks.
+	// ExtraChecks returns a number of checks that is added to StableChecks. The extra checks let another box act
+	// first, so that this box sees the result. nil means no extra checks.
 	ExtraChecks func() int
-	// OnLease is called after each attempt to acquire the lease, unless another box holds the lease. It may be nil.
+	// OnLease is called after each attempt to acquire the lease, except when another box holds the lease. It can be
+	// nil.
 	OnLease func(l lease.Lease, err error)
-	// OnOrder is called after each order to an engine. It may be nil.
+	// OnOrder is called after each order to an engine. It can be nil.
 	OnOrder func(engine string, role decide.EngineRole, l lease.Lease, err error)
 }
 
 // attemptTimeout bounds the time for acquiring the lease and sending the orders.
 const attemptTimeout = 2 * time.Second
 
-// Run checks the recommendation regularly, and carries it out once it is stable, until ctx is done.
+// Run checks the recommendation regularly until ctx is done. Once the recommendation is stable, Run carries it out.
 func (m *Manager) Run(ctx context.Context) {
 	var last decide.RoleChange
 	stableCount, extraChecks := 0, 0
 	for {
-		// The random part of the wait keeps boxes with the same recommendation from requesting the lease at the same time.
+		// The random part of the wait keeps boxes from requesting the lease at the same time.
 		wait := m.CheckInterval/2 + time.Duration(rand.Int64N(int64(m.CheckInterval)))
 		a, ok := m.Fleet.RecommendRoleChange()
 		switch {
@@ -87,8 +88,8 @@
 	return m.ExtraChecks()
 }
 
-// applyRoleChange sends the orders if this box gets the lease. It reports whether orders were sent, or another box
-// holds the lease and is about to send them.
+// applyRoleChange sends the orders if this box gets the lease. The result is true if this box got the lease. It is also
+// true if another box holds the lease, since that box is about to send the orders.
 func (m *Manager) applyRoleChange(ctx context.Context, a decide.RoleChange) bool {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
--- a/internal/roles/roles_test.go
+++ b/internal/roles/roles_test.go
@@ -10,7 +10,7 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// fakeFleet recommends the same role change from recommendFrom until recommendUntil.
+// fakeFleet recommends the same role change from recommendFrom to recommendUntil.
 type fakeFleet struct {
 	start                         time.Time
 	recommendFrom, recommendUntil time.Duration
@@ -43,8 +43,8 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f.start = time.Now()
-		// While the recommendation lasts, three pairs of orders are sent by then: the third after 18.9 to 20.7 s. The
-		// fourth pair would come after 28.2 s.
+		// Orders are sent in pairs as long as the recommendation lasts. Three pairs are sent before the timeout
+		// of 25 s: the third after 18.9 to 20.7 s. The fourth pair would come after 28.2 s.
 		ctx, cancel := context.WithTimeout(context.Background(), 25*time.Second)
 		defer cancel()
 		m := &Manager{Fleet: &f, Leases: l, CheckInterval: 300 * time.Millisecond, StableChecks: 3, Cooldown: 9 * time.Second}
