--- a/internal/relay/accounts.go
+++ b/internal/relay/accounts.go
@@ -13,7 +13,7 @@
 	"github.com/stoatramp/stoatramp/internal/quota"
 )
 
-// KeyHash is the SHA-256 hash of a caller's key, which identifies a client account. The key itself is not stored.
+// KeyHash is the SHA-256 hash of a caller's key. The key identifies a client account, and is not itself stored.
 type KeyHash [sha256.Size]byte
 
 // HashKey hashes a key.
@@ -25,7 +25,8 @@
 // KeyState says whether a request has a key.
 type KeyState uint8
 
-// The states. BadKey means that what the request has cannot be a key: it is empty, too long, or more than one.
+// The states. BadKey means that the request has something in place of a key that cannot be a key. It is empty, too
+// long, or more than one value.
 const (
 	NoKey KeyState = iota
 	OneKey
@@ -35,11 +36,11 @@
 // Account is a client account.
 type Account struct {
 	Name string
-	// Priority is used in place of the priority of a request's route, if HasPriority is set.
+	// Priority replaces the priority of a request's route, if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Regions are the regions that may serve the account's requests; empty if the account does not restrict them. If
-	// the route names regions too, only regions that both name may serve a request.
+	// Regions are the regions that may serve the account's requests. It is empty if the account does not restrict the
+	// regions. If the route names regions too, only regions that both of them name may serve a request.
 	Regions []string
 	// Limit is the rate limit of the account over all boxes. It counts tokens if ByTokens is set, and requests
 	// otherwise. DefaultTokens is the count for a request whose headers do not give its tokens.
@@ -59,7 +60,7 @@
 	return out
 }
 
-// maxCountedTokens limits the tokens that a request is charged for its prompt, and those for its output.
+// maxCountedTokens limits the tokens charged for a request's prompt. It also limits the tokens charged for its output.
 const maxCountedTokens = 1 << 30
 
 // units returns what a request is charged on its account's limit: tokens or, without ByTokens, one request.
@@ -73,7 +74,7 @@
 	return float64(a.DefaultTokens)
 }
 
-// Quota enforces the limits of client accounts over all boxes. Take charges units, and Refund gives them back.
+// Quota enforces the limits of client accounts over all boxes. Take charges units on a limit. Refund gives units back.
 type Quota interface {
 	Take(ctx context.Context, account string, units float64) quota.Verdict
 	Refund(account string, units float64)
@@ -81,9 +82,8 @@
 
 // KeyPolicy says how keys are checked while the box receives no configurations.
 type KeyPolicy struct {
-	// Within is the time within which a revoked key must be refused. If Strict is set, requests that need a key are
-	// refused once the configuration is older than Within. Otherwise keys are checked by the last configuration
-	// received.
+	// Within is the time within which a revoked key must be refused. If Strict is set and the configuration is older
+	// than Within, requests that need a key are refused. Otherwise keys are checked by the last configuration received.
 	Strict bool
 	Within time.Duration
 	// Age returns the time since the configuration was last confirmed.
@@ -116,9 +116,9 @@
 	return out
 }
 
-// authenticate finds the client account of the request by its key. There is no account if the configuration has none. A
-// public route needs no key, and ignores an unknown one, because it would serve the request without a key too. The
-// result is false if the request must be refused with the returned outcome.
+// authenticate finds the client account of the request by its key. There is no account if the configuration has no
+// accounts. A public route needs no key. It ignores an unknown key, because it would serve the request without a key
+// too. If the result is false, the request must be refused with the returned outcome.
 func (x *exchange) authenticate() (outcome.Outcome, bool) {
 	if x.cfg.Accounts == nil {
 		return outcome.Outcome{}, true
@@ -152,15 +152,15 @@
 }
 
 const (
-	// limitJitter is the largest share that is added to a retry delay, so that callers which exceed a limit do not
-	// retry at the same time.
+	// limitJitter is the largest part that is added to a retry delay, as a share of the delay. Callers that exceed a
+	// limit then do not all retry at the same time.
 	limitJitter = 0.25
 	// minLimitRetryAfter is the shortest retry delay of a request that exceeds a limit.
 	minLimitRetryAfter = 50 * time.Millisecond
 )
 
 // chargeLimit charges the request on its account's limit. If the limit is exceeded or cannot be checked, the result is
-// false, and the request must be refused at once with the returned outcome.
+// false. The request must then be refused immediately with the returned outcome.
 func (x *exchange) chargeLimit(ctx context.Context) (outcome.Outcome, bool) {
 	a := x.account
 	if a == nil || a.Limit.Rate <= 0 || x.r.o.Limits == nil {
@@ -189,8 +189,8 @@
 	return o, false
 }
 
-// decidedBy says which box decided on a charge. Each box has an equal part of a limit and lends it to that box; the
-// text includes the share of the boxes that had done so.
+// decidedBy says which box decided on a charge. Each box has an equal part of a limit, and lends its part to the box
+// that decides. The text also gives the share of the boxes that had lent their parts.
 func decidedBy(v quota.Verdict) string {
 	by := "this box"
 	if v.Owner != "" {
@@ -199,14 +199,15 @@
 	return fmt.Sprintf("decided by %s with the parts of %.0f%% of the boxes", by, 100*v.LentShare)
 }
 
-// refundLimit gives the request's units back to the limit if no request was built for an endpoint.
+// refundLimit gives the request's units back to the limit, if no request to an endpoint was built.
 func (x *exchange) refundLimit() {
 	if x.units > 0 && !x.dispatched {
 		x.r.o.Limits.Refund(x.account.Name, x.units)
 	}
 }
 
-// priority returns the request's priority, 0 the highest: that of its client account, or else that of its route.
+// priority returns the request's priority, 0 the highest. The priority of the client account comes first, if it has
+// one. Otherwise the route's priority is used.
 func (x *exchange) priority() int {
 	if x.account != nil && x.account.HasPriority {
 		return x.account.Priority
--- a/internal/relay/begin_test.go
+++ b/internal/relay/begin_test.go
@@ -51,9 +51,9 @@
 	return r, f, w
 }
 
-// TestStalledCallWritesNothing guards against an answer whose beginning is sent twice. A decode call stalls, the
-// decision core gives it up and calls another engine, and then the first event of the stalled call is handled. The
-// caller must get the answer of the second call only.
+// TestStalledCallWritesNothing guards against an answer whose beginning is sent twice. A decode call stalls. The
+// decision core gives the call up and calls another engine. Then the first event of the stalled call is handled. The
+// caller must get only the answer of the second call.
 func TestStalledCallWritesNothing(t *testing.T) {
 	r, f, w := arrivedFlight(t, context.Background(), decide.Request{}, "writer-1", "writer-2")
 	takeDecode := func() decide.Attempt {
--- a/internal/relay/callerconn.go
+++ b/internal/relay/callerconn.go
@@ -11,18 +11,18 @@
 )
 
 // stalledWriteTimeout is the time that a caller has to take data after the deadline of a write has passed. The time
-// starts anew whenever the caller takes data. It is enough to send data that is ready, and short compared to
+// begins again whenever the caller takes data. It is enough to send data that is ready. It is short compared to
 // callerWriteTimeout.
 const stalledWriteTimeout = 250 * time.Millisecond
 
-// maxStallRetries limits how often one write is retried because its deadline had passed before it was tried.
+// maxStallRetries limits how often one write is retried because its deadline had passed before the write was tried.
 const maxStallRetries = 8
 
 // callerListener accepts callers' connections and makes them callerConns.
 type callerListener struct{ *net.TCPListener }
 
 // ListenCallers is net.Listen for the connections of callers. A write to such a connection succeeds as long as the
-// caller reads, even if the process was not scheduled until after the write's deadline.
+// caller reads. This holds even if the process got no processor time until after the write's deadline.
 func ListenCallers(network, address string) (net.Listener, error) {
 	l, err := net.Listen(network, address)
 	if err != nil {
@@ -39,17 +39,17 @@
 	return &callerConn{TCPConn: c}, nil
 }
 
-// callerConn is a caller's connection, whose writes survive a time in which the process was not scheduled.
+// callerConn is a caller's connection. Its writes do not fail because the process got no processor time for a while.
 type callerConn struct {
 	*net.TCPConn
-	// undelivered is called when a write fails after the request's handler has returned. The server writes the end of
-	// an answer only then, and reports no error. undelivered is nil while a handler runs.
+	// undelivered is called when a write fails after the request's handler has returned. Only then does the server
+	// write the end of an answer, and it reports no error. undelivered is nil while a handler runs.
 	undelivered atomic.Pointer[func(error)]
 }
 
 // Write fails only if the caller takes no data or closes the connection. The deadline of a write is set before the
-// write, and the process may not be scheduled between the two. If the deadline has passed meanwhile, the operating
-// system's write fails at once, although the caller reads; Write then retries it.
+// write. The process may get no processor time between the two. If the deadline passes meanwhile, the operating
+// system's write fails immediately, although the caller reads. Write then retries it.
 func (c *callerConn) Write(b []byte) (int, error) {
 	n, err := writeRetryingStalls(c.TCPConn, b)
 	if err != nil {
@@ -66,8 +66,8 @@
 	SetWriteDeadline(t time.Time) error
 }
 
-// writeRetryingStalls writes b. It retries a write whose deadline has passed, as long as the caller takes data or the
-// deadline had passed before the write was tried.
+// writeRetryingStalls writes b. It retries a write whose deadline has passed, as long as the caller takes data. It also
+// retries a write, up to maxStallRetries times, if the deadline had passed before the write was tried.
 func writeRetryingStalls(c deadlineWriter, b []byte) (int, error) {
 	n, err := c.Write(b)
 	for stalls := 0; errors.Is(err, os.ErrDeadlineExceeded); {
@@ -81,7 +81,7 @@
 		if more > 0 {
 			continue
 		}
-		// A write that failed at once was not tried, because its deadline had passed before.
+		// A write that failed immediately was not tried, because its deadline had passed before.
 		if stalls++; time.Since(began) > stalledWriteTimeout/2 || stalls > maxStallRetries {
 			return n, err
 		}
@@ -99,14 +99,14 @@
 	return ctx
 }
 
-// watchUndelivered has a failure to write the end of the answer reported. It is called as the request's handler
-// returns.
+// watchUndelivered is called as the request's handler returns. If the end of the answer cannot be written afterwards,
+// that failure is recorded.
 func (x *exchange) watchUndelivered() {
 	c, ok := x.req.Context().Value(callerConnKey{}).(*callerConn)
 	if !ok {
 		return
 	}
-	// The callback does not refer to x: the connection may stay idle for long, and must not keep the request in memory.
+	// The callback does not refer to x. The connection may stay idle for long, and must not keep x in memory.
 	recorder, id, began := x.r.o.Recorder, x.meta.ID, time.Now()
 	report := func(err error) { recorder.Undelivered(id, time.Since(began), err) }
 	c.undelivered.Store(&report)
--- a/internal/relay/callerconn_test.go
+++ b/internal/relay/callerconn_test.go
@@ -33,8 +33,8 @@
 	return box, caller
 }
 
-// TestWriteAfterAStall guards against closing the connections of callers that read all data. A box was not scheduled
-// for seconds, so the deadline of its write has passed; the write must succeed.
+// TestWriteAfterAStall guards against closing the connections of callers that read all data. The box got no processor
+// time for seconds, so the deadline of its write has passed. The write must succeed.
 func TestWriteAfterAStall(t *testing.T) {
 	box, caller := callerPair(t)
 	text := bytes.Repeat([]byte("event"), 100_000) // More than the buffers of a connection hold.
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestUndeliveredEndOfAnAnswerIsReportedOnce checks that the first failure of a write after the handler has returned is
-// reported, and a second one is not.
+// TestUndeliveredEndOfAnAnswerIsReportedOnce checks the report of failed writes after the handler has returned. The
+// first failure is reported, and a second failure is not.
 func TestUndeliveredEndOfAnAnswerIsReportedOnce(t *testing.T) {
 	box, caller := callerPair(t)
 	reported := 0
@@ -92,8 +92,8 @@
 	}
 }
 
-// stallingConn is a connection of a process that is not scheduled before its first writes. Such a
-// write finds its deadline passed, and fails; stalls is the number of writes that are still to fail.
+// stallingConn is a connection of a process that gets no processor time before its first writes. Each of these writes
+// fails, because its deadline has passed. stalls is the number of writes that are still to fail.
 type stallingConn struct {
 	stalls  int
 	written bytes.Buffer
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -15,10 +15,11 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// This file has a flight's calls to engines. Each call runs in a goroutine of its own, changes no state of the flight,
-// and reports events to the flight's loop.
+// This file has the calls of a flight to engines. Each call runs in its own goroutine. It reports events to the
+// flight's loop, and changes no state of the flight.
 
-// send reports an event to the loop. If the request has ended, send frees what the event names and returns false.
+// send reports an event to the loop. If the request has ended, send may instead free the memory that the event
+// reports. send then returns false.
 func (f *flight) send(ev flightEvent) bool {
 	select {
 	case f.events <- ev:
@@ -29,7 +30,7 @@
 	}
 }
 
-// callPrefill reserves memory at the decode engine, and then has the prefill engine prefill the prompt.
+// callPrefill reserves memory at the decode engine. It then has the prefill engine prefill the prompt.
 func (f *flight) callPrefill(ctx context.Context, a decide.StartPrefill) {
 	x := f.x
 	reserved, ok := f.reserveKV(ctx, a.Attempt, a.Decode)
@@ -61,12 +62,13 @@
 	}
 }
 
-// prefillGracePeriod is how much longer a prefill may take that is no longer needed. An engine that has just finished
-// the prefill has stored its result, and only the engine's answer has the name with which the result can be freed. A
-// prefill that takes longer is stopped by closing its connection.
+// prefillGracePeriod is how much longer a prefill call may run once its result is no longer needed. An engine that has
+// just finished the prefill stores the result. Only the engine's answer has the handle with which the result can be
+// freed. When the grace period ends, the connection is closed, and the engine stops the prefill.
 const prefillGracePeriod = 50 * time.Millisecond
 
-// withGracePeriod returns a context that ends a time d after the end of ctx.
+// withGracePeriod returns a context that ends a duration d after the end of ctx, or when the returned function is
+// called.
 func withGracePeriod(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	out, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
@@ -84,8 +86,7 @@
 	}
 }
 
-// callCombined reserves memory at a decode engine, and then has that engine both prefill the prompt and generate the
-// answer.
+// callCombined reserves memory at a decode engine. It then has that engine prefill the prompt and generate the answer.
 func (f *flight) callCombined(ctx context.Context, a decide.StartDecode, lastEvent string) {
 	reserved, ok := f.reserveKV(ctx, a.Attempt, a.Decode)
 	if !ok || !f.send(flightEvent{attempt: a.Attempt, reserved: &reserved}) {
@@ -94,8 +95,9 @@
 	f.callDecode(ctx, a, Run{Instance: a.Decode, Reservation: reserved.id, LastEvent: lastEvent})
 }
 
-// reserveKV reserves memory at a decode engine, so that no prompt is prefilled without memory for its result. If the
-// engine or its owner refuses, reserveKV reports that to the loop, and ok is false.
+// reserveKV reserves memory at a decode engine, so that no prompt is prefilled without memory for its result. The owner
+// of the engine, a box, is asked for the memory first. ok is false if the owner denies the memory, or if the engine
+// reserves none in time. reserveKV then reports noRoom to the loop, unless the attempt has ended.
 func (f *flight) reserveKV(ctx context.Context, a decide.Attempt, engine string) (res reservation, ok bool) {
 	x := f.x
 	granted, owner := x.r.askRoom(ctx, engine, x)
@@ -121,9 +123,9 @@
 	return res, false
 }
 
-// requestReservation has an engine reserve memory for the request, and returns the name of the reservation; the name is
-// empty if there is none. Only the engine's answer contains the name. If the caller leaves, the call therefore
-// continues for as long as the reservation may last.
+// requestReservation has an engine reserve memory for the request, and returns the id of the reservation. The id is
+// empty if there is no reservation. Only the engine's answer contains the id. The call therefore goes on after the
+// caller has left, for as long as the reservation may last.
 func (r *Relay) requestReservation(ctx context.Context, engine string, x *exchange) string {
 	ttl := min(x.service.Engines.ReservationTTL, reservationTTL)
 	c := r.protocol.Reserve(x.meta.PromptTokens+min(x.outputReserve(), x.reservedOutput()), ttl)
@@ -138,7 +140,8 @@
 	return id
 }
 
-// controlRequest builds the HTTP request for a control call, a call to an endpoint that is not a caller's request.
+// controlRequest builds the HTTP request for a control call. The box itself sends a control call to an endpoint; the
+// call does not carry a caller's request.
 func controlRequest(endpoint, address string, c Call) *h1.Request {
 	h := http.Header{}
 	if c.Body != nil {
@@ -147,7 +150,7 @@
 	return &h1.Request{Address: address, Endpoint: endpoint, Method: c.Method, Target: c.Target, Host: address, Header: h, Body: c.Body}
 }
 
-// reasonOf returns why a call got no answer, as shown by the error of the call.
+// reasonOf returns the reason why a call got no answer, derived from the error of the call.
 func reasonOf(err error) outcome.Reason {
 	var e *h1.Error
 	switch {
@@ -159,32 +162,33 @@
 	return outcome.EndpointLost
 }
 
-// maxStreamWait limits how long a stream may wait on the box if it would begin late, because callers abandon a stream
-// that does not begin.
+// maxStreamWait limits how long a stream may wait on the box if it would begin late. Callers abandon a stream that does
+// not begin.
 const maxStreamWait = 2500 * time.Millisecond
 
-// reservedOutputShare is the share of an answer's expected tokens for which memory is reserved. At any time the streams
-// of an engine are at all points of their answers. An engine whose memory is reserved for complete answers would
-// therefore be half empty.
+// reservedOutputShare is the share of an answer's expected tokens for which memory is reserved. At any time an engine's
+// streams are at different points of their answers. Memory reserved for all the complete answers would therefore leave
+// half of the engine empty.
 //
 // docs/design/relay.md has the figures for this value together with reservationTTL.
 const reservedOutputShare = 0.9
 
-// headroomTokens are reserved in addition to reservedOutputShare of an answer, because running streams grow while a new
-// stream is prefilled. A larger reservedOutputShare in place of the fixed number would exclude the longest answers.
+// headroomTokens is the number of tokens reserved in addition to reservedOutputShare of an answer. The reason is that
+// running streams grow while a new stream is prefilled. A larger reservedOutputShare could replace this fixed number,
+// but it would exclude the longest answers.
 const headroomTokens = 1500
 
-// reservationTTL is how long memory is reserved. An engine counts a reservation beside the memory in use until the
-// reservation expires. So it must last from before the prefill to the first event, and not much longer: with 2 s, 40 of
-// the 90 thousand tokens of each engine were reserved for streams that had long begun.
+// reservationTTL is how long memory is reserved. Until the reservation expires, an engine counts it in addition to the
+// memory in use. The reservation must last from before the prefill to the first event, and not much longer. With 2 s,
+// 40 of the 90 thousand tokens of each engine were reserved for streams that had long begun.
 const reservationTTL = time.Second
 
-// connectedReserveTokens are the tokens reserved beside the prompt if the boxes know of each other's streams. All boxes
-// then predict the growth of streams, so a small reservation is enough. A larger one would withhold memory from other
-// streams until it expires, however early it is released.
+// connectedReserveTokens is the number of tokens reserved in addition to the prompt if the boxes know of each other's
+// streams. All boxes then predict the growth of streams, so a small reservation is enough. A larger reservation would
+// withhold memory from other streams until it expires, however early it is released.
 const connectedReserveTokens = 512
 
-// outputReserve returns the number of tokens that an engine must have free beside the prompt.
+// outputReserve returns the number of tokens that an engine must have free in addition to the prompt.
 func (x *exchange) outputReserve() int {
 	if x.r.connected() {
 		return connectedReserveTokens
@@ -200,8 +204,8 @@
 	return x.meta.MaxOutput
 }
 
-// reservedOutput returns the number of tokens to reserve for the answer, and at most what an empty engine has beside
-// the prompt.
+// reservedOutput returns the number of tokens to reserve for the answer. It is at most what an empty engine can hold in
+// addition to the prompt.
 func (x *exchange) reservedOutput() int {
 	n := x.meta.MaxOutput
 	if x.meta.ExpectedOutput > 0 {
@@ -238,8 +242,8 @@
 	}
 }
 
-// reportFailure reports an engine's own error answer to a request that was sent at a time. The loop passes the answer
-// to the caller, unless the stream can be resumed at another engine.
+// reportFailure reports an engine's own error answer. sent is when the request was sent. The loop passes the answer to
+// the caller. If the stream can be resumed at another engine, a failed call is reported in place of the answer.
 func (f *flight) reportFailure(a decide.Attempt, resp *http.Response, sent time.Time) {
 	body, err := h1.ReadLimited(resp, bufferedAnswerBytes)
 	switch {
@@ -253,9 +257,9 @@
 	f.send(flightEvent{attempt: a, errorAnswer: &errorAnswer{resp: resp, body: body}})
 }
 
-// reportStream reads a stream to its end, and reports only complete events: an engine may stop in the middle of an
-// event, and the stream is then resumed at another engine after the last complete event. If the stream was resumed
-// after an event, an empty answer is a complete one, since the caller may have received the last event before.
+// reportStream reads a stream to its end, and reports only complete events. An engine may stop in the middle of an
+// event. The stream is then resumed at another engine after the last complete event. If the stream was resumed, the
+// caller may have received the last event before. An empty answer is then complete.
 func (f *flight) reportStream(a decide.Attempt, resp *http.Response, sent time.Time, resumed bool) {
 	var s splitter
 	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
--- a/internal/relay/changelog.go
+++ b/internal/relay/changelog.go
@@ -11,7 +11,7 @@
 
 // This file logs changes in the box's view of the endpoints.
 
-// maxChangeLines limits the log lines for one change of the list of endpoints; further changes are only counted.
+// maxChangeLines limits the log lines for one change of the list of endpoints. Further changes are only counted.
 const maxChangeLines = 24
 
 // logStateChange logs that an endpoint gets no requests for a while, does not answer, or is usable again.
--- a/internal/relay/cold.go
+++ b/internal/relay/cold.go
@@ -10,22 +10,24 @@
 	"github.com/stoatramp/stoatramp/internal/pacing"
 )
 
-// This file keeps track of cold endpoints. An endpoint is cold when it has just started and can handle only a few
-// requests a second yet. The platform's list of endpoints says how much longer the endpoint is cold. When the
-// evacuation of a hall ends, its endpoints are treated as cold for as long as after a start.
+// This file keeps track of cold endpoints. A cold endpoint has just started, and can handle only a few requests a
+// second. The platform's list of endpoints says how much longer each endpoint is cold. Endpoints also count as cold
+// when the evacuation of their data hall ends. They are then cold for as long as after a start.
 
 // coldEndpoint is an endpoint that is or was cold.
 type coldEndpoint struct {
 	endsAt time.Time // When the cold period ends.
-	// pace is the shortest interval between requests of this box to the endpoint; 0 if this box may send none. It is
-	// valid once paced is set, and was computed from the list of boxes with that version.
+	// pace is the shortest interval between two requests of this box to the endpoint. It is 0 if this box may send
+	// the endpoint no requests. version is the version of the list of boxes from which pace was computed. Both are
+	// valid only if paced is set.
 	pace    pacing.ColdPace
 	version int64
 	paced   bool
 	logged  bool // The log has a line about the endpoint.
 }
 
-// updateCold applies the cold periods of a new list of endpoints, and forgets those that have ended. f.mu is held.
+// updateCold marks the endpoints that a new list shows as cold. It forgets endpoints that have left the list, and
+// endpoints whose cold period has ended. f.mu is held.
 func (f *fleet) updateCold(now time.Time) {
 	for _, e := range f.endpoints {
 		f.markCold(e.ID, now, e.ColdLeft)
@@ -36,7 +38,8 @@
 	})
 }
 
-// endEvacuation records that a hall is no longer evacuated: its endpoints may be cold from now on. f.mu is held.
+// endEvacuation marks the endpoints of a hall as cold, for the cold duration of their service. It is called when the
+// evacuation of the hall ends. f.mu is held.
 func (f *fleet) endEvacuation(now time.Time, hall string) {
 	for _, e := range f.endpoints {
 		if e.Hall == hall {
@@ -45,7 +48,8 @@
 	}
 }
 
-// markCold records that an endpoint may be cold for a duration from now. f.mu is held.
+// markCold records that an endpoint is cold for a duration from now. A cold period that ends later stays as it is. f.mu
+// is held.
 func (f *fleet) markCold(id string, now time.Time, d time.Duration) {
 	if d <= 0 {
 		return
@@ -69,8 +73,8 @@
 	return &Service{}
 }
 
-// setCold sets, for each cold endpoint, when it stops being cold and how often this box may send to it until then.
-// r.fleet.mu is held.
+// setCold sets the cold period of each cold endpoint in known: its end, and the pace of this box's requests until then.
+// It also logs endpoints that have become cold, at most maxChangeLines in one call. r.fleet.mu is held.
 func (r *Relay) setCold(now time.Time, known []knownEndpoint) {
 	lines := 0
 	for i := range known {
@@ -93,8 +97,8 @@
 	}
 }
 
-// boxes lists the boxes that may send requests to endpoints of a region, with a version that changes with the list. A
-// box without peers lists itself alone.
+// boxes lists the boxes that may send requests to endpoints of a region. version changes when the list changes. If this
+// box has no peers, the list has only this box.
 func (r *Relay) boxes(region string) (names []string, version int64) {
 	if r.o.Peers == nil {
 		return []string{r.o.Box}, 0
@@ -102,7 +106,8 @@
 	return r.o.Peers.Boxes(region)
 }
 
-// refreshColdPaces recomputes the paces of cold endpoints, if there are any: the list of boxes may have changed.
+// refreshColdPaces recomputes the paces of cold endpoints, because the list of boxes may have changed. If no endpoint
+// is cold, it does nothing.
 func (r *Relay) refreshColdPaces() {
 	now := clock.Now()
 	r.fleet.mu.Lock()
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -17,8 +17,9 @@
 )
 
 // This file finds out whether an endpoint crashed while it ran requests. A lost connection alone is no proof, because a
-// healthy endpoint may close one. So the endpoint is probed a few times, until a probe shows a crash (its port refuses
-// connections, or another process has taken its place) or a sign of life (it answers).
+// healthy endpoint may also close a connection. So the endpoint is probed a few times. A probe shows a crash if the
+// endpoint's port refuses connections, or if another process has taken its place. An answer is a sign of life. The
+// probes end with the first such result.
 
 // connLoss describes a call whose connection the endpoint closed. The zero value means that the endpoint did not close
 // the connection.
@@ -28,7 +29,8 @@
 	unanswered bool
 }
 
-// connLossFrom returns the connLoss of a call that got no answer, from the call's error and the time it was sent.
+// connLossFrom returns the connLoss of a call that got no answer. err is the error of the call, and sent the time at
+// which the call was sent.
 func connLossFrom(err error, sent time.Time) connLoss {
 	if reasonOf(err) != outcome.EndpointLost {
 		return connLoss{}
@@ -36,8 +38,9 @@
 	return connLoss{sent, true}
 }
 
-// immediateLossLimit is the time within which a call fails if its endpoint had crashed before the call was sent. That
-// takes one round trip, on a connection whose close was not received yet or through a proxy in front of the endpoint.
+// immediateLossLimit is the time within which a call fails if its endpoint had crashed before the call was sent. Such a
+// failure needs one round trip. The close of the connection was then not received yet, or a proxy stands in front of
+// the endpoint.
 const immediateLossLimit = 10 * time.Millisecond
 
 // lostCall is a request whose call to an endpoint lost its connection.
@@ -50,11 +53,11 @@
 	doubtful    bool          // The endpoint may have crashed before the call was sent.
 }
 
-// probeTimes are the times of the probes after the first lost call. The first probe is late enough for other calls to
-// be lost by the same crash. The last probe is after the endpoint's entry has expired from the list of endpoints.
+// probeTimes are the delays of the probes after the first lost call. The first probe comes late enough for the same
+// crash to break other calls too. The last probe comes after the endpoint has expired from the list of endpoints.
 var probeTimes = []time.Duration{30 * time.Millisecond, 300 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second}
 
-// maxLostCalls bounds the lost calls recorded for one endpoint. It is more than the calls that run there at once.
+// maxLostCalls bounds the lost calls recorded for one endpoint. No endpoint runs so many calls at the same time.
 const maxLostCalls = 256
 
 // crashWatch records endpoints that are being probed after lost calls. The zero value is ready to use.
@@ -64,7 +67,8 @@
 	lostCalls map[string][]lostCall
 }
 
-// add records a lost call. first is set if the endpoint is not being probed yet; the caller of add must then probe it.
+// add records a lost call. If the endpoint is not being probed yet, first is set. The caller of add must then probe the
+// endpoint.
 func (w *crashWatch) add(endpoint string, c lostCall) (first bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -78,7 +82,7 @@
 	return !watched
 }
 
-// close ends the probing of an endpoint, and returns the calls that it lost.
+// close ends the probing of an endpoint, and returns the lost calls that were recorded for the endpoint.
 func (w *crashWatch) close(endpoint string) []lostCall {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,12 +91,12 @@
 	return calls
 }
 
-// recordConnLoss records that an endpoint closed the connection of the request's call, if it did, and starts to probe
-// the endpoint.
+// recordConnLoss records that an endpoint closed the connection of the request's call. It then starts to probe the
+// endpoint. If the connection was not lost, or if the endpoint is leaving, it does nothing.
 func (x *exchange) recordConnLoss(endpoint string, loss connLoss) {
 	e, known := x.r.fleet.findCalled(endpoint)
 	if !known || e.Leaving || loss.sent.IsZero() {
-		return // An endpoint that leaves stops as planned.
+		return // An endpoint that is leaving stops as planned.
 	}
 	c := lostCall{request: x.meta.ID, caller: x.caller(), fingerprint: x.fingerprint(), runTime: clock.Since(loss.sent), sent: loss.sent}
 	c.doubtful = loss.unanswered && c.runTime < immediateLossLimit
@@ -101,7 +105,8 @@
 	}
 }
 
-// watchCrash probes an endpoint until it is known whether the endpoint crashed, or until the last probe.
+// watchCrash probes an endpoint until a probe shows whether the endpoint crashed, or until the last probe. It reports a
+// crash.
 func (r *Relay) watchCrash(e Endpoint) {
 	began := clock.Now()
 	for n, at := range probeTimes {
@@ -129,7 +134,7 @@
 )
 
 // probe finds out whether an endpoint has crashed. evidence says how a crash is known. Plain endpoints cannot be asked
-// for a load, so only the last probe takes their open port for a sign of life.
+// for a load. Only the last probe therefore accepts the open port of a plain endpoint as a sign of life.
 func (r *Relay) probe(e Endpoint, last bool) (f probeResult, evidence string) {
 	now, listed := r.fleet.endpoint(e.ID)
 	if listed && now.Leaving {
@@ -194,8 +199,8 @@
 	}
 }
 
-// caller identifies the caller by its client account or, without an account, by the host of its connection. What the
-// box stores is bounded for each caller.
+// caller identifies the caller by its client account. Without an account, it returns the host of the caller's
+// connection. What the box stores is bounded for each caller.
 func (x *exchange) caller() string {
 	if x.account != nil {
 		return x.account.Name
--- a/internal/relay/endpoints.go
+++ b/internal/relay/endpoints.go
@@ -11,11 +11,11 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// plainTable has the endpoints of plain services, and selects one for each call.
+// plainTable has the endpoints of plain services. It selects an endpoint for each call.
 type plainTable struct {
 	hall string
-	// onStateChange is called when an endpoint is set aside or becomes usable again; it must not block. An endpoint
-	// that is set aside gets no calls for a while, unless there is no other.
+	// onStateChange is called when an endpoint is set aside or becomes usable again. It must not block. An endpoint
+	// that is set aside gets no calls for a while, unless there is no other endpoint.
 	onStateChange func(decide.StateChange)
 	// notices has the request rate limits and pauses that endpoints ask for in their answers.
 	notices decide.Notices
@@ -58,10 +58,10 @@
 	// of an endpoint that has not answered yet.
 	latencyWeight  = 0.2
 	initialLatency = 0.050
-	// failureWeight is the weight of a call in the failure rate, failureHalfLife the time in which the rate halves
-	// without calls, and failureCostFactor the weight of the rate in an endpoint's cost. The weight is high because a
-	// call that may run only once is lost if it fails, and is only late if it waits. With these values, an endpoint
-	// that drops a third of its calls is avoided until the others take three times as long.
+	// failureWeight is the weight of a call in the failure rate. failureHalfLife is the time in which the rate halves
+	// without calls. failureCostFactor is the weight of the rate in an endpoint's cost. This weight is high: a call
+	// that may run only once is lost if it fails, but is only late if it waits. With these values, an endpoint that
+	// drops a third of its calls is avoided until the other endpoints take three times as long.
 	failureWeight     = 0.1
 	failureHalfLife   = 3 * time.Second
 	failureCostFactor = 6
@@ -69,8 +69,8 @@
 	otherHallCostFactor = 1.15
 )
 
-// Retry budget of a service before the box has received the platform's limits: in each window a box may make a few free
-// retries, and in addition retries for a share of its requests.
+// The retry budget of a service before the box has received the platform's limits. In each window of defaultRetryWindow
+// a box may make defaultFreeRetries retries. In addition it may retry the share defaultRetryShare of its requests.
 const (
 	defaultRetryShare  = 0.15
 	defaultFreeRetries = 2
@@ -102,7 +102,7 @@
 	return s
 }
 
-// set replaces the list of endpoints, and keeps the statistics of endpoints that remain in it.
+// set replaces the list of endpoints. Endpoints that are also in the new list keep their statistics.
 func (t *plainTable) set(list []knownEndpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -123,18 +123,18 @@
 	}
 }
 
-// chosenEndpoint is an endpoint that was selected for a call of this box. It is a copy of the endpoint's entry at the
-// time of selection, because the list may change during the call.
+// chosenEndpoint is an endpoint that was selected for a call of this box. Endpoint is a copy from the time of
+// selection, because the list may change during the call.
 type chosenEndpoint struct {
 	Endpoint
 	snapshot record.EndpointState
-	// entry is the entry in the table, which only methods of the table access.
+	// entry is the endpoint's state in the table. Only methods of the table may access it.
 	entry *plainEndpoint
 }
 
-// accepts reports whether an endpoint of a region may get a call from this box now; tried are the endpoints that the
-// request was sent to before. If the endpoint asked for fewer requests, wait is the time until it may get one;
-// otherwise wait is 0. t.mu is held.
+// accepts reports whether an endpoint of a region may get a call from this box now. tried are the endpoints that the
+// request was sent to before. If the endpoint asked for fewer requests, wait is the time until this box may call it
+// again. Otherwise wait is 0. t.mu is held.
 func (t *plainTable) accepts(e *plainEndpoint, region string, now time.Time, tried map[string]bool) (ok bool, wait time.Duration) {
 	if !e.open() || e.Region != region || e.cold(now) {
 		return false, 0
@@ -155,9 +155,10 @@
 	return false
 }
 
-// choose selects the endpoint with the lowest expected latency among those of a region that accept a call and are not
-// in tried. Endpoints that are set aside are a last resort. If no endpoint accepts a call, choose returns nil. wait is
-// then the time until the first of the endpoints that asked for fewer requests accepts a call, or 0 if none asked.
+// choose selects an endpoint of a region that accepts a call and is not in tried. It selects the endpoint with the
+// lowest expected latency, and counts the call as in progress. Endpoints that are set aside are a last resort. If no
+// endpoint accepts a call, choose returns nil. wait is then the time until the first endpoint that asked for fewer
+// requests accepts a call. If no endpoint asked for fewer requests, wait is 0.
 func (t *plainTable) choose(service, region string, now time.Time, tried map[string]bool) (_ *chosenEndpoint, wait time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,7 +197,8 @@
 	return out, 0
 }
 
-// done records the end of a call: its answer time or, if ok is false, that it failed.
+// done records the end of a call. If ok is set, took is the answer time of the call. Otherwise the call failed. After
+// setAsideFailures failures in a row the endpoint is set aside, and after a success it is usable again.
 func (t *plainTable) done(c *chosenEndpoint, now time.Time, took time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -220,7 +222,8 @@
 	}
 }
 
-// setRetryBudgets sets this box's part of the retry budget of each service, also of services that are added later.
+// setRetryBudgets sets this box's part of the retry budget of each service. This also holds for services that are added
+// later.
 func (t *plainTable) setRetryBudgets(setBudget func(*retry.Budget)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -248,7 +251,7 @@
 	return &t.service(service).budget
 }
 
-// release records that an endpoint which choose selected is not called after all.
+// release records that an endpoint is not called, although choose has selected it.
 func (t *plainTable) release(c *chosenEndpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/relay/expired_test.go
+++ b/internal/relay/expired_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// choiceTries is how often a test repeats a case in which two events are ready at once: select takes one of them at
-// random, so a fault might show only in some runs.
+// choiceTries is how often a test repeats a case in which two events are ready at the same time. select takes one of
+// them at random, so a fault might show only in some runs.
 const choiceTries = 64
 
 // expiredFlight returns the flight of a stream whose answer has begun and whose deadline has passed.
@@ -33,8 +33,8 @@
 	return r, f
 }
 
-// At a request's deadline the box cancels its calls, which then report errors. These must not count as failures of the
-// engine.
+// At a request's deadline the box cancels its calls. The calls then report errors. These errors must not count as
+// failures of the engine.
 func TestEndOfARequestsTimeIsNoFailureOfItsEngine(t *testing.T) {
 	for range choiceTries {
 		r, f := expiredFlight(t)
@@ -48,8 +48,8 @@
 	}
 }
 
-// The deadline passes when an answer has been received completely and its last events were not yet passed on. The
-// caller must still get them.
+// The answer has been received completely, but its last events were not yet passed on. Then the deadline passes. The
+// caller must still get the last events.
 func TestAnswerThatCameWholeIsDeliveredThoughItsTimeIsOver(t *testing.T) {
 	for range choiceTries {
 		_, f := expiredFlight(t)
--- a/internal/relay/fleet.go
+++ b/internal/relay/fleet.go
@@ -10,7 +10,8 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// Assumed speeds of engines, since the platform does not publish them. Load reports and answers correct them.
+// Assumed speeds of engines. The platform does not publish the speeds. Load reports and answers correct the
+// assumptions.
 const (
 	// assumedSelfPrefillShare is the speed at which a decode engine prefills a prompt while it generates other answers,
 	// as a share of assumedPrefillRate.
@@ -27,7 +28,7 @@
 	hall   string
 	region string
 	halls  map[string]string
-	// hasAnnouncedLeaving reports whether an endpoint has announced in an answer that it is about to stop.
+	// hasAnnouncedLeaving reports whether an endpoint has announced, in an answer to this box, that it will stop soon.
 	hasAnnouncedLeaving func(id string) bool
 
 	mu        sync.Mutex
@@ -43,27 +44,30 @@
 	refusalPolledAt map[string]time.Time
 	// selected are the IDs of the endpoints that the last computation of the subset selected.
 	selected map[string]bool
-	// retainedAt is when an endpoint was last in use, by ID: when a new subset replaced one that had selected the
-	// endpoint, or when another box last asked this box, as the owner of the engine, for room.
+	// retainedAt is when an endpoint was last in use, by ID. An endpoint that a new computation of the subset does not
+	// select again was in use until then. An engine that this box owns is in use whenever another box asks this box for
+	// room, which is free engine memory. The owner of an engine is the box that grants the engine's room to the streams
+	// of all boxes.
 	retainedAt map[string]time.Time
-	// omitted is the number of endpoints of each group that accept requests and are not in the box's subset.
+	// omitted counts, for each group, the endpoints that accept requests but are not in the box's subset.
 	omitted map[group]int
 	// subsetScales has the services whose subset is enlarged.
 	subsetScales map[string]subsetScale
-	// engineList are the engines that this box may send requests to, as computed by applyFleet. It is immutable once
-	// made.
+	// engineList are the engines that this box may send requests to. applyFleet computes a new list each time, and
+	// never changes an old one.
 	engineList []Endpoint
 	// engineCounts is the number of engines in engineList for each service.
 	engineCounts map[string]int
-	// servingRegions are the regions in which a service has an endpoint that accepts requests, by service.
+	// servingRegions has, for each service, the regions with an endpoint of the service that accepts requests.
 	servingRegions map[string]map[string]bool
-	// cold are the endpoints that are cold because they have just started, by ID.
+	// cold are the endpoints that have a cold period, after a start or after an evacuation, by ID.
 	cold map[string]*coldEndpoint
-	// evacuated are the data halls that are evacuated: their endpoints get no new requests.
+	// evacuated are the data halls that are evacuated. The endpoints of these halls get no new requests.
 	evacuated map[string]bool
-	// lastReports is when each engine was last polled or its load last received, from this box or another, by ID.
+	// lastReports has, by engine ID, when this box last polled the engine's load or last got it from another box. An
+	// engine whose load is not known yet has an entry with listedOnly.
 	lastReports map[string]lastReport
-	// rounds counts the rounds of load polls of each service (pollSchedule).
+	// rounds counts, for each service, the rounds of load polls (pollSchedule).
 	rounds map[string]roundCount
 }
 
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -7,8 +7,8 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// roleScene is a fleet of one engine, whose role in the list and role in its own reports change over time. Times are
-// relative to start.
+// roleScene is a fleet of one engine. The engine's role changes over time, in the list and in the engine's own reports.
+// Times are relative to start.
 type roleScene struct {
 	t     *testing.T
 	f     fleet
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestReportedRole checks that a box which cannot reach the platform's store learns an engine's role from the engine
-// itself, and that a report does not count if it is older than the role that the list shows.
+// TestReportedRole checks a box that cannot reach the platform's store. The box must learn an engine's role from the
+// engine itself. A report must not count if it is older than the role that the list shows.
 func TestReportedRole(t *testing.T) {
 	s := roleScene{t: t, start: time.Unix(1_800_000_000, 0)}
 	s.list(10*time.Second, decide.Decode)
--- a/internal/relay/gossip.go
+++ b/internal/relay/gossip.go
@@ -11,8 +11,8 @@
 	"github.com/stoatramp/stoatramp/internal/retry"
 )
 
-// This file has the messages that boxes exchange about engines. A message may be late or lost; that costs goodput only
-// (the share of requests served in time).
+// This file has the messages that boxes exchange about engines. A message may be late or lost. That lowers only the
+// goodput, which is the share of requests served in time.
 
 // publish sends a message to the other boxes. A message without a time gets the present time.
 func (r *Relay) publish(msg overlay.Message) {
@@ -28,8 +28,8 @@
 // connected reports whether this box receives messages from other boxes.
 func (r *Relay) connected() bool { return r.o.Peers != nil && r.o.Peers.Connected() }
 
-// publishPlaced publishes that this box has placed a stream on engines. It is called once memory is reserved there:
-// before that, the engines have only been asked for a reservation.
+// publishPlaced publishes that this box has placed a stream on engines, and counts the stream. It is called once memory
+// is reserved at the decode engine. Before that, the engines have only been asked for a reservation.
 func (f *flight) publishPlaced(a decide.Attempt) {
 	p := &overlay.StreamPlaced{DecodeEngine: f.reservation.engine, KVTokens: f.x.meta.PromptTokens + f.x.expected(), PromptTokens: f.x.meta.PromptTokens, OutputReserve: f.x.outputReserve(), Owner: f.reservation.owner, Service: f.x.service.Name}
 	if a == f.prefillAttempt {
@@ -39,7 +39,8 @@
 	f.x.r.publish(overlay.Message{Placed: p})
 }
 
-// publishStreamEnded publishes that an engine no longer runs the stream, if the stream has begun.
+// publishStreamEnded tells the other boxes and the decision core that an engine no longer runs the stream. If the
+// stream has not begun, it does nothing.
 func (f *flight) publishStreamEnded(engine string) {
 	if f.firstEventAt.IsZero() || engine == "" {
 		return
@@ -78,15 +79,15 @@
 	}
 }
 
-// countRemoteStreams counts streams that other boxes have placed. Services that are not configured are ignored, so that
-// memory use is bounded by the configuration, whatever other boxes send.
+// countRemoteStreams counts streams that other boxes have placed. Services that are not configured are ignored. Memory
+// use is then bounded by the configuration, whatever other boxes send.
 func (r *Relay) countRemoteStreams(service string, n int) {
 	if c := r.cfg.Load(); c != nil && c.Services[service] != nil {
 		r.streams.add(clock.Now(), service, n)
 	}
 }
 
-// receiveLoad applies an engine's load that another box polled.
+// receiveLoad applies the load of an engine. Another box has polled the engine and published the load.
 func (r *Relay) receiveLoad(at time.Time, l *overlay.Load) {
 	if l.Unresponsive {
 		r.applySilence(l.Engine)
@@ -105,7 +106,7 @@
 	r.applyLoad(l.Engine, at, &load)
 }
 
-// publishLoad publishes the load of an engine at a time; l is nil if the engine did not answer.
+// publishLoad publishes the load that an engine had at a time. If the engine did not answer the poll, l is nil.
 func (r *Relay) publishLoad(engine string, at time.Time, l *Load) {
 	out := &overlay.Load{Engine: engine, Unresponsive: l == nil}
 	if l != nil {
@@ -118,12 +119,12 @@
 	r.publish(overlay.Message{At: at, Load: out})
 }
 
-// timingPublishInterval is the average interval between the timings that all boxes together publish. Ten timings a
-// second show the engines' speed within some seconds, and cost little in a fleet of any size.
+// timingPublishInterval is the average interval between two timings, counted over all boxes together. Ten timings a
+// second show the engines' speed within some seconds. The cost stays low in a fleet of any size.
 const timingPublishInterval = 100 * time.Millisecond
 
-// publishTiming publishes how long the engines of a pool took for a stream, unless this box published a timing
-// recently.
+// publishTiming publishes how long the engines of a pool needed for a stream. If this box published a timing recently,
+// publishTiming does nothing.
 func (r *Relay) publishTiming(pool string, t decide.Timing) {
 	if !r.connected() {
 		return
@@ -151,9 +152,9 @@
 }
 
 const (
-	// waitingPublishInterval is the interval at which the number of streams that wait on this box is published if it
-	// has changed. waitingTTL is how long a received number is valid; a number above zero is published again after half
-	// that time.
+	// waitingPublishInterval is the interval at which a box checks how many streams wait on it. It publishes the number
+	// if the number has changed. waitingTTL is how long a received number is valid. A number above zero is published
+	// again after half of waitingTTL.
 	waitingPublishInterval = 100 * time.Millisecond
 	waitingTTL             = time.Second
 )
@@ -198,9 +199,9 @@
 	return n
 }
 
-// PublishWaiting publishes the number of streams that wait here, and passes the number that wait on other boxes to
-// the decision core, until ctx ends. It pauses while the box has no requests, because then no stream waits and there is
-// nothing to decide.
+// PublishWaiting runs until ctx ends. It publishes the number of streams that wait on this box. It tells the decision
+// core the number of streams that wait on other boxes. It pauses while this box has no requests: no stream waits here
+// then, and there is nothing to decide.
 func (r *Relay) PublishWaiting(ctx context.Context) {
 	busy := r.NotifyBusy()
 	t := time.NewTicker(waitingPublishInterval)
@@ -226,7 +227,7 @@
 	}
 }
 
-// waitingPublisher has the numbers of waiting streams that were passed on last.
+// waitingPublisher has the last numbers of waiting streams that were sent to the other boxes and to the decision core.
 type waitingPublisher struct {
 	published   int // The number of this box, as sent to the other boxes.
 	publishedAt time.Time
@@ -245,8 +246,9 @@
 	}
 }
 
-// UpdatePeers tells the decision core whether other boxes are connected, and sets this box's part of the retry limits,
-// given the number of boxes and the time at which this one started.
+// UpdatePeers tells the decision core whether this box receives messages from other boxes. It sets this box's part of
+// the retry limits, given the number of boxes and the time at which this box started. It also recomputes the paces of
+// cold endpoints.
 func (r *Relay) UpdatePeers(l retry.Limits, boxes int, started time.Time) {
 	r.disp.SetGossipConnected(r.connected())
 	r.disp.SetRetryLimits(l, boxes, started)
--- a/internal/relay/halls.go
+++ b/internal/relay/halls.go
@@ -14,8 +14,8 @@
 )
 
 // This file handles data halls and regions. Each hall is in a region. A request is served in the region of the box that
-// receives it, unless its route or its client account names regions. The operator may evacuate a hall: until the
-// evacuation ends, the hall's endpoints get no new requests, and finish those that they have.
+// receives it, unless its route or its client account names regions. The operator may evacuate a hall. Until the
+// evacuation ends, the hall's endpoints get no new requests, but finish the requests that they have.
 
 // knownEndpoint is an entry of the list of endpoints, with what the box knows beyond the list.
 type knownEndpoint struct {
@@ -23,10 +23,10 @@
 	Region string
 	// Evacuated is set if the endpoint's hall is evacuated.
 	Evacuated bool
-	Cold      pacing.Cold // Until when the endpoint is cold, and how often this box may send to it until then.
+	Cold      pacing.Cold // The end of the cold period, and the pace of this box's requests until then.
 }
 
-// open reports whether the endpoint may get new requests: neither is it leaving nor is its hall evacuated.
+// open reports whether the endpoint may get new requests. It may not if it is leaving, or if its hall is evacuated.
 func (e *knownEndpoint) open() bool { return !e.Leaving && !e.Evacuated }
 
 // describe returns endpoint i of the list, with what the box knows beyond the list. f.mu is held.
@@ -39,9 +39,9 @@
 	return e
 }
 
-// SetEvacuated sets the data halls that are evacuated. From then on no request is sent to an
-// endpoint there: no memory is reserved, no prompt prefilled, and no stream migrated to it. Streams that run there are
-// finished.
+// SetEvacuated sets the data halls that are evacuated. From then on no request is sent to an endpoint there. No memory
+// is reserved, no prompt is prefilled, and no stream is migrated to such an endpoint. Streams that run there are
+// finished. The endpoints of a hall whose evacuation ends are marked as cold.
 func (r *Relay) SetEvacuated(halls []string) {
 	next := make(map[string]bool, len(halls))
 	for _, h := range halls {
@@ -85,13 +85,13 @@
 	return f.region
 }
 
-// inServedRegion reports whether this box may send requests to an endpoint. It may if the endpoint's region is the
-// box's own, or is in named, the regions that routes or accounts name. f.mu is held.
+// inServedRegion reports whether this box may send requests to an endpoint. The endpoint's region must be the box's own
+// region, or be in named: the regions that routes or accounts name. f.mu is held.
 //
 // Boxes exchange messages about endpoints only within their region, so that all boxes which send requests to an
-// endpoint know its load. When boxes also used the engines of three regions as if these were near, two thirds of an
-// engine's load were unknown to the other boxes. On a day without engine failures, 15% of the streams were displaced
-// then, and 1,012 thousand prompt tokens were prefilled twice.
+// endpoint know its load. Earlier, boxes also used the engines of three regions as if these were near. Two thirds of an
+// engine's load were then unknown to the other boxes. On a day without engine failures, 15% of the streams were
+// displaced, and 1,012 thousand prompt tokens were prefilled twice.
 func (f *fleet) inServedRegion(e *knownEndpoint, named map[string]bool) bool {
 	return e.Region == f.region || named[e.Region]
 }
@@ -127,10 +127,10 @@
 	return out
 }
 
-// regionFor selects the region that serves a request of a service, among the allowed regions. The box's own region is
-// preferred if it has an endpoint that accepts requests. Otherwise another region with such an endpoint is selected;
-// different boxes select different ones. If no region has such an endpoint, the box's own is selected if it is allowed,
-// and otherwise ok is false.
+// regionFor selects the region that serves a request of a service, among the allowed regions. The box's own region
+// comes first, if it has an endpoint that accepts requests. Otherwise another region with such an endpoint is selected,
+// and different boxes select different regions. If no allowed region has such an endpoint, the box's own region is
+// selected. If the own region is not allowed either, ok is false.
 func (f *fleet) regionFor(service string, allowed []string) (region string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -150,8 +150,8 @@
 	return region, ok
 }
 
-// allowedRegions returns the regions that may serve the request. If both its route and its client account name regions,
-// only the regions that both name may.
+// allowedRegions returns the regions that may serve the request. If the route and the client account both name regions,
+// only regions that both of them name are allowed.
 func (x *exchange) allowedRegions() []string {
 	allowed := x.route.Regions
 	if x.account != nil && len(x.account.Regions) > 0 {
@@ -166,8 +166,9 @@
 	return allowed
 }
 
-// findRegion selects the region that serves the request. If the box's own region may not serve it and no other can, the
-// request is refused at once, because waiting would not help.
+// findRegion selects the region that serves the request. If the box's own region is not allowed, another allowed region
+// must have an endpoint that accepts requests. Otherwise the request is refused immediately, because waiting would not
+// help.
 func (x *exchange) findRegion() (outcome.Outcome, bool) {
 	allowed := x.allowedRegions()
 	region, ok := x.r.fleet.regionFor(x.service.Name, allowed)
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// A box that is not connected to other boxes polls each engine for its load every standalonePollPeriod. Two polls
-	// are at least minPollInterval apart, so that their cost does not grow with the fleet. In a large fleet loads are
-	// therefore old. In exchange, some engines are polled when a stream is placed (sampleLoads), and an engine that
-	// refuses a reservation shows that its load is stale. loadTimeout bounds one poll.
+	// A box that receives no messages from other boxes polls each engine for its load every standalonePollPeriod. Two
+	// polls are at least minPollInterval apart, so that their cost does not grow with the fleet. In a large fleet loads
+	// are therefore old. In exchange, some engines are polled when a stream is placed (sampleLoads). An engine that
+	// refuses a reservation also shows that its load is stale. loadTimeout bounds one poll.
 	standalonePollPeriod = 3 * time.Second
 	minPollInterval      = 400 * time.Millisecond
 	loadTimeout          = 700 * time.Millisecond
 )
 
-// Where boxes exchange engine loads, one box polls an engine for all of them. Each box polls an engine itself once it
-// has received no load of the engine for pollIntervalDecode or pollIntervalPrefill, by the engine's role, plus a
-// jitter. The jitter is fixed for each box and engine, and its range grows with the number of boxes. So the box with
-// the shortest jitter polls, and the others receive its result before they would poll. If that box is down, the box
-// with the next jitter polls.
+// Where boxes exchange engine loads, one box polls an engine for all boxes. Each box waits until it has received no
+// load of the engine for a while, and then polls the engine itself. The wait is pollIntervalDecode or
+// pollIntervalPrefill, by the engine's role, plus a jitter. The jitter is fixed for each box and engine. Its range
+// grows with the number of boxes. So the box with the shortest jitter polls. The other boxes receive the load before
+// their own waits are over. If the first box is down, the box with the next longer jitter polls.
 //
-// Example: with 85 boxes the jitter is up to 12.75 s. About every 150 ms the poll of another box would be due, and the
-// box with the shortest jitter polls a decode engine about every 550 ms.
+// Example: with 85 boxes the jitter is up to 12.75 s. About every 150 ms the poll of another box would be due. The box
+// with the shortest jitter polls a decode engine about every 550 ms.
 const (
 	// pollIntervalDecode and pollIntervalPrefill are the ages, without jitter, at which the load of an engine is polled
 	// again.
@@ -38,24 +38,26 @@
 	// gossipDelay is the time a message takes to reach the other boxes.
 	gossipDelay = 150 * time.Millisecond
 	// pollTick and maxPollPause bound the pause between two checks for due polls. The pause lasts until the next poll
-	// is due, but no longer than maxPollPause: more streams, which raise the allowed rate, may have come meanwhile.
+	// is due, but no longer than maxPollPause. More streams may have come meanwhile, and raise the allowed rate.
 	pollTick     = 100 * time.Millisecond
 	maxPollPause = 500 * time.Millisecond
-	// maxPollRate bounds the polls a second of all boxes together, whatever the number of engines, because every
-	// result goes to every box. Without the bound, at one poll every 0.55 s for each of 2,250 engines, 301 boxes
+	// maxPollRate bounds the polls a second of all boxes together, whatever the number of engines. The reason is that
+	// every load goes to every box. Without the bound, each of 2,250 engines was polled every 0.55 s. Then 301 boxes
 	// spent 16% of a core each, and two ran out of memory.
 	maxPollRate = 300
-	// pollsPerStream bounds the polls of all boxes by their streams. minPollRate is the number of polls a second that
-	// are always allowed. At 10 to 40 streams a second and 9 to 45 engines, pollIntervalDecode and pollIntervalPrefill
-	// lead to 1.6 to 2.6 polls a stream, which is below the bound. At 35 streams a second and 8,650 engines the two
-	// intervals would lead to 8 polls a stream, most of which serve no stream.
+	// pollsPerStream bounds the polls of all boxes, in proportion to the boxes' streams. minPollRate is the number of
+	// polls a second that are always allowed. At 10 to 40 streams a second and 9 to 45 engines, pollIntervalDecode and
+	// pollIntervalPrefill lead to 1.6 to 2.6 polls a stream. That is below the bound. At 35 streams a second and 8,650
+	// engines the two intervals would lead to 8 polls a stream. Most of these polls serve no stream.
 	//
-	// minPollRate is above 0 because without any polls between streams, role changes happen during traffic and not
-	// before it. At 7 boxes the goodput score (more is better; mean of five days, processor time not included) is 0.484
-	// or 0.483 without polls between streams and 0.503 with them; it is 0.513 with the two values given here.
+	// minPollRate is above 0 because of role changes. Without any polls between streams, roles change during traffic
+	// and not before it. The goodput score (more is better) is the mean of five days at 7 boxes, processor time not
+	// included. It is 0.484 or 0.483 without polls between streams, and 0.503 with them. With the two values given here
+	// it is 0.513.
 	pollsPerStream = 4
 	minPollRate    = 20
-	// ownerLoadMaxAge is how old an engine's load may be when another box asks this one, the engine's owner, for room.
+	// ownerLoadMaxAge is how old the load of an engine may be when another box asks for room, which is free engine
+	// memory. This box, the owner of the engine, grants that room. It polls an engine whose load is older.
 	ownerLoadMaxAge = 3 * time.Second
 )
 
@@ -75,7 +77,8 @@
 	}
 }
 
-// pollNext polls engine number n, counted round the list of engines, and returns the time until the next poll.
+// pollNext polls one engine, and returns the time until the next poll. n is the number of earlier polls. It selects the
+// engine: all engines are polled in the order of the list, and then the first engine again.
 func (r *Relay) pollNext(ctx context.Context, n int) time.Duration {
 	list := r.fleet.allEngines()
 	if len(list) == 0 {
@@ -85,8 +88,8 @@
 	return max(minPollInterval, standalonePollPeriod/time.Duration(len(list)))
 }
 
-// pollDue polls the engines that are due, because no box has published their load for too long. It returns the time
-// until the next check.
+// pollDue polls the engines that are due: no box has published their load for too long. It returns the time until the
+// next check.
 func (r *Relay) pollDue(ctx context.Context) time.Duration {
 	list, next := r.duePolls(clock.Now())
 	for _, e := range list {
@@ -95,8 +98,8 @@
 	return max(pollTick, min(next, maxPollPause))
 }
 
-// duePolls lists the engines that this box must poll now, and returns the time until the next poll is due. The
-// rate of polls of all boxes together is bounded by the rate of streams (pollsPerStream).
+// duePolls lists the engines that this box must poll now, and records these polls. next is the time until the next poll
+// is due. The rate of polls of all boxes together is bounded by the rate of streams (pollsPerStream).
 func (r *Relay) duePolls(now time.Time) (out []Endpoint, next time.Duration) {
 	next = maxPollPause
 	neighbours := float64(r.o.Peers.RegionSize())
@@ -136,7 +139,8 @@
 	return f.engineList
 }
 
-// pollLoad polls an engine for its load, and publishes the result to the other boxes.
+// pollLoad polls an engine for its load. It applies the load on this box, and publishes it to the other boxes. If the
+// engine does not answer, that is applied and published too.
 func (r *Relay) pollLoad(ctx context.Context, e Endpoint) {
 	now := clock.Now()
 	if r.notices.ThrottledFor(e.ID, now) > 0 {
@@ -166,12 +170,12 @@
 }
 
 // matchesStart reports whether the load belongs to this start of the endpoint. An earlier or later process at the same
-// address has other memory, another role and other orders. A load without a start time is accepted: some platforms have
-// start times in the list and none in the loads. Otherwise no load would ever be accepted there, and each box would
-// poll all engines by itself (112,422 polls in a simulated day).
+// address has other memory, another role and other orders. A load without a start time is accepted, because some
+// platforms have start times in the list and none in the loads. If such loads were rejected, no load would ever be
+// accepted there. Each box would then poll all engines by itself (112,422 polls in a simulated day).
 func (l *Load) matchesStart(e *Endpoint) bool { return l.Started == 0 || l.Started == e.Started }
 
-// applySilence records that an engine did not answer a poll, of this box or of another.
+// applySilence records that an engine did not answer a poll. The poll came from this box or from another box.
 func (r *Relay) applySilence(engine string) {
 	r.fleet.mu.Lock()
 	r.fleet.recordReport(engine, clock.Now())
@@ -208,8 +212,8 @@
 	return f.tokensPerEvent(f.endpoints[i].Service), true
 }
 
-// pollAfterRefusal polls an engine that has just refused a request: the engine may have another role by now, be
-// carrying out an order or be leaving.
+// pollAfterRefusal polls an engine that has just refused a request. The engine may have changed its role, may be
+// carrying out an order, or may be leaving. An engine polled for this reason within refusalPollInterval is not polled.
 func (r *Relay) pollAfterRefusal(id string) {
 	r.fleet.mu.Lock()
 	i, listed := r.fleet.index[id]
@@ -248,15 +252,15 @@
 }
 
 const (
-	// Before a stream is placed on a box without connection to others, one in sampleDivisor decode engines is polled,
-	// and at least minSampleSize. sampleTimeout bounds the wait for their loads.
+	// Before a stream is placed by a box that receives no messages from other boxes, the box polls some decode engines.
+	// It polls one in sampleDivisor, but at least minSampleSize. sampleTimeout bounds the wait for the loads.
 	sampleDivisor = 6
 	minSampleSize = 2
 	sampleTimeout = 40 * time.Millisecond
 )
 
-// sampleLoads polls a random sample of the decode engines of a service in a region (sampleDivisor, minSampleSize), and
-// waits up to sampleTimeout for the loads.
+// sampleLoads polls a random sample of the decode engines of a service in a region. sampleDivisor and minSampleSize
+// give the size of the sample. sampleLoads waits up to sampleTimeout for the loads.
 func (r *Relay) sampleLoads(ctx context.Context, service, region string) {
 	var list []Endpoint
 	for _, e := range r.fleet.allEngines() {
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// The polls grow with the number of engines, up to a bound. With 2,250 engines, of which 48 are in its subset, a box
-// has 48/2,250 of the 300 polls a second that are allowed to all boxes: 6.4 a second.
+// The polls grow with the number of engines, up to a bound. A box has 48 of 2,250 engines in its subset. All boxes
+// together are allowed 300 polls a second. The box's part is 48/2,250 of them: 6.4 a second.
 func TestPollRateOfSmallFleet(t *testing.T) { expectPollRate(t, 9, 13, 25) }
 func TestPollRateOfLargeFleet(t *testing.T) { expectPollRate(t, 2250, 4, 8) }
 
@@ -69,7 +69,7 @@
 	}{{0, 20. * 96 / 300}, {2, 20. * 96 / 300}, {20, 80. * 96 / 300}, {200, 300. * 96 / 300}} {
 		r := subsetRelay("a", "h-0", fleetOf(300, 0))
 		start, polls, due := time.Now(), 0, 0.0
-		// The last 45 s are measured. At the lowest rate each engine is polled every 15 s, so they are three whole
+		// The last 45 s are measured. At the lowest rate each engine is polled every 15 s. So 45 s are three whole
 		// periods, and it does not matter when the polls of an engine fall.
 		const from, until = 15 * time.Second, 60 * time.Second
 		for at := time.Duration(0); at < until; at += pollTick {
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestSuspendedBox checks that what a box received before its machine was suspended is stale afterwards: the box polls
-// engines again, and no longer counts the streams that waited on other boxes.
+// TestSuspendedBox checks that what a box received before its machine was suspended is stale afterwards. The box polls
+// engines again. It no longer counts the streams that waited on other boxes.
 func TestSuspendedBox(t *testing.T) {
 	var suspended time.Duration
 	defer clock.SetSuspendedForTest(func() time.Duration { return suspended })()
@@ -115,9 +115,9 @@
 	return list
 }
 
-// TestNewEnginesArePolledInTurn guards against polling all engines at once that start together. Without streams, all
-// boxes together may poll 20 engines a second. Yet when 986 boxes saw 8,650 engines listed at one moment, all were
-// polled within 2 s.
+// TestNewEnginesArePolledInTurn guards against polling all engines at the same time after they start together. Without
+// streams, all boxes together may poll 20 engines a second. Yet 986 boxes that saw 8,650 engines listed at one moment
+// polled all of them within 2 s.
 func TestNewEnginesArePolledInTurn(t *testing.T) {
 	r := subsetRelay("a", "h-0", fleetOf(8650, 0))
 	start, polls := time.Now(), 0
--- a/internal/relay/memory.go
+++ b/internal/relay/memory.go
@@ -22,8 +22,8 @@
 	used  atomic.Int64
 }
 
-// reserve adds n bytes if the sum stays within the limit, and reports whether it did. The counter never exceeds the
-// limit, not even for a moment, because other requests would then be refused for memory that is not in use.
+// reserve adds n bytes to the counter if the sum stays within the limit, and reports whether it did. The counter never
+// exceeds the limit, not even for a moment. Otherwise other requests would be refused for memory that is not in use.
 func (m *memory) reserve(n int64) bool {
 	for {
 		used := m.used.Load()
@@ -43,30 +43,31 @@
 func (m *memory) underPressure() bool { return m.limit > 0 && m.used.Load() > m.limit/4*3 }
 
 const (
-	// requestOverheadBytes is the estimated memory of a request beside its body and its answer: 16 KiB for four buffers
-	// of 4 KiB on its two connections, and as much for goroutine stacks, headers and the record.
+	// requestOverheadBytes is the estimated memory of a request, not counting its body and its answer. 16 KiB are for
+	// four buffers of 4 KiB on its two connections. The other 16 KiB are for goroutine stacks, headers and the record.
 	requestOverheadBytes = 32 << 10
 	// bodyChunkBytes is the number of bytes that are reserved at a time for a body of unknown length.
 	bodyChunkBytes = 64 << 10
 	// callerWriteTimeout is how long a write to a caller may make no progress. Endpoints abort an answer that is not
-	// read for some seconds, which would look like a failure of the endpoint. pressureWriteTimeout takes the place of
-	// callerWriteTimeout while the box is short of memory.
+	// read for some seconds, and that would look like a failure of the endpoint. While the box is short of memory,
+	// pressureWriteTimeout is used in place of callerWriteTimeout.
 	callerWriteTimeout   = 4 * time.Second
 	pressureWriteTimeout = time.Second
-	// readAheadPoll is the interval between attempts to reserve memory for a part of an answer before the caller has
-	// taken the part before it.
+	// readAheadPoll is the interval between attempts to reserve memory for a part of an answer while the box is out of
+	// memory.
 	readAheadPoll = 20 * time.Millisecond
 )
 
 // ReservedBytes returns the bytes of this box's memory that are reserved for requests.
 func (r *Relay) ReservedBytes() int64 { return r.memory.used.Load() }
 
-// boxFullOutcome refuses a request because this box is out of memory; another box may have memory left.
+// boxFullOutcome refuses a request because this box is out of memory. Another box may have memory left.
 func boxFullOutcome() outcome.Outcome {
 	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.BoxFull, RetryAfter: jitter(retryAfter)}
 }
 
-// reserveMemory reserves n bytes of this box's memory until the request ends, and reports whether that is possible.
+// reserveMemory reserves n bytes of this box's memory until the request ends. It returns false if that exceeds the
+// limit.
 func (x *exchange) reserveMemory(n int64) bool {
 	if !x.r.memory.reserve(n) {
 		return false
@@ -83,7 +84,7 @@
 
 var errBoxFull = errors.New("not enough memory on this box for the request body")
 
-// countedBody is a body of unknown length, for which memory is reserved while it is read.
+// countedBody is a body of unknown length. Memory for the body is reserved while the body is read.
 type countedBody struct {
 	io.Reader
 	x      *exchange
@@ -102,8 +103,8 @@
 	return n, err
 }
 
-// extendWriteDeadline gives the caller the full write timeout for the next write. It is called before each write, and
-// moves the deadline only once half of the timeout has passed.
+// extendWriteDeadline gives the caller the write timeout for the next write. It is called before each write. It moves
+// the deadline only once half of the timeout has passed.
 func (x *exchange) extendWriteDeadline() {
 	limit := callerWriteTimeout
 	if x.r.memory.underPressure() {
@@ -132,7 +133,7 @@
 	return outcome.Outcome{Kind: outcome.Cancelled, Reason: outcome.CallerGone, Detail: "read: the connection ended"}
 }
 
-// callerWriter writes to the caller, with the full write timeout for each write.
+// callerWriter writes to the caller, and calls extendWriteDeadline before each write.
 type callerWriter struct{ x *exchange }
 
 func (w callerWriter) Write(b []byte) (int, error) {
@@ -140,8 +141,8 @@
 	return w.x.w.Write(b)
 }
 
-// waitReserve reserves n bytes for a part of an answer. While the box is out of memory it waits, so that an endpoint is
-// read only as fast as callers take data. It returns false if ctx ends first.
+// waitReserve reserves n bytes for a part of an answer. While the box is out of memory, it waits. An endpoint is then
+// read only as fast as callers take data. If ctx ends first, waitReserve returns false.
 func (m *memory) waitReserve(ctx context.Context, n int64) bool {
 	for !m.reserve(n) {
 		select {
--- a/internal/relay/migrate.go
+++ b/internal/relay/migrate.go
@@ -10,44 +10,46 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// This file migrates a running stream from one engine, the source, to another, the target. The source stops the run,
-// closes its answer without an end marker, and copies the run's memory to the target. The box then sends the same
-// request to the target, which resumes the stream after the last event that the caller has received:
+// This file migrates a running stream from one engine, the source, to another engine, the target. The source stops the
+// run, and closes its answer without an end marker. It then copies the memory of the run to the target. The box sends
+// the same request to the target. The target resumes the stream after the last event that the caller has received:
 //
 //	migration requested ─► engine stops ─► its call ends ┐
 //	                         └► copied: a handle ────────┴► the next call resumes with the handle
 //
-// The end of the source's call and the copy may come in either order. A stream never runs at two engines at once: the
-// next call is made only when the source has reported that the run is stopped, and the source's call has ended. Until
-// then the caller gets the events of the source; after that none of them are passed on.
+// The source's call may end before or after the copy is reported. A stream never runs at two engines at the same time.
+// The next call is therefore made only when the source has reported the stop, and the source's call has ended. Until
+// the call ends, the caller gets the events of the source. After that, no event of the source is passed on.
 
-// migration is a migration in progress.
+// migration is the state of a migration that has begun and not ended.
 type migration struct {
 	attempt      decide.Attempt // The attempt number of the call that resumes the stream.
 	sourceEngine string         // The engine that runs the stream.
 	targetEngine string         // The engine that is to resume the stream.
-	// source is the stopped run's memory at the source engine; empty until that engine has reported the stop.
+	// source is where the source engine stores the memory of the stopped run. It is empty until that engine has
+	// reported the stop.
 	source Source
 	// copied is set if the target engine has the memory too.
 	copied bool
-	// sourceEnd is how the call to the source engine ended; nil while the call runs. Its reason is OK if the answer was
-	// complete. Such an answer may be that of a stopped run: only the answer to the migration request tells whether it
-	// was the end of the stream.
+	// sourceEnd is how the call to the source engine ended; nil while the call runs. Its reason is OK if the answer
+	// was complete. A complete answer may still be the answer of a stopped run. Only the answer to the migration
+	// request shows whether the stream was over.
 	sourceEnd *callError
 	// unframed is set if only the close of the connection ended the source engine's answer. The answer of a stopped run
 	// may end in the same way.
 	unframed bool
-	// keptUntil is the time until which the engines store the memory at least; zero before the run is stopped.
+	// keptUntil is the time until which the engines store the memory, or longer. It is zero before the run is stopped.
 	keptUntil time.Time
-	// resumed is set once a call was made that resumes the stream. atSource is set if the last call of this kind was
-	// made to the source engine, and not to the target. bound is set once bindDecode has bound the attempt to a
-	// context.
+	// resumed is set once the stream was sent to an engine that is to resume it. atSource is set if the last such
+	// call went to the source engine, and not to the target. bound is set once bindDecode has made the context of the
+	// attempt.
 	resumed, atSource, bound bool
 	// pauseRetries counts the calls made to the source engine after it had asked for a pause in requests.
 	pauseRetries int
 }
 
-// is reports whether an attempt is the one that resumes the stream. It is false if there is no migration (m is nil).
+// is reports whether an attempt is the attempt that resumes the stream. If there is no migration (m is nil), it is
+// false.
 func (m *migration) is(a decide.Attempt) bool { return m != nil && m.attempt == a }
 
 // migrationResult is the result of a migration request.
@@ -56,11 +58,12 @@
 	copied bool   // The target engine has the memory too.
 	// unanswered is set if the request was not answered. The run may or may not have been stopped then.
 	unanswered bool
-	// detail says, for the request's record, why the stream was not migrated.
+	// detail says why the stream was not migrated, for the trace of the request.
 	detail string
 }
 
-// drop frees the run's memory that the result names, if any; the call that frees it is not waited for.
+// drop starts to free the memory of the stopped run, if the result has a handle for it. drop does not wait for the call
+// that frees the memory.
 func (m *migrationResult) drop(r *Relay) {
 	if m.source.Handle != "" {
 		r.drop(m.source.Engine, m.source.Address, r.protocol.ReleaseHandle(m.source.Handle))
@@ -68,26 +71,27 @@
 }
 
 const (
-	// migrateTries is how often a migration request is sent if the connection ends without an answer.
+	// migrateTries is how often a migration request may fail, without a readable answer, before the box gives it up.
 	migrateTries = 2
-	// migratePollInterval is the pause before a migration request is repeated that the engine is still working on.
+	// migratePollInterval is the pause before a migration request is repeated because the engine still works on it.
 	migratePollInterval = 100 * time.Millisecond
 	// stopTimeout is how long the call of a stopped run may take to end, before the box closes its connection.
 	stopTimeout = 250 * time.Millisecond
-	// reofferDelay is the pause before a stopped run is offered again to the engines that store its memory and have
-	// refused it. They may accept it soon, because streams end several times a second on a busy engine.
+	// reofferDelay is the pause before a stopped run is sent again to the engines that store its memory and have
+	// refused the run. The engines may soon accept it: on a busy engine, streams end several times a second.
 	reofferDelay = 100 * time.Millisecond
-	// maxPauseRetries is how often a stopped run is offered to an engine that stores its memory and asked for a pause
-	// in requests. No other engine can resume the run, and the engine accepted its request before it asked for the
-	// pause.
+	// maxPauseRetries is how often a stopped run is sent to its source engine although the engine has asked for a pause
+	// in requests. No other engine can resume the run. The engine accepted the stream's request before it asked for
+	// the pause.
 	maxPauseRetries = 2
-	// migrateAnswerTimeout is how long the answer to a migration request is waited for after the run has ended. Then a
-	// resumable stream is prefilled again at another engine: callers abandon a stream that pauses for some seconds.
+	// migrateAnswerTimeout is how long the box waits for the answer to a migration request after the run has ended.
+	// Then a resumable stream is prefilled again at another engine. Callers abandon a stream that pauses for some
+	// seconds.
 	migrateAnswerTimeout = 2 * time.Second
 )
 
 // migrate asks the engine that runs the stream to migrate it. A quarantined stream is not migrated, because it must not
-// be sent to another engine. It continues where it runs: ending it would take a running answer from the caller.
+// be sent to another engine. The stream continues where it runs, so that its caller keeps the running answer.
 func (f *flight) migrate(a decide.Migrate) {
 	if o, yes := f.x.quarantined(); yes {
 		f.abortMigration(a.Attempt, o.Reason.Sentence())
@@ -98,8 +102,9 @@
 }
 
 // callMigrate sends a migration request, and reports the engine's answer. An engine stops the run before it copies the
-// memory, so a late answer does not mean that the run continues, and only the answer names the memory. callMigrate
-// therefore waits until the caller's deadline, and in addition for as long as the engine stores the memory.
+// memory. A late answer therefore does not mean that the run continues, and only the answer has the handle of the
+// memory. callMigrate waits for the answer until the caller's deadline. It waits longer by the time for which the
+// engine stores the memory.
 func (f *flight) callMigrate(a decide.Migrate) {
 	gracePeriod := f.x.service.Engines.HandleTTL
 	limit := f.x.timeLeft() + gracePeriod
@@ -143,7 +148,8 @@
 	}
 }
 
-// handleMigrationEvent handles an event that concerns a migration. It returns false for an event that does not.
+// handleMigrationEvent handles an event that concerns a migration, and returns true. For any other event it does
+// nothing and returns false.
 func (f *flight) handleMigrationEvent(ev flightEvent) bool {
 	m := f.migration
 	switch {
@@ -172,8 +178,9 @@
 	return true
 }
 
-// applyMigrationResult applies the answer to the migration request. If the engine did not stop the run, the migration
-// ends; the stream then continues, or has already ended.
+// applyMigrationResult applies the answer to the migration request. If the engine stopped the run, the stream is
+// resumed once its call has ended. If the engine did not stop the run, the migration is aborted. The stream then
+// continues, or it has already ended, and the withheld end is now sent to the loop.
 func (f *flight) applyMigrationResult(result *migrationResult) {
 	m := f.migration
 	if result.source.Handle != "" {
@@ -204,7 +211,8 @@
 // requeue sends the loop an event of the source engine's call that was withheld during a migration.
 func (f *flight) requeue(ev flightEvent) { f.calls.Go(func() { f.send(ev) }) }
 
-// awaitAnswer has the loop told if the migration request of a resumable stream is not answered in time.
+// awaitAnswer starts a timer for the answer to the migration request of a resumable stream. After migrateAnswerTimeout
+// the loop gets an unanswered event. The loop ignores the event if the answer has arrived.
 func (f *flight) awaitAnswer() {
 	if !f.x.route.Resumable || f.migration.source.Handle != "" {
 		return
@@ -216,9 +224,9 @@
 	})
 }
 
-// resumeElsewhere aborts a migration whose run has ended and whose request was not answered, and has the stream
-// prefilled again at another engine. If that is not possible, only the answer can resume the stream, and is waited for
-// again.
+// resumeElsewhere aborts a migration whose run has ended without an answer to the migration request. The stream is then
+// prefilled again at another engine. If that is not possible, only the answer can resume the stream. The timer for the
+// answer is then started again.
 func (f *flight) resumeElsewhere() {
 	m := f.migration
 	if m.source.Handle != "" {
@@ -233,21 +241,23 @@
 	f.handleFailure(f.decodeAttempt, *m.sourceEnd)
 }
 
-// awaitStop tells the loop if the call of a stopped run has not ended in time.
+// awaitStop sends the loop an overdue event after stopTimeout. If the call of the stopped run still runs then, the loop
+// ends the call.
 func (f *flight) awaitStop(attempt decide.Attempt) {
 	sleepCtx(f.ctx, stopTimeout)
 	f.send(flightEvent{attempt: attempt, overdue: true})
 }
 
-// abortMigration records, with the reason, that a migration ended before a call that resumes the stream was made.
+// abortMigration ends a migration before any call that resumes the stream was made. It adds the reason to the request's
+// trace, counts the abort, and tells the decision core.
 func (f *flight) abortMigration(attempt decide.Attempt, why string) {
 	f.x.r.m.AbortedMigrations.Inc()
 	f.x.trace.Step(record.Step{Kind: record.StepMigrationAborted, Text: why})
 	f.x.r.disp.Step(decide.MigrateFailed{ID: f.id, Attempt: attempt})
 }
 
-// resumeWhenStopped makes the call that resumes the stream, once the run is stopped and its call has ended. The call
-// goes to the target engine, or to the source engine if the target cannot resume the stream.
+// resumeWhenStopped makes the call that resumes the stream, if the run is stopped and the source's call has ended. The
+// call goes to the target engine. If the target cannot resume the stream, it goes to the source engine.
 func (f *flight) resumeWhenStopped() {
 	m := f.migration
 	if m.source.Handle == "" || m.sourceEnd == nil || m.resumed {
@@ -257,14 +267,15 @@
 	f.callResume(f.mustResumeAtSource(), 0)
 }
 
-// mustResumeAtSource reports whether the stream cannot be resumed at the target engine: the stream was quarantined
-// meanwhile, the target does not have the memory, or it asked for a pause in requests.
+// mustResumeAtSource reports whether the stream cannot be resumed at the target engine. There are three reasons: the
+// stream is quarantined, the target does not have the memory, or the target asked for a pause in requests.
 func (f *flight) mustResumeAtSource() bool {
 	_, quarantined := f.x.quarantined()
 	return quarantined || !f.migration.copied || f.x.r.notices.IsPaused(f.migration.targetEngine, clock.Now())
 }
 
-// callResume has the stream resumed, after a delay, at the source engine if atSource is set, and else at the target.
+// callResume has the stream resumed after a delay. If atSource is set, the source engine resumes it, and otherwise the
+// target engine.
 func (f *flight) callResume(atSource bool, delay time.Duration) {
 	m := f.migration
 	m.atSource = atSource
@@ -289,7 +300,8 @@
 
 // handleResumeFailure handles the failure of a call that resumes the stream. If the target engine is not known to have
 // accepted the run, the source engine is tried next. That is safe, because the handle can be used only once: if the
-// target did accept the run, the source refuses it. A run that its source refuses may be offered again after a pause.
+// target did accept the run, the source refuses the run. A run that the source refuses may be sent again after a pause.
+// If no further try is possible, the migration ends, and the failure goes to the decision core.
 func (f *flight) handleResumeFailure(e callError) {
 	m := f.migration
 	if !m.atSource && (!e.ran || e.connLoss.unanswered) {
@@ -311,8 +323,8 @@
 	f.handleFailure(f.decodeAttempt, e)
 }
 
-// canReoffer reports whether a stopped run that the source engine has refused may be offered again. It may while the
-// run's memory is stored, and within the limits for pauses and retries.
+// canReoffer reports whether a stopped run that the source engine has refused may be sent again. The run's memory must
+// still be stored, and the limits for pauses and retries must allow it. canReoffer uses up the retries that it allows.
 func (f *flight) canReoffer() bool {
 	m, now := f.migration, clock.Now()
 	if f.ctx.Err() != nil || now.Add(reofferDelay).After(m.keptUntil) {
@@ -329,7 +341,8 @@
 	return f.x.r.disp.TakeRetries(1)
 }
 
-// finishMigration ends a migration whose stream has been resumed: the resuming call has begun to answer.
+// finishMigration ends a migration when the call that resumes the stream has begun to answer. If the source engine
+// resumed the stream, the migration counts as aborted.
 func (f *flight) finishMigration() {
 	m := f.migration
 	f.migration = nil
@@ -344,7 +357,7 @@
 	f.x.trace.Step(record.Step{Kind: record.StepMigrated, Decode: f.decodeEngine})
 }
 
-// freeMigration frees the memory that the source engine stores for an unfinished migration, if any.
+// freeMigration starts to free the memory that the source engine stores for an unfinished migration, if there is any.
 func (f *flight) freeMigration() {
 	if f.migration != nil {
 		(&migrationResult{source: f.migration.source}).drop(f.x.r)
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -12,8 +12,8 @@
 	"github.com/stoatramp/stoatramp/internal/overlay"
 )
 
-// This file handles the notices that endpoints send in the headers of their answers: a request rate limit, a pause in
-// requests, or that the endpoint is leaving.
+// This file handles the notices that endpoints send in the headers of their answers. A notice announces a request rate
+// limit, a pause in requests, or that the endpoint is leaving.
 
 // Limited returns the number of endpoints that have announced a request rate limit.
 func (r *Relay) Limited() int { return r.notices.Limited() }
@@ -25,13 +25,14 @@
 	r.observe(q, resp, notice.Answer{Sent: sent, Completed: ran, Notice: reply.Notice})
 }
 
-// observeControl handles the header of an endpoint's answer to one of the box's own calls (control calls).
+// observeControl handles the header of an endpoint's answer to a control call, which the box itself has sent.
 func (r *Relay) observeControl(q *h1.Request, resp *http.Response, sent time.Time) {
 	r.observe(q, resp, notice.Answer{Sent: sent, Notice: r.protocol.ParseReply(resp).Notice})
 }
 
-// observe applies the notice in the header of an answer, and publishes it if the other boxes must know it. An answer
-// with the status "misdirected" is ignored, because it came from another endpoint than the one that was called.
+// observe applies the notice in the header of an answer. If the other boxes must know the notice, it publishes the
+// notice. An answer with the status "misdirected" is ignored, because it came from another endpoint than the called
+// one.
 func (r *Relay) observe(q *h1.Request, resp *http.Response, a notice.Answer) {
 	if q.Endpoint == "" || resp.StatusCode == http.StatusMisdirectedRequest {
 		return
@@ -46,7 +47,7 @@
 }
 
 // receiveNotice applies a notice that another box has received from an endpoint. Endpoints outside this box's subset
-// are ignored, because each notice of leaving causes the whole fleet to be recomputed.
+// are ignored, because each notice of leaving makes the box recompute its whole subset.
 func (r *Relay) receiveNotice(at time.Time, n *overlay.Notice) {
 	if r.fleet.inSubset(n.Endpoint) {
 		r.applyNotice(notice.Answer{Endpoint: n.Endpoint, Sent: at, Completed: n.Completed, Notice: notice.Notice{Limit: n.Limit, Leaving: n.Leaving}})
@@ -63,8 +64,8 @@
 	return publish
 }
 
-// recordNoticeChange logs and counts a change in what an endpoint has announced, and reports whether the notice must be
-// published to the other boxes.
+// recordNoticeChange logs and counts a change in what an endpoint has announced. It reports whether the notice must be
+// published to the other boxes. If the endpoint is leaving, it also recomputes the box's subset.
 func (r *Relay) recordNoticeChange(c notice.Change, a notice.Answer) (publish bool) {
 	log := func(what string, fields ...zap.Field) {
 		r.o.Recorder.Log.StateChange(what, append(fields, zap.String("endpoint", a.Endpoint))...)
--- a/internal/relay/orders.go
+++ b/internal/relay/orders.go
@@ -11,7 +11,7 @@
 	"github.com/stoatramp/stoatramp/internal/lease"
 )
 
-// RecommendRoleChange returns the engine that should change its role, and false if none should.
+// RecommendRoleChange returns the engine that should change its role. If no engine should, it returns false.
 func (r *Relay) RecommendRoleChange() (decide.RoleChange, bool) { return r.disp.RecommendRoleChange() }
 
 var (
@@ -21,8 +21,9 @@
 	errLeaseExpired = errors.New("the lease expired before the order was sent")
 )
 
-// SetRole orders an engine to change its role. The order names the start of the engine, and the number of orders that
-// the engine has accepted since. An order that arrives late therefore has no effect.
+// SetRole orders an engine to change its role. It first asks the engine for its load. The order names the start of the
+// engine, and the number of orders that the engine has accepted since its start. An order that arrives after a
+// restart of the engine, or after another order, therefore has no effect.
 func (r *Relay) SetRole(ctx context.Context, engine string, role decide.EngineRole, l lease.Lease) error {
 	e, listed := r.fleet.endpoint(engine)
 	if !listed {
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -17,12 +17,12 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// bufferedAnswerBytes is how much of a plain answer is buffered before any of it is passed on. If a shorter answer is
-// cut off, the answer of another attempt can take its place.
+// bufferedAnswerBytes is how much of a plain answer is buffered before any of it is passed on. If an answer is cut off
+// within these bytes, the answer of another attempt can replace it.
 const bufferedAnswerBytes = 64 << 10
 
-// servePlain sends the request to one endpoint after the other, until one answers. It tries another endpoint only if
-// the call before did not run, or may run again.
+// servePlain sends the request to one endpoint after the other, until an endpoint answers. It tries another endpoint
+// only if the request did not run at the endpoint before, or if the request may run again.
 func (x *exchange) servePlain(ctx context.Context) {
 	if o, ok := x.admitPlain(); !ok {
 		x.refuse(o)
@@ -70,7 +70,8 @@
 			runs++
 		}
 		x.recordConnLoss(e.ID, a.connLoss)
-		// An endpoint's own error answer says more than one of the box, so it is passed on if no other call may follow.
+		// An endpoint's own error answer says more than an error answer of the box. It is passed on if no other call
+		// can follow.
 		last := !x.route.repeats() || runs >= x.route.MaxEndpoints || !budget.Has(clock.Now(), 1) || !x.r.plain.hasUntried(x.service.Name, x.region, clock.Now(), tried)
 		if a.resp != nil && (a.good || last) {
 			x.passAnswer(a)
@@ -86,15 +87,15 @@
 	x.refuse(o)
 }
 
-// throttledOutcome refuses a request because all endpoints asked for fewer requests; wait is the time until the first
-// of them accepts a request.
+// throttledOutcome refuses a request because all endpoints have asked for fewer requests. wait is the time until the
+// first of these endpoints accepts a request.
 func throttledOutcome(wait time.Duration) outcome.Outcome {
 	delay := time.Duration(float64(wait) * (1 + limitJitter*rand.Float64()))
 	return outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.EndpointsThrottled, RetryAfter: max(minLimitRetryAfter, delay)}
 }
 
-// admitPlain evaluates the policy for a plain call. Plain calls do not wait on the box, so wait() in a policy has the
-// same effect as run().
+// admitPlain evaluates the policy for a plain call. It returns false if the policy refuses the call. Plain calls
+// do not wait on the box, so wait() in a policy has the same effect as run().
 func (x *exchange) admitPlain() (outcome.Outcome, bool) {
 	p := x.policy()
 	if p == nil {
@@ -191,7 +192,8 @@
 	return a
 }
 
-// plainFailure returns the outcome of a request that no endpoint has answered in a way that can be passed on.
+// plainFailure returns the outcome of a request after a failed call. It is used if no endpoint has given an answer that
+// can be passed on.
 func (x *exchange) plainFailure(ctx context.Context, a plainAnswer, ran bool) outcome.Outcome {
 	o := outcome.Outcome{Kind: outcome.NotRun, Reason: a.reason, RetryAfter: retryAfter}
 	if ran {
@@ -216,7 +218,8 @@
 	return false
 }
 
-// copyHead copies the header of an endpoint's answer to the caller's, except for fields that concern one connection.
+// copyHead copies the header of an endpoint's answer to the caller's answer. Fields that concern only one connection
+// are left out.
 func (x *exchange) copyHead(from http.Header) {
 	h := x.w.Header()
 	closing := h.Get("Connection")
@@ -227,9 +230,8 @@
 	h.Del("Content-Length") // Set again if the length is known.
 }
 
-// writeStatus begins the answer to the caller with the status of an endpoint that ran the request. If callers would
-// take the status to mean that the request did not run, another status replaces it, and the endpoint's signature is
-// removed.
+// writeStatus begins the answer to the caller with the status of an endpoint that ran the request. Callers take some
+// statuses to mean that the request did not run. Such a status is replaced, and the endpoint's signature is removed.
 func (x *exchange) writeStatus(status int) {
 	if impliesNotRun(status) {
 		status = http.StatusBadGateway
--- a/internal/relay/pollschedule.go
+++ b/internal/relay/pollschedule.go
@@ -8,31 +8,33 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// This file decides when a box polls an engine for its load. An engine is due when enough time has passed and enough
-// rounds; in one round, all engines may be polled once. Time alone is not enough. The rate of polls allowed to all
-// boxes grows with their streams. As soon as that rate rises, all engines that were polled a while ago would become due
-// at once, on all boxes. With a schedule by time alone, while streams went on, a box with 96 of 8,650 engines polled 38
-// of them within five seconds, where seven are allowed (TestNewEnginesArePolledInTurn).
-
-// pollSchedule spreads the polls of a service's engines over time and over the boxes that have them in their subsets.
+// This file decides when a box polls an engine for its load. A round is the time in which all engines may be polled
+// once. An engine is due when enough time and enough rounds have passed. Time alone is not enough, because the rate of
+// polls allowed to all boxes grows with their streams. When that rate rises, all engines that were polled a while ago
+// would become due at the same moment, on all boxes. Example: a box has 96 of 8,650 engines. With a schedule by time
+// alone, it polled 38 of these engines within five seconds, while streams went on. Seven polls are allowed
+// (TestNewEnginesArePolledInTurn).
+
+// pollSchedule spreads the polls of a service's engines over time. It also spreads them over the boxes that have the
+// engines in their subsets.
 type pollSchedule struct {
 	// round is the time in which each engine is polled once at the rate allowed to all boxes.
 	round time.Duration
 	// spread is the range of the jitter between boxes that have the same engine in their subsets. The box with the
-	// shortest jitter polls, and the others receive the result before they would poll.
+	// shortest jitter polls. The other boxes receive the load before they would poll.
 	spread time.Duration
 }
 
-// pollDelay is what must pass before an engine is polled: both an amount of time and a number of rounds.
+// pollDelay is what must pass before an engine is polled: an amount of time, and also a number of rounds.
 type pollDelay struct {
 	time   time.Duration
 	rounds float64
 }
 
-// delays returns two delays for polls of an engine: again after an earlier poll, and first for an engine that was never
-// polled. Both include a jitter that is fixed for each box and engine. The hash for the jitter differs from the hash
-// that selects the box's subset. With the same hash, all boxes that have an engine would have similar jitters for it
-// and poll it at the same moment, because a subset has the engines with the highest hashes.
+// delays returns two delays for polls of an engine. again counts from an earlier poll. first is for an engine that was
+// never polled. Both delays include a jitter that is fixed for each box and engine. The hash for the jitter differs
+// from the hash that selects the box's subset. A subset has the engines with the highest hashes. With the same hash,
+// all boxes that have an engine would therefore have similar jitters, and poll the engine at the same moment.
 func (t pollSchedule) delays(box string, e Endpoint) (again, first pollDelay) {
 	after := pollIntervalDecode
 	if e.Role == decide.Prefill {
@@ -57,8 +59,8 @@
 	at        time.Time
 }
 
-// lastReport says when the load of an engine was last polled or received. If neither has happened yet, it says when the
-// engine was first listed.
+// lastReport says when the load of an engine was last polled or received. If neither has happened yet, it says when
+// this box first checked whether a poll of the engine was due.
 type lastReport struct {
 	at     time.Time
 	rounds float64 // The completed rounds of the service at that time.
@@ -81,8 +83,8 @@
 	f.rounds[service] = r
 }
 
-// claimPoll reports whether a poll of an engine is due now, and if so records the poll. left is the time until a poll
-// is due or, if this one was, until the next check.
+// claimPoll reports whether a poll of an engine is due now. If a poll is due, claimPoll records the poll, and left is
+// the time until the next check. If no poll is due, left is the time until one is due.
 func (f *fleet) claimPoll(e Endpoint, now time.Time, t pollSchedule, again, first pollDelay) (due bool, left time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,8 +105,8 @@
 	return true, maxPollPause
 }
 
-// claimStalePoll reports whether the last load of an engine is older than the duration within, and if so records a poll
-// now.
+// claimStalePoll reports whether the last load of an engine is older than the duration within, or not known. If so, it
+// records a poll now.
 func (f *fleet) claimStalePoll(id string, now time.Time, within time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -31,7 +31,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Options configure a Relay. Box, Hall and Region are the name of this box, its data hall and its region.
+// Options configure a Relay. Box is the name of this box. Hall is its data hall, and Region its region.
 type Options struct {
 	Box    string
 	Hall   string
@@ -48,13 +48,13 @@
 	ListFreshness *follow.Freshness
 	// Limits enforces the rate limits of client accounts; nil if there are no limits.
 	Limits Quota
-	// Crashes lists the requests during which endpoints crashed, as reported by all boxes. If it is nil, New makes a
-	// list for this box alone.
+	// Crashes lists the requests during which endpoints crashed, as reported by all boxes. If Crashes is nil, New makes
+	// a list that has only this box's own reports.
 	Crashes *quarantine.List
 	Keys    KeyPolicy
 	// Memory limits the bytes of this box's memory that are reserved for requests; 0 means no limit.
 	Memory int64
-	// ColdLimits limits the requests of all boxes to a cold endpoint, which has just started.
+	// ColdLimits limits the requests of all boxes together to a cold endpoint. A cold endpoint has just started.
 	ColdLimits pacing.ColdLimits
 }
 
@@ -65,12 +65,13 @@
 	Connected() bool
 	// RegionSize returns the number of boxes in the region that exchange messages, including this one.
 	RegionSize() int
-	// Boxes lists all boxes of a region, with a version that changes with the list.
+	// Boxes lists all boxes of a region. version changes when the list changes.
 	Boxes(region string) (names []string, version int64)
-	// AskRoom asks the owner of an engine in a hall whether the engine has room for a stream. by is the other box that
-	// granted or denied the room. If this box owns the engine or the owner did not answer, by is empty.
+	// AskRoom asks the owner of an engine in a hall whether the engine has room for a stream. Room is free engine
+	// memory. The owner is the box that grants the engine's room. by is the other box that granted or denied the room.
+	// by is empty if this box owns the engine, or if the owner did not answer.
 	AskRoom(ctx context.Context, hall string, r overlay.Room) (granted bool, by string)
-	// SetInterest selects the engines that this box needs messages about; nil for all.
+	// SetInterest selects the engines that this box needs messages about. nil selects all engines.
 	SetInterest(engines []string)
 }
 
@@ -79,8 +80,9 @@
 	o        Options
 	protocol Protocol
 	disp     *dispatch.Dispatcher
-	// callerPool has the connections for callers' requests, and controlPool those for the box's own calls. On a shared
-	// connection, a late answer to a caller's request could be taken for the answer to one of the box's own calls.
+	// callerPool has the connections for callers' requests. controlPool has the connections for the box's own calls. On
+	// a shared connection, a late answer to a caller's request could be taken for the answer to one of the box's own
+	// calls.
 	callerPool  *h1.Pool
 	controlPool *h1.Pool
 	plain       *plainTable
@@ -88,8 +90,8 @@
 	notices *notice.Table
 	m       *telemetry.Metrics
 	cfg     atomic.Pointer[Config]
-	// cfgAppliedAt is the time at which cfg was applied; nil before. lastStall is the last time during which the
-	// process was not scheduled; nil if there was none.
+	// cfgAppliedAt is when cfg was applied; nil before the first configuration. lastStall is the last period during
+	// which the process got no processor time; nil if there was no such period.
 	cfgAppliedAt atomic.Pointer[time.Time]
 	lastStall    atomic.Pointer[stall]
 	// policies are the operators' programs that decide on requests; nil before any were loaded.
@@ -106,8 +108,8 @@
 	memory memory
 
 	gate gate.Gate
-	// stopDeadline is the time at which a planned stop ends, in Unix nanoseconds; 0 before one begins. Once it is set,
-	// answers ask callers to close their connections.
+	// stopDeadline is the deadline of a planned stop, in Unix nanoseconds; 0 if no stop has begun. Once stopDeadline is
+	// set, answers ask callers to close their connections.
 	stopDeadline atomic.Int64
 	// lastTimingPublish is when this box last published the timing of a stream, in Unix nanoseconds.
 	lastTimingPublish atomic.Int64
@@ -156,17 +158,17 @@
 	r.m.KeepRoutes(c.has)
 }
 
-// stall is a period during which the process was not scheduled.
+// stall is a period during which the process got no processor time.
 type stall struct {
 	duration time.Duration
 	endedAt  time.Time
 }
 
-// RecordStall records that the process was not scheduled for a period that has just ended.
+// RecordStall records that the process got no processor time for a duration d that has just ended.
 func (r *Relay) RecordStall(d time.Duration) { r.lastStall.Store(&stall{d, clock.Now()}) }
 
-// Conditions returns the conditions of the box that the records of requests contain: the age of its configuration, and
-// the length and age of the last period during which the process was not scheduled.
+// Conditions returns the conditions of the box for the records of requests. They are the age of the box's
+// configuration, and the length and age of the last period during which the process got no processor time.
 func (r *Relay) Conditions() account.Conditions {
 	var c account.Conditions
 	if since := r.cfgAppliedAt.Load(); since != nil {
@@ -178,9 +180,9 @@
 	return c
 }
 
-// Policies finds policies: the operators' programs that decide on requests. For returns the policy for a request, by
-// the kind of its route, its service and its priority, and the name of the rule that selected the policy. The policy is
-// nil if none applies.
+// Policies finds policies. A policy is an operator's program that decides on requests. For returns the policy for a
+// request, given the kind of its route, its service and its priority. It also returns the name of the rule that
+// selected the policy. The policy is nil if none applies.
 type Policies interface {
 	For(kind, service string, priority int) (decide.Policy, string)
 }
@@ -202,7 +204,7 @@
 	return 0
 }
 
-// policy returns the policy for the request, and records its rule and version.
+// policy returns the policy for the request; nil if none applies. It records the policy's rule and version.
 func (x *exchange) policy() decide.Policy {
 	all := x.r.policies.Load()
 	if all == nil {
@@ -223,7 +225,7 @@
 	return 0
 }
 
-// NotifyBusy returns a channel that receives a value when a request starts while no other runs.
+// NotifyBusy returns a channel. The channel receives a value when a request starts while no other request runs.
 func (r *Relay) NotifyBusy() <-chan struct{} { return r.gate.NotifyBusy() }
 
 // Tick lets the decision core's timeouts fire.
@@ -243,12 +245,12 @@
 	return r.stopDeadline.Load() == 0 && r.gate.Open() && r.cfg.Load() != nil && r.listed.Load()
 }
 
-// BeginStop begins a planned stop with a deadline. The box is not ready from then on, but still serves the requests
-// that it can finish by the deadline.
+// BeginStop begins a planned stop with a deadline. From then on the box is not ready. It still serves the requests that
+// it can finish by the deadline.
 func (r *Relay) BeginStop(deadline time.Time) { r.stopDeadline.Store(deadline.UnixNano()) }
 
-// outlastsStop reports whether a stream that starts now would probably still run at the deadline of a planned stop; it
-// is false if no stop is planned.
+// outlastsStop reports whether a stream that starts now would probably still run at the deadline of a planned stop. If
+// no stop is planned, it returns false.
 func (r *Relay) outlastsStop(now time.Time, service string, tokens int) bool {
 	deadline := r.stopDeadline.Load()
 	if deadline == 0 {
@@ -258,10 +260,11 @@
 	return now.Add(time.Duration(estimate*float64(time.Second))).UnixNano() > deadline
 }
 
-// lengthGuessMargin is a safety factor for estimates of a stream's time, since its estimated length may be too low.
+// lengthGuessMargin is a safety factor for the estimated time of a stream. The estimated length of the stream may be
+// too low.
 const lengthGuessMargin = 1.5
 
-// Drain refuses new requests, and waits until the running ones and their cleanups are done.
+// Drain refuses new requests. It waits until the running requests are done, and the calls that free their memory.
 func (r *Relay) Drain(ctx context.Context) error { return r.gate.Drain(ctx, r.cleanups.Wait) }
 
 func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -280,9 +283,8 @@
 	x.watchUndelivered()
 }
 
-// recoverPanic completes the record of a request whose handler panicked, unless the panic is the customary one that
-// closes the connection (http.ErrAbortHandler). Without recoverPanic, the server would close the connection and log no
-// request id.
+// recoverPanic completes the record of a request whose handler panicked. Without recoverPanic, the server would close
+// the connection and log no request id. The panic http.ErrAbortHandler only closes the connection, and is passed on.
 func (x *exchange) recoverPanic() {
 	v := recover()
 	switch {
@@ -305,7 +307,7 @@
 // caller soon tries another box.
 const drainRetryAfter = 100 * time.Millisecond
 
-// exchange is a caller's request with its answer, while they are processed.
+// exchange is a caller's request with its answer. It exists while the request is processed.
 type exchange struct {
 	r       *Relay
 	w       http.ResponseWriter
@@ -315,12 +317,12 @@
 	service *Service
 	// region is the region that serves the request.
 	region string
-	// account is the client account of the request; nil if it has none. units is what the request was charged on the
-	// account's limit.
+	// account is the client account of the request; nil if the request has none. units is the number of requests or
+	// tokens that the request was charged on the account's limit.
 	account *Account
 	units   float64
-	// dispatched is set once a request was built for an endpoint. ran is set once an endpoint that may have run the
-	// request has failed.
+	// dispatched is set once a request was built for an endpoint. ran is set once a call has failed at an endpoint that
+	// may have run the request.
 	dispatched, ran bool
 	meta            RequestMeta
 	body            []byte
@@ -328,15 +330,15 @@
 	reservedBytes int64
 	// writeDeadline is the time by which the caller must have taken the data that is being written.
 	writeDeadline time.Time
-	// trace collects what happens to the request, and rec is the record that it fills in.
+	// trace collects what happens to the request, and writes it to rec, the record of the request.
 	trace   *account.Trace
 	rec     *record.Record
 	arrived time.Time
-	// deadline is the caller's deadline or the route's, whichever is earlier.
+	// deadline is the earlier of the caller's deadline and the route's deadline.
 	deadline time.Time
 	// cachedFingerprint is the request's fingerprint; nil until it is needed.
 	cachedFingerprint *quarantine.Fingerprint
-	// begun is set once any byte of an answer was written; after that the request can no longer be refused.
+	// begun is set once any byte of an answer was written. From then on the request can no longer be refused.
 	begun bool
 }
 
@@ -350,7 +352,7 @@
 	return x
 }
 
-// serve runs the stages that all requests have in common, and then those of streams or of plain calls.
+// serve runs the stages that all requests have in common. It then serves the request as a stream or as a plain call.
 func (x *exchange) serve() {
 	if !x.reserveMemory(requestOverheadBytes) {
 		x.refuse(boxFullOutcome())
@@ -409,7 +411,7 @@
 	x.servePlain(ctx)
 }
 
-// setDeadline sets the deadline of the request: the caller's or the route's, whichever is earlier.
+// setDeadline sets the deadline of the request to the earlier of the caller's deadline and the route's deadline.
 func (x *exchange) setDeadline() {
 	x.deadline = x.arrived.Add(x.route.Timeout)
 	if x.meta.Timeout > 0 && x.meta.Timeout < x.route.Timeout {
@@ -417,7 +419,8 @@
 	}
 }
 
-// bufferBody reads the whole body, because it may have to be sent to more than one endpoint.
+// bufferBody reads the whole body. The reason is that the body is sent again if another endpoint is tried. It returns
+// false if the request must be refused with the returned outcome.
 func (x *exchange) bufferBody() (outcome.Outcome, bool) {
 	if x.req.ContentLength == 0 {
 		return outcome.Outcome{}, true
@@ -435,7 +438,7 @@
 	case err != nil:
 		return outcome.Refuse(outcome.BadRequest, "the body ended early"), false
 	}
-	// With a read deadline, the server could not detect later that the caller closes its connection.
+	// The read deadline is removed. With it, the server could not detect later that the caller closes its connection.
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Time{})
 	x.body = b
 	return outcome.Outcome{}, true
@@ -489,8 +492,8 @@
 	Message string         `json:"message"`
 }
 
-// statusOf returns the HTTP status of an error answer. Callers take some statuses to mean that the request did not run;
-// these are used only for requests that did not run.
+// statusOf returns the HTTP status of an error answer. Callers take some statuses to mean that the request did not run.
+// statusOf returns these statuses only for requests that did not run.
 func statusOf(o outcome.Outcome) int {
 	s := o.Reason.Status()
 	switch {
@@ -505,7 +508,8 @@
 	return s
 }
 
-// refuse ends the request. If no answer has begun, refuse writes an error answer.
+// refuse ends the request. If no answer has begun, refuse writes an error answer. If the reason is a lack of capacity,
+// refuse also enlarges the box's subset of the service.
 func (x *exchange) refuse(o outcome.Outcome) {
 	if o.Kind == outcome.NotRun && x.service != nil && isCapacityRefusal(o.Reason) {
 		x.r.growSubset(clock.Now(), x.service.Name)
@@ -523,7 +527,7 @@
 	x.trace.Close(o)
 }
 
-// cutOff ends a request whose answer cannot be completed, by closing the caller's connection. The caller would
+// cutOff ends a request whose answer cannot be completed. It closes the caller's connection, because the caller would
 // otherwise take the answer for complete.
 func (x *exchange) cutOff(o outcome.Outcome) {
 	if x.begun {
--- a/internal/relay/release_test.go
+++ b/internal/relay/release_test.go
@@ -33,8 +33,8 @@
 	return Call{Method: http.MethodDelete, Target: "/handle/" + handle}
 }
 
-// TestEndFreesReports checks that a flight which ends frees the memory named in events that its loop has not received
-// yet.
+// TestEndFreesReports checks that a flight which ends frees memory reported in events. Its loop has not received these
+// events yet.
 func TestEndFreesReports(t *testing.T) {
 	var freed atomic.Int32
 	engine := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { freed.Add(1) }))
@@ -53,7 +53,7 @@
 }
 
 // TestLeaveWhileSettingAside checks that no reservation remains at an engine if the caller leaves while the reservation
-// is being made. Whether it was made is known only from the engine's answer, which comes after the caller has left.
+// is being made. Only the engine's answer shows whether the reservation was made. It comes after the caller has left.
 func TestLeaveWhileSettingAside(t *testing.T) {
 	reserving, dropped := make(chan struct{}), make(chan string, 1)
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -95,7 +95,7 @@
 func (fakeProtocol) ParsePrefill(body []byte) (string, error) { return string(body), nil }
 
 // TestLeaveAsPromptIsRead checks that an engine stores nothing for a caller that leaves just as its prefill is done. At
-// that moment the engine is sending the answer that names the memory to free.
+// that moment the engine is sending its answer, which has the handle of the memory to free.
 func TestLeaveAsPromptIsRead(t *testing.T) {
 	reading, dropped := make(chan struct{}), make(chan string, 2)
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/relay/room.go
+++ b/internal/relay/room.go
@@ -8,12 +8,13 @@
 	"github.com/stoatramp/stoatramp/internal/overlay"
 )
 
-// This file asks the owners of engines for room, and answers such requests of other boxes. Room is free engine memory.
-// The owner of an engine is the one box that grants the engine's room to the streams of all boxes; package overlay
-// selects it.
+// This file asks the owners of engines for room, and answers such questions of other boxes. Room is free engine memory.
+// The owner of an engine is a box: the only box that grants the engine's room to the streams of all boxes. Package
+// overlay selects the owner.
 
 // askRoom asks the owner of a decode engine whether the engine has room for the request. owner is the other box that
-// answered; it is empty if this box owns the engine or the owner did not answer.
+// answered. It is empty if this box owns the engine, or if the owner did not answer. Without connected boxes, the room
+// counts as granted.
 func (r *Relay) askRoom(ctx context.Context, engine string, x *exchange) (granted bool, owner string) {
 	if !r.connected() {
 		return true, ""
@@ -24,7 +25,8 @@
 	})
 }
 
-// HasRoom reports whether an engine that this box owns has room for a stream of another box, and reserves that room.
+// HasRoom reports whether an engine that this box owns has room for a stream of another box. If so, it reserves the
+// room. It also adds the engine to this box's subset, and polls the engine if its load is old.
 func (r *Relay) HasRoom(room overlay.Room) bool {
 	r.adopt(clock.Now(), room.Engine)
 	r.pollIfStale(room.Engine)
--- a/internal/relay/room_test.go
+++ b/internal/relay/room_test.go
@@ -11,10 +11,10 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// expectRoom has a box own an engine with memory for 20,000 tokens, and grant room there to a stream of 6,000 tokens.
-// The box then receives the message that a stream of that size was placed on the engine. placedBy is the box that
-// granted the room for it; empty if none did. want is whether the box must still have room for a second stream, whose
-// prompt has 11,000 tokens.
+// expectRoom has a box own an engine with memory for 20,000 tokens. The box grants room there, which is free engine
+// memory, to a stream of 6,000 tokens. It then receives the message that a stream of that size was placed on the
+// engine. placedBy is the box that granted the room for the placed stream; empty if no box did. want is whether the box
+// must still have room for a second stream, whose prompt has 11,000 tokens.
 func expectRoom(t *testing.T, placedBy string, want bool) {
 	t.Helper()
 	r := New(Options{Box: "home", Region: "r", Protocol: fakeProtocol{}, Core: decide.New(rand.New(rand.NewPCG(1, 1)), 1), Recorder: &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}})
--- a/internal/relay/route.go
+++ b/internal/relay/route.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sort orders the routes as RouteFor needs them, those with longer prefixes first. It must be called once after a
+// Sort orders the routes as RouteFor needs them: routes with longer prefixes come first. It must be called once after a
 // Config is made.
 func (c *Config) Sort() {
 	slices.SortStableFunc(c.Routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
@@ -44,7 +44,7 @@
 func (r *Route) repeats() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
 // returningTimeoutShare is a share of the longest timeout seen on a route. A caller whose timeout is below that share
-// is taken to have been refused before, and to have spent the missing time on its earlier attempt.
+// is assumed to have been refused before. It has then spent the missing time on its earlier attempt.
 const returningTimeoutShare = 0.97
 
 // isReturning reports whether a caller with this timeout was probably refused before. Callers of one route start with
--- a/internal/relay/split.go
+++ b/internal/relay/split.go
@@ -8,8 +8,8 @@
 // eventEnd ends an event. A carriage return may precede each line feed (see add).
 var eventEnd = []byte("\n\n")
 
-// add appends received bytes to the buffered ones. It returns the complete events among them, and keeps the bytes after
-// the last complete event.
+// add appends received bytes to the buffered bytes. It returns the complete events in the buffer, and keeps the bytes
+// after the last complete event.
 //
 // Example: of "id: 1\ndata: a\n\nid: 2\nda" it returns the first event, with the id "1", and keeps "id: 2\nda" for the
 // next call.
--- a/internal/relay/split_test.go
+++ b/internal/relay/split_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain sets a fixed seed for the property tests (rapid), so that each run checks the same cases, unless a seed is
-// given on the command line.
+// TestMain sets a fixed seed for the property tests (rapid), so that each run checks the same cases. A seed given on
+// the command line comes first.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	set := false
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestCameBack sends one route timeouts of callers, in this order. A caller with clearly less than the longest timeout
-// so far must be taken for one that was refused before.
+// TestCameBack sends one route timeouts of callers, in this order. A caller whose timeout is clearly below the longest
+// timeout so far must be assumed to have been refused before.
 func TestCameBack(t *testing.T) {
 	r := &Route{}
 	for _, c := range []struct {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -18,47 +18,48 @@
 )
 
 const (
-	// eventBuffer is the number of reported events that a flight buffers while its caller is slow.
+	// eventBuffer is the number of events that calls can report to a flight before the calls have to wait. The buffer
+	// fills while the caller reads slowly.
 	eventBuffer = 32
-	// controlCallTimeout limits the wait for the answer to a control call (a call of the box that is not a caller's
-	// request) that reserves or frees engine memory.
+	// controlCallTimeout limits the wait for the answer to a control call that reserves or frees engine memory. A
+	// control call is a request that the box itself sends to an endpoint. It does not carry a caller's request.
 	controlCallTimeout = 700 * time.Millisecond
-	// releaseTries is the number of attempts to free memory if the engine does not answer, and releaseRetryDelay the
-	// pause between two attempts.
+	// releaseTries is the number of attempts to free memory at an engine that does not answer. releaseRetryDelay is
+	// the pause after each failed attempt.
 	releaseTries      = 3
 	releaseRetryDelay = 250 * time.Millisecond
 	// maxControlAnswer limits the body of the answer to a control call or to a prefill, in bytes.
 	maxControlAnswer = 64 << 10
 )
 
-// flight is the state of a stream while engines process it. Only the goroutine that runs its loop changes the state;
-// the calls to engines run in goroutines of their own and report events to the loop.
+// flight is the state of one request for a stream while engines process the request. Only the goroutine that runs
+// flight.loop changes the state. Each call to an engine runs in its own goroutine, and reports events to the loop.
 type flight struct {
-	x      *exchange
-	id     decide.ID
-	call   *dispatch.Call
+	x      *exchange        // The caller's request with its answer.
+	id     decide.ID        // The decision core's number for the request.
+	call   *dispatch.Call   // Receives the decision core's actions for the request.
 	ctx    context.Context  // Ends with the caller's connection, at the deadline, or when runStream returns.
-	events chan flightEvent // What the calls to engines report.
-	calls  sync.WaitGroup   // The running calls to engines.
+	events chan flightEvent // The events that the calls to engines report.
+	calls  sync.WaitGroup   // Waits for the running calls to engines.
 
 	prefillAttempt decide.Attempt // The attempt number of the current prefill call.
 	prefillEngine  string         // The engine of the current prefill call.
 	decodeAttempt  decide.Attempt // The attempt number of the current decode call.
 	decodeEngine   string         // The engine of the current decode call.
-	// abandonedAttempt is the attempt number of a decode call that began to answer after the decision core had given
-	// the call up; 0 if there is none. Nothing of such an answer is passed on.
+	// abandonedAttempt is the attempt number of a decode call that the decision core gave up before the call began to
+	// answer. It is 0 if there is no such call. Nothing of the answer to that call is passed to the caller.
 	abandonedAttempt decide.Attempt
-	// plannedDecode is the decode engine that the flight asks for a reservation.
+	// plannedDecode is the decode engine of the current attempt. The flight asks this engine to reserve memory.
 	plannedDecode string
-	// reservation is the memory that an engine has reserved for the flight, and source the result of the last prefill.
-	// free frees both. They are empty once an engine that uses them has begun the answer.
+	// reservation is the memory that an engine has reserved for the flight. source is where the result of the last
+	// prefill is stored. Both fields are emptied when an engine begins the answer, or when the memory is freed.
 	reservation reservation
 	source      Source
 	// prefillCalls and decodeCalls are the numbers of prefill and decode calls sent to engines.
 	prefillCalls, decodeCalls int
 	// migration is the migration in progress; nil if there is none.
 	migration *migration
-	// stopDecode cancels the current decode call.
+	// stopDecode cancels the current decode call; nil before the first decode call.
 	stopDecode context.CancelFunc
 
 	firstEventAt time.Time // When the first event was sent to the caller; zero before that.
@@ -67,37 +68,38 @@
 	eventsSent   int       // The number of events sent to the caller.
 }
 
-// reservation is memory that an engine has reserved for a flight; id is empty if there is none.
+// reservation is memory that an engine has reserved for a flight. If there is no such memory, id is empty.
 type reservation struct {
 	engine string
 	id     string
-	// owner is the other box that granted the memory as the engine's owner. It is empty if this box owns the engine or
-	// the owner did not answer.
+	// owner is the box that granted the memory. Each engine has one owner: the box that decides which streams get the
+	// engine's free memory. owner is empty if this box is the engine's owner, or if the engine's owner did not answer.
 	owner string
 }
 
-// flightEvent is what a call to an engine reports to the loop of its flight. Exactly one of the fields after attempt is
-// set, except that unframed may be set together with ended.
+// flightEvent is what a call to an engine reports to the loop of its flight. Of the fields after attempt, exactly one
+// is set. The only exception is unframed, which may be set together with ended.
 type flightEvent struct {
 	attempt       decide.Attempt
 	reserved      *reservation // An engine has reserved memory.
 	noRoom        *noRoom      // No memory was reserved.
-	prefillResult *Source      // The prefill is done; this is where its result is stored.
+	prefillResult *Source      // The prefill is done, and its result is stored there.
 	head          *headPart    // The answer has begun.
 	part          *part        // More of the answer was received.
 	ended         bool         // The answer is complete.
-	// unframed is set if the answer had no length or end marker, so that only the close of the connection ended it.
+	// unframed is set if the answer had neither a length nor an end marker. Only the close of the connection showed
+	// that the answer was over.
 	unframed    bool
 	errorAnswer *errorAnswer     // The engine ran the request and answered with an error.
 	err         *callError       // The call failed.
 	migrated    *migrationResult // An engine has answered a migration request.
-	overdue     bool             // The call of a run that was stopped for a migration has not ended in time.
-	// unanswered is set if the stream's run has ended and its migration request was not answered in time.
+	overdue     bool             // A run was stopped for a migration, but its call has not ended in time.
+	// unanswered is set if the engine did not answer a migration request in time, and the stream's run has ended.
 	unanswered bool
 }
 
-// noRoom reports that no memory was reserved. owner is the other box that denied the memory as the engine's owner; it
-// is empty if the engine itself did not reserve any.
+// noRoom reports that no memory was reserved. owner is the box that denied the memory, as the owner of the engine.
+// owner is empty if the engine itself reserved no memory.
 type noRoom struct{ owner string }
 
 // headPart is the header of an answer with the first part of its body.
@@ -106,18 +108,19 @@
 	part   part
 }
 
-// part is a sequence of complete events of a stream.
+// part is a piece of a stream. It holds only complete events.
 type part struct {
 	bytes []byte
-	// lastID is the id of the last event that has an id, and events the number of events that have an id. lastID is
-	// empty if no event has an id.
+	// events is the number of events in the part that have an id. lastID is the id of the last of these events; empty
+	// if no event has an id.
 	lastID string
 	events int
-	// reservedBytes is the memory of this box, in bytes, that is reserved for the part until it is written.
+	// reservedBytes is the number of bytes of this box's memory that are reserved for the part. The reservation ends
+	// when the part has been written to the caller.
 	reservedBytes int64
 }
 
-// errorAnswer is an engine's own error answer, which is passed to the caller unchanged.
+// errorAnswer is an error answer that the engine itself wrote. It is passed to the caller unchanged.
 type errorAnswer struct {
 	resp *http.Response
 	body []byte
@@ -126,32 +129,34 @@
 // callError describes a failed call to an engine.
 type callError struct {
 	reason outcome.Reason
-	ran    bool // The engine may have run the request.
-	// connLoss is set if the engine closed the connection.
+	ran    bool // The engine may have run the caller's request.
+	// connLoss describes how the engine closed the connection; empty if the engine did not close it.
 	connLoss connLoss
-	// detail is the text of the connection's error, for the request's record; empty if there is none.
+	// detail is the text of the connection's error, for the trace of the request; empty if there is none.
 	detail string
 }
 
 // serveStream passes the request to the decision core and carries out its decisions until the request ends.
 func (x *exchange) serveStream(ctx context.Context) {
+	// If the stream would probably still run at the deadline of a planned stop of this box, it is refused now.
 	if x.r.outlastsStop(clock.Now(), x.service.Name, x.meta.ExpectedOutput) {
 		x.refuse(outcome.Outcome{Kind: outcome.NotRun, Reason: outcome.Draining, RetryAfter: drainRetryAfter})
 		return
 	}
+	// A box without connections to other boxes gets no engine loads from them. It has to ask the engines.
 	if !x.r.connected() {
 		x.r.sampleLoads(ctx, x.service.Name, x.region)
 	}
 	o := x.runStream(ctx)
 	switch {
 	case o.Kind == outcome.Answered:
-		x.extendWriteDeadline() // The server still has to write the end, perhaps long after the last event.
+		x.extendWriteDeadline() // The server still has to write the answer's end, perhaps long after the last event.
 		x.trace.Close(o)
 	case x.begun || o.Kind == outcome.Cancelled:
 		if o.Kind != outcome.Cancelled {
-			o.Kind = outcome.CutOff // The decision core does not know that part of the answer was sent.
+			o.Kind = outcome.CutOff // The decision core does not know that part of the answer has been sent.
 		}
-		x.cutOff(o) // If the handler returned instead, the incomplete answer would look complete.
+		x.cutOff(o) // The connection is closed. A plain return would make the incomplete answer look complete.
 	default:
 		if o.RetryAfter > 0 {
 			o.RetryAfter = max(o.RetryAfter, jitter(streamRetryAfter))
@@ -160,23 +165,27 @@
 	}
 }
 
-// streamRetryAfter is the retry delay of a refused stream. An overload of the engines lasts some seconds. A caller that
-// returns during the overload and is refused again loses more time than a caller that returns after it. Delays of 1 to
-// 4 s make no difference to the goodput beyond the noise; 3 s leads to a tenth fewer refusals than 1 s.
+// streamRetryAfter is the delay after which the caller of a refused stream is told to retry. An overload of the engines
+// lasts some seconds. A caller that retries during the overload is refused again. It loses more time than a caller that
+// retries after the overload. Retry delays of 1 to 4 s give the same goodput, apart from noise. With 3 s a tenth fewer
+// streams are refused than with 1 s.
 const streamRetryAfter = 3 * time.Second
 
-// jitter varies a delay by up to 20%, so that callers refused at the same time do not return at the same time.
+// jitter changes a delay at random by up to 20% in either direction. Callers that are refused at the same time then do
+// not all retry at the same time.
 func jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.8 + 0.4*rand.Float64()))
 }
 
-// runStream has engines process the stream, and returns its outcome. Before it returns, it starts to free all memory
-// that engines and this box store for the stream; the calls that free it may still run afterwards.
+// runStream has engines process the stream, and returns the outcome. Before it returns, it starts to free all memory
+// that engines and this box hold for the stream. The calls that free the memory may still run after the return.
 func (x *exchange) runStream(ctx context.Context) outcome.Outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	f := &flight{x: x, ctx: ctx, events: make(chan flightEvent, eventBuffer)}
 	f.id, f.call = x.r.disp.Submit(x.meta.ID, f.request())
-	// Deferred, so that engine memory is freed even if the loop panics.
+	// The end is deferred, so that engine memory is freed even if the loop panics. The order matters: the decision core
+	// emits its last actions when the request is removed, and drainSteps then records them. The calls are canceled
+	// last.
 	defer func() {
 		f.publishStreamEnded(f.decodeEngine)
 		x.r.disp.Remove(f.id)
@@ -186,8 +195,9 @@
 	return f.loop()
 }
 
-// shutdown cancels the flight's calls and frees what engines store for it. Events that the loop has not received may
-// name more engine memory: that memory is freed once all calls have returned.
+// shutdown cancels the flight's calls, and starts to free what engines store for the flight. The loop no longer
+// receives events, but some may be left in the buffer. Such an event may report more memory, on this box or at an
+// engine. That memory is freed once all calls have returned.
 func (f *flight) shutdown(cancel context.CancelFunc) {
 	cancel()
 	f.free()
@@ -199,6 +209,7 @@
 	})
 }
 
+// request describes the stream to the decision core: where it may run, how long it is, and what its caller expects.
 func (f *flight) request() decide.Request {
 	x := f.x
 	return decide.Request{
@@ -226,6 +237,8 @@
 	}
 }
 
+// loop carries out the decision core's actions and handles the events of the calls, until the request ends. It returns
+// the outcome of the request.
 func (f *flight) loop() outcome.Outcome {
 	for {
 		select {
@@ -239,7 +252,7 @@
 			}
 		case ev := <-f.events:
 			if f.ctx.Err() != nil {
-				return f.finishExpired(ev) // ev may be the error of a call that was canceled with the request.
+				return f.finishExpired(ev) // ev may be the error of a call that was canceled at the request's end.
 			}
 			if o, end := f.handleEvent(ev); end {
 				return o
@@ -248,9 +261,10 @@
 	}
 }
 
-// finishExpired ends a request whose context has ended. If the whole answer was received before, it is still delivered:
-// a box that was not scheduled for a while finds the answer's end and the passed deadline at once. Nothing more of an
-// incomplete answer is sent to the caller. received has the event that the loop has already taken from f.events.
+// finishExpired ends a request whose context has ended. If the whole answer was received before the context ended, and
+// the caller is still connected, the answer is still delivered. This happens when the box got no processor time for a
+// while. The box then finds the end of the answer and the passed deadline at the same moment. Otherwise nothing more is
+// sent to the caller. received has the event that the loop has already taken from f.events, if there is such an event.
 func (f *flight) finishExpired(received ...flightEvent) outcome.Outcome {
 	list, whole := f.collectUntilEnd(received)
 	for _, ev := range list {
@@ -265,8 +279,8 @@
 	return f.expiredOutcome()
 }
 
-// collectUntilEnd appends the events that calls have reported to list, up to the end of an answer or a failed call.
-// whole is set if it found the end of an answer.
+// collectUntilEnd appends events that wait in f.events to list, and returns the new list. It stops at the end of an
+// answer, at a failed call, or when no event waits. whole is set if the list has the end of an answer.
 func (f *flight) collectUntilEnd(list []flightEvent) (_ []flightEvent, whole bool) {
 	for n := 0; ; n++ {
 		if n == len(list) {
@@ -283,7 +297,8 @@
 	}
 }
 
-// expiredOutcome returns the outcome of a request whose context has ended before its answer was complete.
+// expiredOutcome returns the outcome of a request whose context ended before the answer was complete. The context ends
+// when the caller leaves or when the request's time is over.
 func (f *flight) expiredOutcome() outcome.Outcome {
 	if f.x.req.Context().Err() != nil {
 		return callerGoneOutcome()
@@ -298,8 +313,8 @@
 	return o
 }
 
-// drainSteps records the last actions of the decision core, which it emitted when the request ended, and publishes the
-// stream's timing.
+// drainSteps adds the last actions of the decision core to the request's trace. The decision core emitted them when the
+// request ended. If they include the stream's timing, drainSteps publishes the timing to the other boxes.
 func (f *flight) drainSteps() {
 	for _, a := range f.call.TakeActions() {
 		f.recordStep(a)
@@ -327,22 +342,22 @@
 	}
 	switch a := a.(type) {
 	case decide.Retry:
-		// An engine that did not answer in time may have run the request, so a later refusal must not say "not run".
+		// The engine did not answer in time, but may have run the request. A later refusal must not say "not run".
 		f.x.ran = f.x.ran || a.Reason == outcome.TransferStalled
 	case decide.Migrate:
 		f.migrate(a)
 	case decide.StartPrefill:
-		f.free() // What engines store for an earlier attempt is not needed any more.
+		f.free() // Frees what engines store for an earlier attempt.
 		f.prefillAttempt, f.prefillEngine, f.plannedDecode = a.Attempt, a.Prefill, a.Decode
 		ctx := f.call.AttemptContext(f.ctx, a.Attempt)
 		f.calls.Go(func() { f.callPrefill(ctx, a) })
 	case decide.StartDecode:
-		if a.Moved != outcome.OK { // The decode engine is not the one that was chosen first.
+		if a.Moved != outcome.OK { // The decision core has replaced the decode engine that it chose first.
 			f.x.r.m.Moves.Inc()
 		}
 		f.decodeAttempt, f.decodeEngine, f.plannedDecode = a.Attempt, a.Decode, a.Decode
 		if a.Prefill == "" {
-			f.free() // What engines store for an earlier attempt is not needed any more.
+			f.free() // Frees what engines store for an earlier attempt.
 			ctx, last := f.bindDecode(a.Attempt), f.lastID
 			f.calls.Go(func() { f.callCombined(ctx, a, last) })
 			break
@@ -358,7 +373,8 @@
 	return outcome.Outcome{}, false
 }
 
-// countCall counts a call sent to an engine. Resuming a migrated stream continues the same run, and is not counted.
+// countCall counts a prefill or decode call that is sent to an engine. A second call of the same kind also counts as a
+// repeated call in the metrics. A call that resumes a migrated stream continues the same run. It is not counted.
 func (f *flight) countCall(a decide.Attempt) {
 	n := &f.decodeCalls
 	if a == f.prefillAttempt {
@@ -369,17 +385,17 @@
 	}
 }
 
-// bindDecode returns the context of a decode attempt, which ends when the decision core gives the attempt up, and sets
-// stopDecode to cancel it.
+// bindDecode returns the context for a decode call. The context ends when the decision core gives the attempt up.
+// bindDecode also sets f.stopDecode, which cancels the context.
 func (f *flight) bindDecode(a decide.Attempt) context.Context {
 	ctx, cancel := context.WithCancel(f.call.AttemptContext(f.ctx, a))
 	f.stopDecode = cancel
 	return ctx
 }
 
-// freeReservation frees the memory that an engine has reserved for the flight, if any. It is called when the answer
-// begins, at the latest: the engine would count the reservation beside the memory of the run until the reservation
-// expires.
+// freeReservation starts to free the memory that an engine has reserved for the flight, if there is any. It must be
+// called no later than the beginning of the answer. From then on the run has memory of its own. Until the reservation
+// expires, the engine would count the reservation in addition to the memory of the run.
 func (f *flight) freeReservation() {
 	if f.reservation.id != "" {
 		f.x.r.drop(f.reservation.engine, f.x.r.disp.Address(f.reservation.engine), f.x.r.protocol.ReleaseReservation(f.reservation.id))
@@ -387,7 +403,8 @@
 	}
 }
 
-// freeReservationElsewhere frees the reservation unless it is at the engine that will generate the answer.
+// freeReservationElsewhere frees the reservation unless the given engine holds it. That engine will generate the
+// answer.
 func (f *flight) freeReservationElsewhere(engine string) {
 	if f.reservation.engine != engine {
 		f.freeReservation()
@@ -395,7 +412,7 @@
 }
 
 // handleEvent handles an event that a call has reported. If the event ends the request, handleEvent returns the outcome
-// and true. An event that does not belong to a current call is ignored, and the memory that it names is freed.
+// and true. An event that does not belong to a current call is ignored, and the memory that it reports is freed.
 func (f *flight) handleEvent(ev flightEvent) (outcome.Outcome, bool) {
 	current := ev.attempt == f.prefillAttempt || ev.attempt == f.decodeAttempt || f.migration.is(ev.attempt)
 	if !current || ev.attempt == f.abandonedAttempt {
@@ -411,7 +428,7 @@
 	case ev.reserved != nil:
 		f.reservation = *ev.reserved
 		f.publishPlaced(ev.attempt)
-		f.countCall(ev.attempt) // Not before, as until now the request was in no engine's queue.
+		f.countCall(ev.attempt) // Not counted earlier: until now the request was in no engine's queue.
 	case ev.noRoom != nil:
 		f.x.trace.Step(record.Step{Kind: record.StepNoRoom, Attempt: int(ev.attempt), Decode: f.plannedDecode, Text: ev.noRoom.owner})
 		f.x.r.disp.Step(decide.ReservationRefused{ID: f.id, Attempt: ev.attempt})
@@ -435,7 +452,8 @@
 	return outcome.Outcome{}, false
 }
 
-// freeEvent frees what an event names that the loop does not handle: bytes reserved on this box, and memory at engines.
+// freeEvent frees the memory that an event reports, if the loop does not handle the event. This is memory reserved on
+// this box, memory reserved at an engine, or a KV cache stored at an engine.
 func (f *flight) freeEvent(ev flightEvent) {
 	switch {
 	case ev.head != nil:
@@ -454,8 +472,9 @@
 	}
 }
 
-// handleFailure records that a call to an engine failed, and reports the failure to the decision core and, if an engine
-// refused a prefill, to the other boxes.
+// handleFailure adds the failure of a call to the request's trace, and reports it to the decision core. If the engine
+// refused the call, this box polls the engine's load, unless an earlier refusal led to a poll just before. If the
+// refused call was a prefill, the other boxes are told too.
 func (f *flight) handleFailure(a decide.Attempt, e callError) {
 	engine := f.decodeEngine
 	if a == f.prefillAttempt {
@@ -472,15 +491,16 @@
 	f.x.r.disp.Step(decide.Failed{ID: f.id, Attempt: a, Reason: e.reason, Ran: e.ran})
 }
 
-// recordFailure adds the failure of a call to an engine to the request's trace, and records a lost connection.
+// recordFailure adds the failure of a call to the request's trace. If the engine closed the connection, it records that
+// loss for the engine.
 func (f *flight) recordFailure(a decide.Attempt, engine string, e *callError) {
 	f.x.trace.Step(record.Step{Kind: record.StepFailed, Attempt: int(a), Decode: engine, Reason: e.reason, Text: e.detail})
 	f.x.recordConnLoss(engine, e.connLoss)
 }
 
-// beginAnswer handles the beginning of a call's answer. The header is passed to the caller only from the first call
-// that answers: a stream that is resumed at another engine keeps the first header. If the decision core has given the
-// call up, nothing of its answer is passed on.
+// beginAnswer handles the beginning of the answer to a call. If the decision core has given the call up, nothing of
+// this answer is passed on. The caller gets the header of the first answer only. When a stream is resumed at another
+// engine, the header of the second answer is dropped. beginAnswer also frees the flight's memory reservation.
 func (f *flight) beginAnswer(ev flightEvent) (outcome.Outcome, bool) {
 	if !f.migration.is(ev.attempt) && !f.x.r.disp.AcceptFirstToken(decide.FirstToken{
 		ID: f.id, Attempt: ev.attempt, Tokens: ev.head.part.events * f.x.service.Engines.TokensPerEvent,
@@ -494,7 +514,7 @@
 		f.x.rec.FirstToken = f.firstEventAt.Sub(f.x.arrived)
 		f.x.r.m.FirstToken.Update(f.x.rec.FirstToken.Seconds())
 	}
-	f.source = Source{} // The engine that answers has used up the result of the prefill.
+	f.source = Source{} // The engine that answers has consumed the result of the prefill, so nothing is left to free.
 	f.freeReservation()
 	if f.migration.is(ev.attempt) {
 		f.finishMigration()
@@ -508,7 +528,8 @@
 	return f.passEvents(&ev.head.part)
 }
 
-// passEvents sends events to the caller. If that fails it returns the outcome of the request and true.
+// passEvents sends events to the caller, and releases the memory of this box that was reserved for the events. If the
+// events cannot be sent, it returns the outcome of the request and true.
 func (f *flight) passEvents(p *part) (outcome.Outcome, bool) {
 	if len(p.bytes) == 0 {
 		return outcome.Outcome{}, false
@@ -536,7 +557,8 @@
 	return outcome.Outcome{}, false
 }
 
-// passErrorAnswer sends an engine's own error answer to the caller, unless an answer has begun.
+// passErrorAnswer sends an engine's own error answer to the caller, and returns the outcome of the request. If another
+// answer has already begun, nothing is sent and the request is cut off.
 func (f *flight) passErrorAnswer(p *errorAnswer) outcome.Outcome {
 	if f.x.begun {
 		return outcome.Outcome{Kind: outcome.CutOff, Reason: outcome.EndpointLost, Detail: "the engine answered " + p.resp.Status}
@@ -547,9 +569,9 @@
 	return outcome.Outcome{Kind: outcome.Answered}
 }
 
-// free frees all that engines store for the flight: its memory reservation, the result of its last prefill, and the KV
-// cache of an unfinished migration. The calls that free the memory may outlast the request, and Relay.Drain waits for
-// these calls. If they fail, the memory is freed when it expires at the engine.
+// free starts to free all that engines store for the flight. This is its memory reservation, the result of its last
+// prefill, and the KV cache of an unfinished migration. The calls that free the memory may outlast the request.
+// Relay.Drain waits for these calls. If a call fails, the engine frees the memory when the memory expires.
 func (f *flight) free() {
 	f.freeReservation()
 	f.freeMigration()
@@ -559,9 +581,9 @@
 	}
 }
 
-// drop has an engine free memory, by the call c, and does not wait for the end of the call. The call is repeated if it
-// is not answered, because the memory may not have been freed. An engine whose port refuses connections has crashed and
-// stores nothing, so the call is not repeated.
+// drop sends the call c, which has an engine free memory. drop does not wait for the answer. An unanswered call is
+// repeated, because the engine may not have freed the memory. If the engine's port refuses connections, the engine has
+// crashed and stores nothing. The call is then not repeated.
 func (r *Relay) drop(engine, address string, c Call) {
 	r.m.Aborts.Inc()
 	r.cleanups.Go(func() {
--- a/internal/relay/subset.go
+++ b/internal/relay/subset.go
@@ -12,26 +12,28 @@
 )
 
 // This file limits the endpoints that a box uses to a subset. If a service has thousands of endpoints, each box selects
-// some of each role by rendezvous hashing, more in its own hall than in others. Memory, processor time, polls and
-// connections then do not grow with the fleet. All but one endpoint in a hundred are in the subset of some box. All
-// endpoints of a small service are selected. A box that finds no capacity enlarges its subset.
+// some endpoints of each role by rendezvous hashing. It selects more in its own hall than in other halls. Memory,
+// processor time, polls and connections then do not grow with the fleet. All but one endpoint in a hundred are in the
+// subset of some box. All endpoints of a small service are selected. A box that finds no capacity enlarges its subset.
 //
-// Alternatives: if every box used all endpoints, there would be 10 million pairs of a box and an endpoint at 1,000
-// boxes and 10,000 endpoints, and every box would sort 138,000 points of the prefix ring (the hash ring that maps
-// prompt prefixes to engines) at each change of the list. If boxes knew only totals for each hall and asked an owner
-// for each placement, no stream could be placed while the owner is unavailable.
+// There are two alternatives. First, every box could use all endpoints. With 1,000 boxes and 10,000 endpoints that
+// makes 10 million pairs of a box and an endpoint. The prefix ring is the hash ring that maps prompt prefixes to
+// engines. At each change of the list, every box would also sort 138,000 points of that ring. Second, boxes could know
+// only totals for each hall, and ask an owner for each placement. Then no stream could be placed while the owner is
+// unavailable.
 
 const (
-	// subsetNear is the number of endpoints of a service and role that a box selects in its own hall, and subsetFar the
-	// number in other halls. They are large enough for a decision, which compares 8 engines of a role, even if a third
-	// of a hall is down.
+	// subsetNear is the number of endpoints of a service and role that a box selects in its own hall. subsetFar is the
+	// number in all other halls together. A decision compares 8 engines of a role. The numbers are large enough for
+	// that even if a third of a hall is down.
 	subsetNear = 32
 	subsetFar  = 16
 	// retainFor is how long an endpoint stays in the subset after it was last selected. That is longer than a stream
-	// runs. A stream whose engine left the subset earlier would be migrated as if the engine were leaving.
+	// runs. If the engine of a stream left the subset earlier, the stream would be migrated as if the engine were
+	// leaving.
 	retainFor = time.Minute
-	// subsetGrowInterval is the minimum time between two enlargements of a subset. subsetShrinkAfter is the time after
-	// the last change of its size at which an enlarged subset is halved.
+	// subsetGrowInterval is the minimum time between two enlargements of a subset. An enlarged subset is halved when
+	// its size has not changed for subsetShrinkAfter.
 	subsetGrowInterval = 500 * time.Millisecond
 	subsetShrinkAfter  = 30 * time.Second
 )
@@ -48,9 +50,9 @@
 	grownAt time.Time // When the size last changed.
 }
 
-// subset computes the endpoints that this box uses, and counts the others that accept requests (omitted). It visits
-// every endpoint of the list but keeps descriptions of few: keeping one of each of 10,000 endpoints made 1.7 MB of
-// garbage at each change of the list. f.mu is held.
+// subset computes the endpoints that this box uses. It also counts the other endpoints that accept requests (omitted).
+// It visits every endpoint of the list but keeps descriptions of few. Keeping a description of each of 10,000 endpoints
+// made 1.7 MB of garbage at each change of the list. f.mu is held.
 func (f *fleet) subset(now time.Time) []knownEndpoint {
 	named := f.cfg.regions()
 	groups := f.groups(named)
@@ -89,8 +91,8 @@
 	return out
 }
 
-// groups returns the endpoints that accept requests and that this box may use, as positions in the list, by group.
-// f.mu is held.
+// groups returns the endpoints that accept requests and that this box may use. They are given by group, as positions in
+// the list. f.mu is held.
 func (f *fleet) groups(named map[string]bool) map[group][]int {
 	out := map[group][]int{}
 	for i := range f.endpoints {
@@ -112,7 +114,8 @@
 	f.retainedAt[id] = now
 }
 
-// selectMembers selects, from the positions of a group's endpoints, those in this box's subset. f.mu is held.
+// selectMembers selects the endpoints of a group that are in this box's subset. Endpoints are given as positions in the
+// list. f.mu is held.
 func (f *fleet) selectMembers(members []int, scale subsetScale) []int {
 	near, far := subsetNear*max(1, scale.factor), subsetFar*max(1, scale.factor)
 	if len(members) <= near+far {
@@ -129,7 +132,8 @@
 			others.add(r)
 		}
 	}
-	// If one side, the own hall or the others, has too few endpoints, more of the other side are selected.
+	// There are two sides: the own hall, and all other halls. If one side has too few endpoints, more endpoints of the
+	// other side are selected.
 	nOwn := min(len(own.list), max(near, near+far-len(others.list)))
 	nOthers := min(len(others.list), near+far-nOwn)
 	var out []int
@@ -139,7 +143,7 @@
 	return out
 }
 
-// rankedEndpoint is the position of an endpoint in the list, with its rank for this box.
+// rankedEndpoint is the position of an endpoint in the list, with the endpoint's rank for this box.
 type rankedEndpoint struct {
 	index int
 	rank  uint64
@@ -162,8 +166,8 @@
 	t.list = slices.Insert(t.list, at, r)
 }
 
-// engineCount returns the number of a service's engines that accept requests in this box's region, and the share of
-// these engines that are in the box's subset.
+// engineCount returns the number of a service's engines that accept requests in this box's region. share is the share
+// of these engines that are in the box's subset.
 func (f *fleet) engineCount(service string) (all int, share float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,7 +179,7 @@
 	return all, float64(kept) / float64(max(1, all))
 }
 
-// isPartial reports whether the box's subset lacks endpoints of a service that accept requests. f.mu is held.
+// isPartial reports whether some endpoints of a service accept requests but are not in the box's subset. f.mu is held.
 func (f *fleet) isPartial(service string) bool {
 	for g, n := range f.omitted {
 		if g.service == service && n > 0 {
@@ -185,7 +189,8 @@
 	return false
 }
 
-// growSubset doubles the box's subset of a service, unless the subset has all endpoints or was enlarged just before.
+// growSubset doubles the box's subset of a service. It does nothing if the subset already has all endpoints that accept
+// requests, or if the size changed within subsetGrowInterval.
 func (r *Relay) growSubset(now time.Time, service string) {
 	f := &r.fleet
 	f.mu.Lock()
@@ -203,7 +208,7 @@
 	r.applyFleet()
 }
 
-// inSubset reports whether an endpoint is in the box's subset.
+// inSubset reports whether an endpoint is in the box's subset: selected by the last computation, or kept since then.
 func (f *fleet) inSubset(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -211,8 +216,8 @@
 	return f.selected[id] || kept
 }
 
-// shrinkSubsets halves the enlarged subsets whose size has not changed for a while, and forgets endpoints that have not
-// been in use for retainFor. f.mu is held.
+// shrinkSubsets halves each enlarged subset whose size has not changed for subsetShrinkAfter. It also forgets endpoints
+// that have not been in use for retainFor. f.mu is held.
 func (f *fleet) shrinkSubsets(now time.Time) {
 	for service, c := range f.subsetScales {
 		if c.factor > 1 && now.Sub(c.grownAt) > subsetShrinkAfter {
@@ -226,7 +231,8 @@
 	}
 }
 
-// adopt adds an engine to the subset because another box asks this one, as the owner of the engine, for room there.
+// adopt adds an engine to this box's subset. Another box has asked this box, as the owner of the engine, for room: free
+// engine memory, which the owner grants.
 func (r *Relay) adopt(now time.Time, id string) {
 	f := &r.fleet
 	f.mu.Lock()
--- a/internal/relay/subset_test.go
+++ b/internal/relay/subset_test.go
@@ -51,7 +51,7 @@
 	return engines, plain
 }
 
-// TestSubsetSizeIsBounded guards against memory use that grows with the fleet: when each of 986 boxes used all of
+// TestSubsetSizeIsBounded guards against memory use that grows with the fleet. When each of 986 boxes used all of
 // 10,000 endpoints, a box took 43 MB, and the machine ran out of memory. All endpoints of a small fleet must be used.
 func TestSubsetSizeIsBounded(t *testing.T) {
 	for _, c := range []struct{ engines, plain, wantEngines, wantPlain int }{
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestSubsetsCoverFleet checks that nearly every engine is in the subset of some box, since its capacity would be lost
-// otherwise, and that no engine is in the subsets of very many boxes.
+// TestSubsetsCoverFleet checks that nearly every engine is in the subset of some box. The capacity of any other engine
+// would be lost. It also checks that no engine is in the subsets of very many boxes.
 func TestSubsetsCoverFleet(t *testing.T) {
 	list := fleetOf(1000, 0)
 	users := map[string]int{}
@@ -124,8 +124,8 @@
 }
 
 // TestDeselectedEngineIsRetained checks that an engine stays in use for some time after the subset no longer selects
-// it. A stream may be running there, and would otherwise be migrated as if the engine were leaving. An engine must also
-// come into use once another box asks this one, as its owner, for room there.
+// it. A stream may be running there. Otherwise that stream would be migrated as if the engine were leaving. An engine
+// must also come into use when another box asks this box, the engine's owner, for room there.
 func TestDeselectedEngineIsRetained(t *testing.T) {
 	r := subsetRelay("a", "h-0", fleetOf(600, 0))
 	before, _ := r.subsetMembers()
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -1,6 +1,6 @@
-// Package relay forwards requests and answers without changing their bodies. Routes are selected by host and path, and
-// the headers tell the decision core (package decide) what it needs to know of a prompt. The stages of a request are
-// plain function calls with typed results:
+// Package relay forwards requests and answers without changing their bodies. Routes are selected by host and path. The
+// headers tell the decision core (package decide) what it needs to know of a prompt. The stages of a request are plain
+// function calls with typed results:
 //
 //	route ► buffer the body ► check limits ► place/wait ► reserve memory ► prefill ► decode ► answer
 //
@@ -8,11 +8,12 @@
 //
 //   - An exchange is a request of a caller with its answer. A flight is the state of a stream's exchange while engines
 //     process it.
-//   - A control call is a call of the box to an endpoint that is not a caller's request, for example for a load.
+//   - A control call is a call that the box itself makes to an endpoint, for example to ask for its load. It does not
+//     carry a caller's request.
 //   - An attempt is one try of the decision core to have a stream prefilled or decoded.
-//   - Room is free engine memory. The owner of an engine is the one box that grants the engine's room to the streams of
-//     all boxes (package overlay).
-//   - The subset of a box are the endpoints that it uses, if there are too many to use all.
+//   - Room is free engine memory. The owner of an engine is a box: the only box that grants the engine's room to the
+//     streams of all boxes (package overlay).
+//   - The subset of a box are the endpoints that the box uses. A box uses all endpoints if there are not too many.
 //
 // The interface Protocol hides the platform's encoding of headers, calls and answers.
 package relay
@@ -26,7 +27,7 @@
 	"github.com/stoatramp/stoatramp/internal/notice"
 )
 
-// Kind is the kind of a route's requests: whether they may run again, and whether they are streamed.
+// Kind is the kind of a route's requests. It says whether the requests may run again, and whether they are streamed.
 type Kind uint8
 
 // The kinds.
@@ -51,8 +52,8 @@
 	Routes   []*Route
 	Services map[string]*Service
 	Limits   Limits
-	// Accounts maps the hash of a caller's key to its client account. It is nil if the platform has no accounts;
-	// requests need no key then.
+	// Accounts maps the hash of a caller's key to its client account. If the platform has no accounts, Accounts is nil,
+	// and requests need no key.
 	Accounts map[KeyHash]*Account
 }
 
@@ -70,8 +71,8 @@
 	Host   string
 	Prefix string // Begins and ends with a slash.
 	Kind   Kind
-	// Regions are the regions that may serve the route's requests. If there are none, the region of the box that
-	// receives the request serves it.
+	// Regions are the regions that may serve the route's requests. If it is empty, a request is served in the region of
+	// the box that receives the request.
 	Regions []string
 	// Public is set if requests of the route need no key of a client account.
 	Public bool
@@ -82,15 +83,16 @@
 	Resumable bool
 	// Targets are the services among which the route's requests are divided.
 	Targets []Target
-	// Timeout limits the whole request. LatencyTarget is the target for the time until an answer, or until the first
-	// event of a stream. EventGapTarget is the target for the pause between two events of a stream.
+	// Timeout limits the whole request. LatencyTarget is the target for the time until an answer. For a stream it is
+	// the target for the time until the first event. EventGapTarget is the target for the pause between two events of a
+	// stream.
 	Timeout        time.Duration
 	LatencyTarget  time.Duration
 	EventGapTarget time.Duration
-	// MaxEndpoints limits the endpoints that may run one request, one after the other; at least 1.
+	// MaxEndpoints limits the endpoints that may run one request, one after the other. It is at least 1.
 	MaxEndpoints int
 	// callerTimeout is the longest timeout, in nanoseconds, that a caller of the route has sent. A caller with a
-	// clearly shorter timeout is taken for a caller that was refused before (isReturning).
+	// clearly shorter timeout is assumed to have been refused before (isReturning).
 	callerTimeout atomic.Int64
 }
 
@@ -113,13 +115,13 @@
 
 // EngineConfig is the configuration of a service's engines.
 type EngineConfig struct {
-	// Slots is the number of streams that an engine runs at once; 0 if not known.
+	// Slots is the number of streams that an engine runs at the same time; 0 if not known.
 	Slots           int
 	KVTokens        int // The size of an engine's KV cache, in tokens.
 	KVBytesPerToken int
 	LinkRate        float64 // The transfer rate of KV caches between engines, in bytes a second.
-	// HandleTTL is how long an engine keeps the result of a prefill, or the memory of a run that was stopped for a
-	// migration. ReservationTTL is the longest time for which an engine reserves memory.
+	// HandleTTL is how long an engine keeps the result of a prefill. It is also how long an engine keeps the memory of
+	// a run that was stopped for a migration. ReservationTTL is the longest time for which an engine reserves memory.
 	HandleTTL      time.Duration
 	ReservationTTL time.Duration
 	// Migratable is set if a running stream can be migrated from one engine of the service to another.
@@ -130,18 +132,19 @@
 
 // Endpoint is an entry of the platform's list of endpoints.
 type Endpoint struct {
-	// ID identifies one start of the endpoint. All that the box knows of an endpoint is stored under its ID, and is
-	// discarded some time after the ID has left the list.
+	// ID identifies one start of the endpoint. All that the box knows of an endpoint is stored under its ID. Some time
+	// after the ID has left the list, this knowledge is discarded.
 	ID string
-	// Started is the time of the endpoint's start, in Unix milliseconds by its own clock. It is 0 if the platform does
-	// not publish the time; each start has an ID of its own anyway.
+	// Started is when the endpoint started, in Unix milliseconds by the endpoint's own clock. It is 0 if the platform
+	// does not publish that time. Each start has an ID of its own in any case.
 	Started int64
 	Service string
 	Address string
 	Hall    string
 	Role    decide.EngineRole // Engines only.
 	Leaving bool              // The endpoint is about to stop, and accepts no new requests.
-	// ColdLeft is how much longer the endpoint was cold when the platform wrote this entry; 0 if it was not cold.
+	// ColdLeft is how much longer the endpoint stays cold, counted from the time at which the platform wrote the entry.
+	// It is 0 if the endpoint was not cold then.
 	ColdLeft time.Duration
 }
 
@@ -155,12 +158,12 @@
 	MaxOutput    int // The maximum number of tokens of the answer.
 	// ExpectedOutput is the caller's estimate of the answer's length, in tokens; 0 if there is no estimate.
 	ExpectedOutput int
-	// PrefixHashes are the hashes of the prompt's blocks; each hash also covers all blocks before its own. Prompts that
-	// begin with the same blocks have the same first hashes.
+	// PrefixHashes are the hashes of the prompt's blocks. Each hash also covers all earlier blocks. Prompts that begin
+	// with the same blocks have the same first hashes.
 	PrefixHashes []uint64
 	// LastEvent is the id of the event after which the stream is to be resumed; empty for a new stream.
 	LastEvent string
-	// Key is the hash of the caller's key, and valid only if KeyState is OneKey.
+	// Key is the hash of the caller's key. It is valid only if KeyState is OneKey.
 	Key      KeyHash
 	KeyState KeyState
 }
@@ -173,7 +176,7 @@
 	Instance string
 	// TimeLeft is how long the caller will still wait.
 	TimeLeft time.Duration
-	// PrefillOnly has the engine prefill the prompt and keep the result, without generating an answer.
+	// PrefillOnly has the engine prefill the prompt and keep the result. The engine then generates no answer.
 	PrefillOnly bool
 	// Source is where the KV cache of the prompt is stored; empty if the endpoint is to do the prefill.
 	Source Source
@@ -183,8 +186,8 @@
 	LastEvent string
 }
 
-// Source identifies a KV cache that an engine stores: the result of a prefill, or the memory of a run that was stopped
-// for a migration.
+// Source identifies a KV cache that an engine stores. The KV cache is the result of a prefill, or the memory of a run
+// that was stopped for a migration.
 type Source struct {
 	Engine  string // The ID of the engine that stores the KV cache.
 	Address string
@@ -201,7 +204,8 @@
 	Notice notice.Notice
 }
 
-// Call is a control call: a call of the box to an endpoint that is not a caller's request.
+// Call is a control call. The box itself sends a control call to an endpoint. A control call does not carry a caller's
+// request.
 type Call struct {
 	Method string
 	Target string
@@ -210,7 +214,7 @@
 
 // Load is the load reported by an engine.
 type Load struct {
-	// Started is when the reporting engine started, as in Endpoint; 0 if the engine does not say.
+	// Started is when the reporting engine started, as in Endpoint. It is 0 if the engine does not report it.
 	Started int64
 	Role    decide.EngineRole
 	Queued  int
@@ -224,7 +228,7 @@
 	Orders int64
 	// Runs are the streams that run at the engine.
 	Runs []StreamLoad
-	// Age is the longest time since the engine took the figures.
+	// Age is the longest time that can have passed since the engine measured its load.
 	Age time.Duration
 }
 
@@ -236,9 +240,9 @@
 
 // Migration is an engine's answer to a migration request.
 type Migration struct {
-	// Handle names the memory of the stopped run; it is empty if the run was not stopped. With the handle the run can
-	// be resumed: if Copied is set, at the engine that the memory was copied to, and otherwise at the engine that ran
-	// it.
+	// Handle is the engine's name for the memory of the stopped run. It is empty if the run was not stopped. With the
+	// handle the run can be resumed. If Copied is set, the engine that the memory was copied to resumes the run.
+	// Otherwise the engine that ran it does.
 	Handle string
 	Copied bool
 	// InProgress is set if the engine is still working on an earlier request for the same migration.
@@ -249,9 +253,9 @@
 type Protocol interface {
 	// ParseRequest reads the headers of a caller's request.
 	ParseRequest(r *http.Request) RequestMeta
-	// SetHeaders sets the headers of a run, and replaces any that the caller sent under the same names.
+	// SetHeaders sets the headers of a run. They replace headers of the same names that the caller sent.
 	SetHeaders(h http.Header, run Run)
-	// IsAnswerTo reports whether an answer, by its header, belongs to the request with an id.
+	// IsAnswerTo reports whether an answer belongs to the request with an id. It checks the answer's header.
 	IsAnswerTo(h http.Header, id string) bool
 	// ParseReply reads the header of an answer.
 	ParseReply(resp *http.Response) Reply
@@ -261,21 +265,21 @@
 	ParsePrefill(body []byte) (handle string, err error)
 
 	// Reserve reserves memory for a number of tokens at an engine. ParseReservation reads the answer, and returns the
-	// name of the reservation.
+	// engine's name for the reservation (hold).
 	Reserve(tokens int, ttl time.Duration) Call
 	ParseReservation(body []byte) (hold string, err error)
-	// ReleaseReservation frees reserved memory that is not needed any more, and ReleaseHandle a KV cache.
+	// ReleaseReservation frees reserved memory that is not needed any more. ReleaseHandle frees a KV cache.
 	ReleaseReservation(hold string) Call
 	ReleaseHandle(handle string) Call
-	// Migrate asks an engine to stop the run of a request, and to copy its memory to the engine at an address.
-	// ParseMigration reads the answer.
+	// Migrate asks an engine to stop the run of a request. The engine then copies the run's memory to the engine at
+	// address. ParseMigration reads the answer.
 	Migrate(request, address string) Call
 	ParseMigration(status int, body []byte) (Migration, error)
 	// LoadCall requests an engine's load; ParseLoad reads the answer.
 	LoadCall() Call
 	ParseLoad(body []byte) (Load, error)
 	// SetRole orders an engine to change its role. The engine obeys only if it has accepted exactly the given number of
-	// orders since its start. holder is the box that sends the order. fence is the number of
-	// the lease that gives the box the right to send orders; later leases have greater numbers.
+	// orders since its start. holder is the box that sends the order. A lease gives that box the right to send orders.
+	// fence is the number of the lease. Later leases have greater numbers.
 	SetRole(instance string, role decide.EngineRole, holder string, fence, orders int64) (Call, http.Header)
 }
