--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,6 +1,6 @@
-// Package account tracks each request: which decisions the box made about it, on which inputs, and how old the
-// inputs were. A Trace becomes a decision record, which `stoatramp why` explains, and lines of the decision log.
-// Both gateway and relay use it. The package has nothing to do with client accounts.
+// Package account tracks each request. It records which decisions the box made about the request, on which inputs, and
+// how old the inputs were. A Trace becomes a decision record and lines of the decision log. The command `stoatramp why`
+// explains a decision record. Both gateway and relay use this package. It has nothing to do with client accounts.
 package account
 
 import (
@@ -21,8 +21,8 @@
 	Archive Sink
 	Metrics *telemetry.Metrics
 	Log     *Log
-	// Conditions describes the state of the box. It is called for the log lines of requests that were not
-	// answered whole, and may be nil.
+	// Conditions describes the state of the box. It is called for the log lines of requests that were not answered
+	// whole. Conditions may be nil.
 	Conditions func() Conditions
 }
 
@@ -30,8 +30,8 @@
 type Conditions struct {
 	// ConfigAge is how long the box's configuration has been in force.
 	ConfigAge time.Duration
-	// A stall is a time in which the process got no CPU time. Stall is the length of the last stall, or 0 if
-	// there was none, and StallAge is how long ago it ended.
+	// A stall is a time in which the process got no CPU time. Stall is the length of the last stall, or 0 if there
+	// was none. StallAge is how long ago the last stall ended.
 	Stall, StallAge time.Duration
 }
 
@@ -41,8 +41,8 @@
 	Rec      *record.Record
 	// arrived is when the request arrived. Unlike Rec.At, it keeps its monotonic clock reading.
 	arrived time.Time
-	// logged means that each decision is logged when it is made. Otherwise the decisions are logged when the
-	// request ends, and only if something went wrong.
+	// logged means that each decision is logged when it is made. If logged is false, the decisions are logged when
+	// the request ends, and only if something went wrong.
 	logged bool
 	// closed means that the request has ended.
 	closed bool
@@ -77,8 +77,8 @@
 	a.writeLog()
 }
 
-// writeLog writes the log lines of a request that has ended. A request that is neither in the sample of logged
-// requests nor always logged is only counted.
+// writeLog writes the log lines of a request that has ended. Some requests are neither in the sample of logged requests
+// nor always logged. writeLog only counts these requests.
 func (a *Trace) writeLog() {
 	switch {
 	case a.logged:
@@ -107,8 +107,8 @@
 	b.Log.undelivered(id, after, err, b.conditions())
 }
 
-// alwaysLogged reports whether someone may ask about this request later. The lines of such a request are
-// written whatever the log rate.
+// alwaysLogged reports whether someone may ask about this request later. The lines of such a request are written even
+// if the log rate is exceeded.
 func alwaysLogged(r *record.Record) bool {
 	if r.Kind != outcome.Answered {
 		return true
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -54,8 +54,8 @@
 	return got
 }
 
-// The log line of a decision contains the id of the request, and the inputs of the decision with their age. The last
-// line of a request contains the version of the configuration.
+// The log line of a decision contains the id of the request. It also contains the inputs of the decision and the age of
+// each input.
 func TestLines(t *testing.T) {
 	b, out := newRecorder(10)
 	b.runRequest("id-1", outcome.Outcome{Kind: outcome.Answered}, record.Step{Kind: record.StepFirstToken, Decode: "d"})
@@ -77,8 +77,8 @@
 	}
 }
 
-// Successful requests are logged up to the rate, and those that are not logged are counted. All other requests are
-// logged with every decision, whatever the rate.
+// Successful requests are logged up to the rate. Successful requests beyond the rate are only counted. All other
+// requests are logged with every decision, whatever the rate.
 func TestSampling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, out := newRecorder(10)
@@ -170,8 +170,8 @@
 	return len(b), nil
 }
 
-// An answer that was cut off is logged as a warning together with the state of the box, whatever the log rate.
-// Operators search for these warnings.
+// An answer that was cut off is logged as a warning, together with the state of the box. This does not depend on the
+// log rate.
 func TestAnswerThatWasCutOffIsAWarningWithTheBoxsConditions(t *testing.T) {
 	b, out := newRecorder(0)
 	b.Conditions = func() Conditions {
--- a/internal/account/log.go
+++ b/internal/account/log.go
@@ -13,8 +13,8 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// Log is the decision log. Successful requests are logged up to a rate. All other requests are always logged, and so
-// are changes of what the box believes about its surroundings.
+// Log is the decision log. It logs successful requests up to a rate. It logs all other requests, and all changes of
+// what the box believes about its surroundings.
 type Log struct {
 	z *zap.Logger
 	// busy reports whether the writer of the log is about to drop lines. It may be nil.
@@ -28,7 +28,7 @@
 	refilledAt time.Time
 }
 
-// burstSeconds sets how many requests are logged at once after an idle time: the rate times this many seconds.
+// burstSeconds bounds how many requests are logged in a burst after an idle time: the rate times this many seconds.
 const burstSeconds = 2
 
 // NewLog returns a decision log that writes up to rate successful requests per second to z. leftOut counts the
@@ -123,8 +123,8 @@
 	return out
 }
 
-// endLevel returns the level of the last line of a request. It is warn for answers that the box cut off or failed to
-// give, because operators search for warnings.
+// endLevel returns the level of the last line of a request. The level is warn if the box cut the answer off or failed
+// to give it, because operators search for warnings.
 func endLevel(r *record.Record) zapcore.Level {
 	if r.Kind == outcome.CutOff || r.Reason == outcome.CallerSlow || r.Reason == outcome.Internal {
 		return zapcore.WarnLevel
@@ -160,8 +160,8 @@
 	l.z.Log(endLevel(r), "request", fields...)
 }
 
-// choiceLine logs a choice of engines: the best of the compared pairs of a prefill and a decode engine, and how many
-// engines were excluded for which reason.
+// choiceLine logs a choice of engines. It shows the best of the compared pairs of a prefill and a decode engine. It
+// also shows how many engines were excluded for which reason.
 type choiceLine decide.Choice
 
 // maxLoggedPairs bounds the pairs of engines in a log line. The decision record contains more.
--- a/internal/archive/archive.go
+++ b/internal/archive/archive.go
@@ -1,6 +1,7 @@
-// Package archive stores the decision records of requests in the platform's object store, so that they outlive the
-// box that wrote them. In Archive, a request id contains the name of the box, its incarnation (which differs at each
-// start) and the minute. Objects are named after these three parts, so that a record is found without an index:
+// Package archive stores the decision records of requests in the platform's object store. So the records outlive the
+// box that wrote them. In Archive, a request id contains the name of the box, its incarnation and the minute. The
+// incarnation differs at each start of the box. Objects are named after these three parts, so a record is found
+// without an index:
 //
 //	records/BOX-INCARNATION/MINUTE/0, then 1, 2, … as records of that minute end
 package archive
@@ -32,10 +33,11 @@
 const (
 	// flushInterval is the time between two writes to the store.
 	flushInterval = 10 * time.Second
-	// maxPending bounds the records kept in memory during an outage of the store. Older records are dropped
-	// and counted.
+	// maxPending bounds the records kept in memory during an outage of the store. When more records arrive, the
+	// oldest records are dropped and counted.
 	maxPending = 4096
-	// maxParts bounds the objects that a box writes for one minute, and that a search reads.
+	// A part is one object with records of one minute. maxParts bounds the parts that a box writes for one minute,
+	// and the parts that a search reads.
 	maxParts = 64
 )
 
@@ -62,14 +64,14 @@
 	return &Archive{store: store, lost: lost, parts: map[string]partState{}}
 }
 
-// Add queues a finished record; it never waits for the store.
+// Add queues a finished record. It never waits for the store.
 func (a *Archive) Add(r *record.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.pending = appendBounded(a.pending, r, a.lost)
 }
 
-// appendBounded adds a record to the pending records, and drops the oldest one if there are maxPending already.
+// appendBounded adds a record to the pending records. If there are maxPending already, it drops and counts the oldest.
 func appendBounded(pending []*record.Record, r *record.Record, lost *metrics.Counter) []*record.Record {
 	if len(pending) == maxPending {
 		pending = append(pending[:0], pending[1:]...)
@@ -112,8 +114,8 @@
 	}
 }
 
-// write stores records of one minute as its next part. If the answer of the store was lost, a later write repeats
-// the part under the same name, possibly with more records, and replaces the first one.
+// write stores records of one minute as the next part of that minute. The answer of the store may be lost. A later
+// write then repeats the part under the same name, possibly with more records. It replaces the first object.
 func (a *Archive) write(ctx context.Context, dir string, list []*record.Record) error {
 	b, err := encodeRecords(list)
 	if err != nil {
@@ -137,8 +139,8 @@
 	return nil
 }
 
-// nextPart returns the first part of a minute that is not written yet. If the box does not remember it, nextPart
-// reads the store, so that no part is replaced by other records.
+// nextPart returns the number of the first part of a minute that is not written yet. If the box does not remember the
+// number, nextPart reads the store. So the box replaces no part by other records.
 func (a *Archive) nextPart(ctx context.Context, dir string) (int, error) {
 	a.mu.Lock()
 	p, ok := a.parts[dir]
--- a/internal/archive/archive_test.go
+++ b/internal/archive/archive_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Any box finds records by their ids alone, whichever parts and minutes they were written in, and also after the
-// box that wrote them has restarted.
+// Any box finds records by their ids alone. It does not matter in which parts and minutes the records were written. Any
+// box also finds them after the box that wrote them has restarted.
 func TestFind(t *testing.T) {
 	a, s, _ := newArchive()
 	for n := range 250 {
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// Any box finds a record by an id that the caller chose, also after an outage of the store and a lost answer. Objects
-// that are too old are removed, also those of boxes that no longer exist.
+// Any box finds a record by an id that the caller chose. This also holds after an outage of the store and after a lost
+// answer.
 func TestByTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := listedStore{&fakeStore{objects: map[string][]byte{}, down: true}}
--- a/internal/archive/bytime.go
+++ b/internal/archive/bytime.go
@@ -26,20 +26,20 @@
 const (
 	// byTimeInterval is how often a box writes its records, as one object.
 	byTimeInterval = time.Minute
-	// retention is how long objects are kept. Each box removes older objects, at most maxRemovals at a time. It
-	// also removes objects of other boxes, because some of these boxes may no longer exist.
+	// retention is how long objects are kept. Each box removes older objects, at most maxRemovals in one round. It
+	// also removes objects of other boxes, because some of those boxes may no longer exist.
 	retention   = 30 * time.Minute
 	maxRemovals = 32
 	// maxSearched bounds how many objects one search reads. It reads the newest objects first.
 	maxSearched = 256
-	// byTimePrefix starts the names of all objects. The time in timestampLayout follows, so that names sort by
-	// time.
+	// byTimePrefix starts the names of all objects. The time in timestampLayout follows, so the order of the names
+	// is the order of the times.
 	byTimePrefix    = "records-"
 	timestampLayout = "20060102150405"
 )
 
 // TimeArchive stores the decision records of requests whose ids are chosen by callers. Such an id does not tell where
-// or when the request was served. Objects are named after the time and the box, and a search reads them from the
+// or when the request was served. Objects are named after the time and the box. A search reads the objects from the
 // newest to the oldest:
 //
 //	records-20261202115600-front-malaga-hall-1
@@ -62,12 +62,13 @@
 }
 
 const (
-	// lastObjectRetention is how long the object written last is kept in memory. If the store is restored from an
-	// older snapshot that lacks the object, the box writes it again. maxLastObjectBytes bounds its size.
+	// lastObjectRetention is how long the object written last is kept in memory. The store may be restored from an
+	// older snapshot that lacks the object. The box then writes the object again. maxLastObjectBytes bounds the
+	// size of a kept object.
 	lastObjectRetention = 20 * time.Second
 	maxLastObjectBytes  = 512 << 10
-	// rewriteSpread is the longest random delay before a box writes its object again, so that boxes do not all
-	// do so at the same time.
+	// rewriteSpread is the longest random delay before a box writes its object again. The delay keeps boxes from all
+	// writing at the same time.
 	rewriteSpread = 5 * time.Second
 )
 
@@ -76,7 +77,7 @@
 	return &TimeArchive{store: store, box: box, lost: lost, storeRestored: make(chan struct{}, 1)}
 }
 
-// Add queues a finished record; it never waits for the store.
+// Add queues a finished record. It never waits for the store.
 func (a *TimeArchive) Add(r *record.Record) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,7 +101,7 @@
 	}
 }
 
-// Flush writes the pending records as one object. If that fails, they stay pending.
+// Flush writes the pending records as one object. If that fails, the records stay pending.
 func (a *TimeArchive) Flush(ctx context.Context) {
 	a.mu.Lock()
 	list := a.pending
@@ -123,7 +124,8 @@
 	a.rememberLast(writtenObject{name, b})
 }
 
-// rememberLast keeps an object in memory for as long as a snapshot from which the store is restored may lack it.
+// rememberLast keeps an object in memory for lastObjectRetention, unless it is larger than maxLastObjectBytes. The
+// store may be restored in that time from a snapshot that lacks the object. the object until then.
 func (a *TimeArchive) rememberLast(o writtenObject) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -148,7 +150,7 @@
 	}
 }
 
-// rewriteLast writes the last object again after a restore of the store, since the snapshot may lack the object.
+// rewriteLast writes the last object again after a restore of the store, because the snapshot may lack the object.
 func (a *TimeArchive) rewriteLast(ctx context.Context) {
 	select {
 	case <-time.After(rand.N(rewriteSpread)):
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -1,11 +1,11 @@
-// Package box assembles one box (a machine that runs the router) from its parts and runs it: the listeners for
-// callers and operators, the ticker that fires timeouts, the probes that read the load of engines, and the
-// configuration that the box follows.
+// Package box assembles one box (a machine that runs the router) from its parts and runs it. The parts are the
+// listeners for callers and operators, the ticker that fires timeouts, and the probes that read the load of engines.
+// Another part follows the configuration.
 //
 // Box runs package gateway. RelayBox runs package relay: it forwards requests by the platform's routes and works with
-// other boxes. It reads its configuration and its lists from tables of a store. A table consists of rows, and a row
-// is a key with a text. The era of the store is a counter that rises each time the store is restored from an older
-// snapshot.
+// other boxes. RelayBox reads its configuration and its lists from tables of a store. A table consists of rows, and a
+// row is a key with a text. The store has a counter, its era. The era rises each time the store is restored from an
+// older snapshot.
 package box
 
 import (
@@ -44,8 +44,8 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// ErrRequestsCutOff means that the box stopped while requests were still running, because a second
-// signal came or the wait for those requests timed out.
+// ErrRequestsCutOff means that the box stopped while requests were still running. Either a second signal came, or the
+// wait for those requests timed out.
 var ErrRequestsCutOff = errors.New("stopped with requests still running")
 
 // Box is a running box that serves callers through package gateway.
@@ -78,8 +78,8 @@
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	countedDial := telemetry.CountBytes(b.Metrics.ControlBytes, (&net.Dialer{}).DialContext)
 	b.engines.WrapProbeDial(func(d engine.Dial) engine.Dial { return telemetry.CountBytes(b.Metrics.ControlBytes, d) })
-	// The claims of idempotency keys are counted with their requests, so this client's bytes are not counted as
-	// control traffic. Reading the configuration is.
+	// This client claims idempotency keys. Claims are counted with their requests, so the bytes of this client are
+	// not counted as control traffic. The bytes for reading the configuration are counted as control traffic.
 	claimClient := platform.NewClient(cfg.Platform, cfg.PlatformKey)
 	records := record.NewRing(ops.RecordCapacity)
 	b.records = records
@@ -133,7 +133,7 @@
 // loggedRequestsPerSecond is how many successful requests are logged each second.
 const loggedRequestsPerSecond = 40
 
-// stopSignals are the signals that start a graceful stop. A second signal stops the box at once.
+// stopSignals are the signals that start a graceful stop. A second signal stops the box immediately.
 var stopSignals = []os.Signal{syscall.SIGTERM, syscall.SIGINT}
 
 const (
@@ -146,9 +146,9 @@
 // kratosServer is a server that kratos starts and stops.
 type kratosServer = transport.Server
 
-// newHTTPServer serves h on a listener through kratos' HTTP transport. The handler is installed as a filter, so
-// that it runs before kratos' router, which would redirect requests to cleaned paths. kratos' own request timeout
-// of one second is switched off, because it would cut streams. Every stage of a request has its own timeout.
+// newHTTPServer serves h on a listener through kratos' HTTP transport. It installs the handler as a filter, which runs
+// before kratos' router. That router would redirect requests to cleaned paths. newHTTPServer switches off kratos' own
+// request timeout of one second, because that timeout would cut streams. Every stage of a request has its own timeout.
 func newHTTPServer(lis net.Listener, h http.Handler, addr *string, log *zap.Logger, extra ...khttp.ServerOption) *khttp.Server {
 	*addr = lis.Addr().String()
 	opts := append([]khttp.ServerOption{
@@ -164,7 +164,8 @@
 	return srv
 }
 
-// listen opens a listener of the box, with TLS if the settings name certificate files, and stores its address in addr.
+// listen opens a listener of the box and stores its address in addr. The listener uses TLS if the settings name
+// certificate files.
 func (b *Box) listen(address string, files config.TLSFiles, h http.Handler, addr *string) (*khttp.Server, error) {
 	var opts []khttp.ServerOption
 	if files.Cert != "" {
@@ -225,8 +226,8 @@
 	return fmt.Errorf("%w: %d requests cut off", ErrRequestsCutOff, len(ids))
 }
 
-// drain runs before the listeners close: the readiness check fails, new requests are
-// refused, and drain waits until the running requests have ended or the drain times out.
+// drain runs before the listeners close. The readiness check then fails, and new requests are refused. drain waits
+// until the running requests have ended or the drain times out.
 func (b *Box) drain(context.Context) error {
 	ctx, cancel := context.WithDeadline(context.Background(), b.stop.begin(time.Now(), b.cfg.DrainTimeout))
 	defer cancel()
@@ -257,12 +258,12 @@
 }
 
 // minLoggedStall is the least delay of a tick that is reported as a stall of this process. During a stall all
-// callers and engines appear silent. The value is well above scheduling delays on a busy machine.
+// callers and engines appear silent. minLoggedStall is well above the scheduling delays of a busy machine.
 const minLoggedStall = 250 * time.Millisecond
 
-// runTicker calls Tick at regular intervals so that timeouts fire. While no request runs there is nothing to time
-// out, and the ticker is stopped so that it does not wake the process. If a tick comes more than minLoggedStall
-// late, runTicker calls onStall with the delay.
+// runTicker calls Tick at regular intervals so that timeouts fire. While no request runs, no timeout can fire. The
+// ticker is then stopped, so that it does not wake the process. If a tick comes more than minLoggedStall late,
+// runTicker calls onStall with the delay.
 func runTicker(ctx context.Context, target tickTarget, onStall func(time.Duration)) {
 	busy := target.NotifyBusy()
 	last := time.Now()
@@ -292,7 +293,7 @@
 	}
 }
 
-// logStall counts and logs a stall: for the time d the process got no CPU time, or was frozen.
+// logStall counts and logs a stall. For the time d the process got no CPU time, or was frozen.
 func logStall(log *zap.Logger, m *telemetry.Metrics, d time.Duration) {
 	m.Stalls.Inc()
 	log.Warn("process stalled", zap.Duration("for", d))
@@ -305,8 +306,8 @@
 	})
 }
 
-// configFromPeer asks the other boxes for a configuration newer than the known version. It is called while the
-// platform's configuration table does not answer.
+// configFromPeer asks the other boxes for a configuration that is newer than the known version. It is called while
+// the platform's configuration table does not answer.
 func (b *Box) configFromPeer(ctx context.Context, known int64) (*control.Version, error) {
 	if b.cfg.PeerKey == "" {
 		return nil, peer.ErrNoPeer
--- a/internal/box/eras.go
+++ b/internal/box/eras.go
@@ -9,19 +9,20 @@
 	"github.com/stoatramp/stoatramp/internal/overlay"
 )
 
-// This file tracks the store's era, a counter that rises each time the store is restored from an older
-// snapshot. After a restore, boxes recover the tables that they write themselves: the suspected crashes and the
-// members, which are the boxes registered with the platform.
+// This file tracks the store's era, a counter that rises each time the store is restored from an older snapshot.
+// Boxes write two tables themselves: the suspected crashes and the members. The members are the boxes that are
+// registered with the platform. After a restore, the boxes recover these two tables.
 
 // storeEra is an era of the store, with the time when this box first learned of it.
 type storeEra struct {
 	era        int64
 	observedAt time.Time
-	// restored is true if the box knew an earlier era, which means that the store was restored while the box ran.
+	// restored is true if the box knew an earlier era. The store was then restored while the box ran.
 	restored bool
 }
 
-// observeEra records an era that the store or another box reported, unless the box knows the same or a later era.
+// observeEra records an era that the store or another box reported. It ignores an era that is not later than the
+// known era.
 func (b *RelayBox) observeEra(era int64) {
 	last := b.storeEra.Load()
 	if last != nil && era <= last.era {
@@ -40,8 +41,8 @@
 	b.recorder.Log.StateChange("store era", zap.Int64("era", era), zap.Int64("before", previous))
 }
 
-// eraObserved returns when this box first learned of an era, and whether it had known an earlier era. For any
-// era but the newest known one it returns the start of the box, and false.
+// eraObserved returns when this box first learned of an era, and whether the box had known an earlier era. Only the
+// newest known era is remembered. For any other era eraObserved returns the start of the box, and false.
 func (b *RelayBox) eraObserved(era int64) (observedAt time.Time, restored bool) {
 	if known := b.storeEra.Load(); known != nil && known.era == era {
 		return known.observedAt, known.restored
@@ -56,8 +57,9 @@
 	}
 }
 
-// rewriteSpreadPerBox is what each box adds to the period over which boxes spread the rewriting of rows that a
-// restore lost. When one box writes a row, the other boxes see it within a second and need not write it again.
+// rewriteSpreadPerBox is a part of the period over which boxes spread the rewriting of rows that a restore lost. Each
+// box lengthens the period by this duration. When a box writes a row, the other boxes see the row within a second and
+// need not write it again.
 const rewriteSpreadPerBox = 25 * time.Millisecond
 
 // crashesRestored is called when the table of suspected crashes was restored from an older snapshot. The boxes
@@ -66,8 +68,8 @@
 	b.crashes.ExpectRestoredRows(time.Duration(b.node.MemberCount()) * rewriteSpreadPerBox)
 }
 
-// membersRestored is called when the table of members was restored from an older snapshot. Boxes that the
-// restored table lacks stay members for a grace period, in which they can register again.
+// membersRestored is called when the table of members was restored from an older snapshot. The restored table may
+// lack some boxes. These boxes stay members for a grace period, in which they can register again.
 func (b *RelayBox) membersRestored() {
 	b.node.MembersRestored()
 	time.AfterFunc(overlay.MissingRetention+time.Second, func() { b.tables[tableMembers].Reapply(func() {}) })
--- a/internal/box/fault_test.go
+++ b/internal/box/fault_test.go
@@ -33,7 +33,7 @@
 	standin.InjectFault(f, g.site.Decodes...)
 }
 
-// calls returns the sum of what all engines counted: calls by kind, and reservations freed by reason.
+// calls returns two sums over all engines: calls by kind, and freed reservations by reason.
 func (g *rig) calls() (s standin.EngineCounts) {
 	s.Freed = map[string]int{}
 	for _, e := range append(g.site.Prefills, g.site.Decodes...) {
@@ -57,7 +57,7 @@
 }
 
 // expectSurvives injects a fault at the prefill or the decode step of a request. It expects the caller to receive
-// the whole answer, and a retry to be counted under the given reason unless that is OK.
+// the whole answer. Unless the reason is OK, it expects a retry to be counted under that reason.
 func expectSurvives(t *testing.T, atDecode bool, f standin.Fault, retry outcome.Reason) {
 	t.Helper()
 	t.Parallel()
@@ -76,8 +76,8 @@
 	g.expectIdle()
 }
 
-// expectOnce injects a fault into a request that is not repeatable. It expects a refusal with the given status
-// and reason, and no second run on any engine.
+// expectOnce injects a fault into a request that is not repeatable. It expects a refusal with the given status and
+// reason. No engine may run the request a second time.
 func expectOnce(t *testing.T, atDecode bool, f standin.Fault, status int, reason outcome.Reason) {
 	t.Helper()
 	t.Parallel()
@@ -153,8 +153,8 @@
 	expectOnce(t, true, standin.Fault{Kind: standin.Stall, For: time.Minute}, 504, outcome.TransferStalled)
 }
 
-// A request that is not repeatable is still retried on another engine if the first engine refuses it, because a
-// refusal says that the engine did not run the request.
+// A request that is not repeatable is still retried on another engine if the first engine refuses it. The refusal says
+// that the first engine did not run the request.
 func TestOnceRefusedGoesOn(t *testing.T) {
 	t.Parallel()
 	g := newRig(t, smallSite())
@@ -177,7 +177,7 @@
 	t.Parallel()
 	g := newRig(t, smallSite())
 	go func() {
-		// Wait for the first token too: an engine reserves memory before its first token, and a caller that has
+		// Wait for the first token too. An engine reserves memory before its first token. A caller that has
 		// received no token yet would be refused instead of cut off.
 		g.eventually("tokens flow", func() bool { return holdMemory(g.site.Decodes) && g.firstTokenSeen() })
 		for _, e := range g.site.Decodes {
@@ -209,7 +209,7 @@
 func TestManyStreams(t *testing.T) {
 	t.Parallel()
 	o := smallSite()
-	// Long limits, because this test counts late answers as well: a slow machine must not cause refusals.
+	// The limits are long, because this test also counts late answers. A slow machine must not cause refusals.
 	o.Model.Expiry, o.Route = time.Hour, "first_token = 600s\nbetween_tokens = 1s"
 	g := newRig(t, o)
 	var wg sync.WaitGroup
@@ -223,8 +223,8 @@
 	g.expectIdle()
 }
 
-// expectCancelFrees cancels a request once reached reports that the request is at the wanted stage. It expects the
-// engines to free all memory although their reservations would last an hour.
+// expectCancelFrees cancels a request once reached reports that the request is at the wanted stage. The engines must
+// then free all memory, although their reservations would last an hour.
 func expectCancelFrees(t *testing.T, o demo.Options, prompt string, fault func(*rig), reached func(*rig) bool) {
 	t.Helper()
 	t.Parallel()
@@ -348,8 +348,8 @@
 	}
 }
 
-// Go's HTTP client retries some requests by itself when an idle connection breaks. A call of a service that
-// is not repeatable must still reach the service only once.
+// Go's HTTP client retries some requests by itself when an idle connection breaks. Some calls of a service are not
+// repeatable. Such a call must still reach the service only once.
 func TestServiceCalledOnce(t *testing.T) {
 	t.Parallel()
 	g := newRig(t, smallSite())
@@ -407,7 +407,7 @@
 	}
 }
 
-// Two requests with the same idempotency key run only once: the second request is refused with the correct reason.
+// Two requests with the same idempotency key run only once. The second request is refused with the correct reason.
 func TestKeyRunsOnce(t *testing.T) {
 	t.Parallel()
 	g := newRig(t, smallSite())
@@ -469,8 +469,8 @@
 
 func versionOf(text string) control.Version { return control.Version{Text: text, Author: "test"} }
 
-// Engines report prompt prefixes that they evict from their caches. Once the box reads the event of an eviction,
-// it no longer counts that prefix as cached. After a gap in the events it counts nothing as cached.
+// Engines report which prompt prefixes they evict from their caches. Once the box reads the event of an eviction, it
+// no longer counts that prefix as cached. After a gap in the events it counts no prefix as cached.
 func TestCacheEvents(t *testing.T) {
 	t.Parallel()
 	o := smallSite()
@@ -495,8 +495,8 @@
 	g.eventually("the box knows what was evicted", func() bool { return g.cachedTokens(prefix) < before })
 }
 
-// cachedTokens sends a request and returns how many tokens of its prompt the box assumed to be cached on the
-// first prefill engine, according to the decision record of the request.
+// cachedTokens sends a request. It returns how many tokens of the prompt the box assumed to be cached on the first
+// prefill engine. The figure comes from the decision record of the request.
 func (g *rig) cachedTokens(prompt string) int {
 	g.t.Helper()
 	id := g.stream(prompt, 1).id
@@ -510,8 +510,8 @@
 }
 
 // Orders to load or unload a model carry an epoch, which serves as a fencing token. An engine that checks the epoch
-// refuses an order of an older epoch than the last order. An engine that does not check it carries the order out,
-// which is a remaining risk.
+// refuses an order if its epoch is older than that of the last order. An engine that does not check the epoch carries
+// the order out. That risk remains.
 func TestOrderFence(t *testing.T) {
 	t.Parallel()
 	for _, fenced := range []bool{true, false} {
@@ -536,7 +536,7 @@
 	}
 }
 
-// The box disconnects a caller that sends or reads too slowly, and the engines free their memory.
+// The box disconnects a caller that sends or reads too slowly. The engines then free their memory.
 func TestSlowCallers(t *testing.T) {
 	t.Parallel()
 	o := smallSite()
--- a/internal/box/fleet_test.go
+++ b/internal/box/fleet_test.go
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("%s\n[client extra%d]\nkey_sha256 = %s\n", g.site.Shared, n, config.KeyDigest(fmt.Sprint(n)))
 }
 
-// The command line tool reports a configuration as in force only once all live boxes
-// use it, and names the boxes that lag behind.
+// The command line tool names the boxes that lag behind a configuration. It reports the configuration as in force only
+// once all live boxes use it.
 func TestConfigInForceEverywhere(t *testing.T) {
 	t.Parallel()
 	a := newRig(t, smallSite())
@@ -94,8 +94,8 @@
 	return file
 }
 
-// A box that starts while the platform's configuration table is down takes the accepted configuration from
-// another box. Once the table is back, the new box takes the next version from the table.
+// A box may start while the platform's configuration table is down. It then fetches the accepted configuration from
+// another box. Once the table is back, the new box reads the next version from the table.
 func TestStartDuringOutage(t *testing.T) {
 	t.Parallel()
 	a := newRig(t, smallSite())
@@ -109,7 +109,7 @@
 	b.eventually("the new box follows", func() bool { return b.box.Gateway.Config().Version == 2 })
 }
 
-// Any box can explain how a request was served, also after the box that served the request is gone.
+// Any box can explain how a request was served. This also holds after the box that served the request is gone.
 func TestWhyFromAnyBox(t *testing.T) {
 	t.Parallel()
 	a := newRig(t, smallSite())
@@ -124,7 +124,7 @@
 	a.runCLI(0, "Answered whole", "why", id)
 }
 
-// Requests with the same idempotency key run at most once, also if they are sent to different boxes.
+// Requests with the same idempotency key run at most once, even if they are sent to different boxes.
 func TestKeyThroughManyBoxes(t *testing.T) {
 	t.Parallel()
 	a := newRig(t, smallSite())
@@ -158,8 +158,8 @@
 	}
 }
 
-// A client account's limit applies to all boxes together, and each box is granted a share of it that follows the
-// requests that the box receives.
+// A client account's limit applies to all boxes together. Each box is granted a share of the limit. The share follows
+// the number of requests that the box receives.
 func TestLimitAcrossBoxes(t *testing.T) {
 	t.Parallel()
 	o := smallSite()
--- a/internal/box/list_test.go
+++ b/internal/box/list_test.go
@@ -17,10 +17,10 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// BenchmarkListChange measures the time that a box takes to apply one changed row of the endpoint list, for
-// several list lengths. At 10,000 rows it took 33 ms while the list, the roles and the logged state were rebuilt
-// on each change, and 21 ms with the list changed in place (one run each, beside other load). On another machine
-// it took 11.8 ms and 3.9 MB of garbage while each endpoint was described anew, and 7.4 ms and 1.7 MB when only
+// BenchmarkListChange measures the time that a box takes to apply one changed row of the endpoint list. It does so for
+// several list lengths. At 10,000 rows it took 33 ms while the list, the roles and the logged state were rebuilt on
+// each change. It took 21 ms with the list changed in place (one run each, beside other load). On another machine it
+// took 11.8 ms and 3.9 MB of garbage while each endpoint was described anew. It took 7.4 ms and 1.7 MB there when only
 // the endpoints that the box uses were described.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
@@ -51,8 +51,8 @@
 	return x
 }
 
-// handOver has the box apply a list of endpoints as if its table had read it, without the pause that the box
-// otherwise makes between two lists.
+// handOver has the box apply a list of endpoints as if its table had read the list. It leaves out the pause that the
+// box otherwise makes between two lists.
 func (b *RelayBox) handOver(rows map[string][]byte) {
 	b.tables[tableEndpoints].Reapply(func() {
 		b.listDueAt = time.Time{}
@@ -87,8 +87,8 @@
 	}
 }
 
-// If a long list changes often, the box passes several changes on together, after a bounded delay. Passing changes
-// on costs work on the whole list: boxes with a fifth of a core that received 50 new rows every 60 ms did nothing else.
+// If a long list changes often, the box passes several changes on together, after a bounded delay. Each pass costs work
+// on the whole list. Boxes with a fifth of a core that received 50 new rows every 60 ms once did nothing else.
 func TestListNewsGathered(t *testing.T) {
 	for took, want := range map[time.Duration]time.Duration{0: 0, 300 * time.Microsecond: 3 * time.Millisecond, time.Minute: maxListPause} {
 		if got := listPause(took); got != want {
--- a/internal/box/probe.go
+++ b/internal/box/probe.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// probeInterval is the time between two probes of a box. It does not depend on the number of engines, so that
-	// the bytes per second that a box spends on probes do not grow with the fleet.
+	// probeInterval is the time between two probes of a box. It does not depend on the number of engines. So the
+	// bytes per second that a box spends on probes do not grow with the fleet.
 	probeInterval = 250 * time.Millisecond
-	// minProbeAge is how old the last load report of an engine must be before the engine is probed.
+	// minProbeAge is the least age of a report that leads to a probe. An engine with a younger load report is not
+	// probed.
 	minProbeAge = time.Second
 )
 
-// prober keeps the load reports of engines fresh. Most reports arrive with answers. The engine with the oldest
-// report is asked for a new one, which is called a probe.
+// prober keeps the load reports of engines fresh. Most reports arrive with answers. A probe is a request for a new
+// report. It goes to the engine with the oldest report.
 type prober struct {
 	engines *engine.Client
 	gw      *gateway.Gateway
@@ -35,8 +36,8 @@
 	addr       string
 	role       config.Role
 	lastReport time.Time // When the last report arrived or the last probe was sent.
-	// nextEvent is the number of the next cache event to request from the engine, and eventsPolledAt is when events
-	// were last requested. A cache event says which prompt prefixes the engine evicted from its cache.
+	// A cache event says which prompt prefixes the engine evicted from its cache. nextEvent is the number of the
+	// next cache event to request. eventsPolledAt is when cache events were last requested.
 	nextEvent      int64
 	eventsPolledAt time.Time
 }
@@ -62,7 +63,7 @@
 	}
 }
 
-// receiveReport takes a load report that came with an answer or a probe.
+// receiveReport records a load report that came with an answer or a probe.
 func (p *prober) receiveReport(addr string, l engine.Load) {
 	now := clock.Now()
 	p.mu.Lock()
@@ -89,8 +90,9 @@
 	return p.takeOldest(now, minProbeAge, func(e *probeTarget) *time.Time { return &e.lastReport })
 }
 
-// takeOldest returns the engine with the earliest time, as given by timeOf, and sets that time to now. It returns
-// nil if that time is less than minAge ago. Engines for which timeOf returns nil are left out.
+// takeOldest returns the engine with the earliest time. timeOf gives the time of each engine, or nil to leave the
+// engine out. takeOldest sets the time of the returned engine to now. If the earliest time is less than minAge ago,
+// takeOldest returns nil.
 func (p *prober) takeOldest(now time.Time, minAge time.Duration, timeOf func(*probeTarget) *time.Time) *probeTarget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,12 +127,12 @@
 	}
 }
 
-// eventsInterval is the least time between two requests for the cache events of an engine. Events are requested
-// only when no engine needs a probe, because then answers bring load reports often enough.
+// eventsInterval is the least time between two requests for the cache events of an engine. Events are requested only
+// when no engine needs a probe. No engine needs a probe when answers bring load reports often enough.
 const eventsInterval = 2 * time.Second
 
-// nextEventRead returns the prefill engine whose cache events were requested longest ago, or nil if that was less
-// than eventsInterval ago.
+// nextEventRead returns the prefill engine whose cache events were requested longest ago. It returns nil if that
+// request was less than eventsInterval ago.
 func (p *prober) nextEventRead(now time.Time) *probeTarget {
 	return p.takeOldest(now, eventsInterval, func(e *probeTarget) *time.Time {
 		if e.role != config.RolePrefill {
@@ -140,9 +142,9 @@
 	})
 }
 
-// readEvents fetches the cache evictions of an engine. Late events do no harm: if the box wrongly assumes that a
-// prefix was evicted, the prefix is only computed again; if it wrongly assumes that a prefix is cached, the
-// engine's answer corrects it.
+// readEvents fetches the cache evictions of an engine. Late events do no harm. If the box wrongly assumes that a
+// prefix was evicted, the prefix is only computed again. If the box wrongly assumes that a prefix is cached, the
+// engine's answer corrects the box.
 func (p *prober) readEvents(ctx context.Context, e *probeTarget) {
 	p.mu.Lock()
 	after := e.nextEvent
--- a/internal/box/process_test.go
+++ b/internal/box/process_test.go
@@ -20,8 +20,8 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// boxFileEnv is an environment variable that names a settings file. If it is set, the test program runs a box with
-// these settings instead of the tests, so that tests can kill a real process.
+// boxFileEnv is an environment variable that names a settings file. If it is set, the test program runs no tests, but
+// a box with these settings. So tests can kill a real process.
 const boxFileEnv = "STOATRAMP_TEST_BOX"
 
 func TestMain(m *testing.M) {
@@ -98,8 +98,8 @@
 	return p
 }
 
-// startStream begins a long answer and returns once a decode engine has reserved memory for it. The reply follows
-// on the channel.
+// startStream begins a long answer. It returns once a decode engine has reserved memory for the answer. The channel
+// delivers the reply.
 func (p *process) startStream(prompt string, max int) chan reply {
 	got := make(chan reply, 1)
 	go func() { got <- p.stream(prompt, max) }()
@@ -114,8 +114,8 @@
 	}
 }
 
-// When a box is killed, its callers can see that their streams are incomplete, and the
-// engines free their memory by themselves.
+// When a box is killed, its callers can see that their streams are incomplete. The engines free their memory by
+// themselves.
 func TestKilledBox(t *testing.T) {
 	p := startProcess(t, smallSite())
 	got := p.startStream("a long story", 5000)
@@ -128,8 +128,8 @@
 	p.logReply(v)
 }
 
-// After SIGTERM the box finishes its running requests and exits with code 0. SIGURG does not stop it: the Go
-// runtime sends that signal to itself regularly.
+// After SIGTERM the box finishes its running requests and exits with code 0. SIGURG does not stop the box. The Go
+// runtime regularly sends that signal to its own process.
 func TestTermDrains(t *testing.T) {
 	p := startProcess(t, smallSite())
 	p.signal(syscall.SIGURG)
--- a/internal/box/relay.go
+++ b/internal/box/relay.go
@@ -42,9 +42,9 @@
 // Site connects a relay box to its platform: it names the tables of the platform's store and parses their rows.
 type Site struct {
 	Protocol relay.Protocol
-	// Operator is the table of the operator's documents, and ParseConfig parses it. EvacuatedHalls returns the
-	// data halls that these documents close to new requests, which is called an evacuation. Endpoints is the
-	// table of endpoints, and ParseEndpoint parses one of its rows.
+	// Operator is the table of the operator's documents, and ParseConfig parses it. Some documents order an
+	// evacuation, which closes a data hall to new requests. EvacuatedHalls returns the halls to close. Endpoints is
+	// the table of endpoints, and ParseEndpoint parses one row of that table.
 	Operator       follow.Source
 	Endpoints      follow.Source
 	ParseConfig    func(rows map[string][]byte) (*relay.Config, error)
@@ -60,17 +60,17 @@
 	MemberTable overlay.Register
 	// Objects stores the decision records of requests.
 	Objects archive.ListableStore
-	// Leases is the table of leases. The box that holds a lease may do a task alone for a limited time.
+	// Leases is the table of leases. A lease lets the box that holds it do a task alone, for a limited time.
 	Leases lease.Rows
-	// Learned is the table in which boxes share what they learned about the speed of engines.
+	// Learned is the table of what boxes learned about the speed of engines. The boxes share it.
 	Learned lease.Rows
 	// SuspectedCrashes is the table of requests during which an endpoint seems to have crashed.
 	// SuspectedCrashChanges follows the changes of this table.
 	SuspectedCrashes      quarantine.Table
 	SuspectedCrashChanges follow.Source
-	// WatchEras calls rose with each new era of the store, a counter that rises each time the store is restored
-	// from an older snapshot. It calls unread when the store's answers no longer state the era. WatchEras may be
-	// nil.
+	// WatchEras follows the era of the store, a counter that rises each time the store is restored from an older
+	// snapshot. It calls rose with each new era. It calls unread when the store's answers no longer state the era.
+	// WatchEras may be nil.
 	WatchEras func(rose func(era int64), unread func(error))
 	// ReadyPath is the path of the platform's readiness check.
 	ReadyPath string
@@ -95,12 +95,12 @@
 	Metrics *telemetry.Metrics
 	Relay   *relay.Relay
 	archive *archive.TimeArchive
-	// node connects this box to the other boxes (package overlay). It is never nil, and does nothing if the
-	// settings name no address for peers.
+	// node connects this box to the other boxes (package overlay). It is never nil. If the settings name no address
+	// for peers, node does nothing.
 	node *overlay.Node
-	// Each client account is owned by one box, which divides the account's limit among all boxes. quotaPool
-	// grants quota for the accounts that this box owns, and quotaGrants holds what the owners of other accounts
-	// granted to this box.
+	// Each client account belongs to one box, its owner. The owner divides the account's limit among all boxes.
+	// quotaPool grants quota for the accounts that this box owns. quotaGrants holds the quota that the owners of
+	// other accounts granted to this box.
 	quotaPool   *quota.Pool
 	quotaGrants *quota.GrantCache
 	// crashes are the requests during which endpoints seem to have crashed.
@@ -113,8 +113,8 @@
 	storeEra atomic.Pointer[storeEra]
 	// listed are the endpoints by the key of their row. Only applyList uses it, and its calls do not overlap.
 	listed map[string]listedEndpoint
-	// listChanged means that listed has changes that the relay has not received yet. The box may pass them on
-	// from listDueAt. listTimerSet means that a timer will do so.
+	// listChanged means that listed has changes that the relay has not received yet. From listDueAt on, the box can
+	// pass these changes on. listTimerSet means that a timer will pass them on.
 	listChanged, listTimerSet bool
 	listDueAt                 time.Time
 	// rewriting means that a goroutine is writing lost rows of the shared configuration back to the store.
@@ -124,13 +124,14 @@
 	configTexts    textHistory
 	ruleTexts      textHistory
 	evacuations    evacuations
-	// listRestored means that the next list of endpoints comes from an older snapshot of the store. gone holds,
-	// by key, the endpoints that were recently removed from the list. hasReplacements means that at least one
-	// row waits for its replacement.
+	// listRestored means that the next list of endpoints comes from an older snapshot of the store. gone holds the
+	// endpoints that were recently removed from the list, by key. hasReplacements means that at least one row waits
+	// for its replacement.
 	listRestored    bool
 	gone            map[string]goneEndpoint
 	hasReplacements bool
-	// keepingExpired means that the box keeps endpoints whose rows may have expired during an outage of the store.
+	// keepingExpired means that the box keeps endpoints although their rows may have expired. It does so during an
+	// outage of the store.
 	keepingExpired bool
 	// startedAt is when the process started. The box does not know how many retries were made before that.
 	startedAt time.Time
@@ -144,7 +145,7 @@
 }
 
 // NewRelay assembles a relay box and opens its listeners. The box writes its log to log. busy reports whether the
-// writer of the log is falling behind; it may be nil.
+// writer of the log is falling behind. busy may be nil.
 func NewRelay(cfg *config.Relay, site Site, log *zap.Logger, busy func() bool) (*RelayBox, error) {
 	b := &RelayBox{site: site, log: log, Metrics: telemetry.NewMetrics(), startedAt: clock.Now()}
 	b.settings.Store(cfg)
@@ -194,8 +195,8 @@
 }
 
 // requestMemoryShare is the share of the process's memory that may be reserved for requests. The other memory is for
-// the box's lists and its ledgers of what is reserved on engines, which together take about 30 MB at 400 boxes, and for
-// garbage that is not collected yet.
+// garbage that is not collected yet, for the box's lists and for its ledgers. A ledger records what is reserved on
+// engines. Lists and ledgers together take up about 30 MB at 400 boxes.
 const requestMemoryShare = 0.3
 
 func boolToFloat(set bool) float64 {
@@ -205,8 +206,8 @@
 	return 0
 }
 
-// registerGauges adds gauges for the age of the box's tables, in seconds, and for the state of its connection
-// to the store.
+// registerGauges adds gauges for the age of the box's tables, in seconds. It also adds gauges for the state of the
+// box's connection to the store.
 func (b *RelayBox) registerGauges() {
 	for name, t := range b.tables {
 		b.Metrics.Set.NewGauge(fmt.Sprintf("stoatramp_age_seconds{of=%q}", name), func() float64 { return t.Fresh.Age().Seconds() })
@@ -259,14 +260,14 @@
 }
 
 const (
-	// The lease for roles allows one box at a time to order engines to change their role. roleLeaseLength is
-	// how long after this box took the lease no other box can take it. That is longer than an engine takes to
-	// change its role, and much longer than roleLeaseUsableFor.
+	// The lease for roles lets one box at a time order engines to change their role. roleLeaseLength is how long no
+	// other box can take the lease after this box took it. It is longer than an engine needs to change its role, and
+	// much longer than roleLeaseUsableFor.
 	roleLeaseLength = 8 * time.Second
 	// roleLeaseUsableFor is how long after taking the lease the box may still send its order.
 	roleLeaseUsableFor = 1500 * time.Millisecond
-	// A recommended role is ordered once roleStableChecks checks in a row recommended it. A check is made every
-	// roleCheckInterval.
+	// A role is ordered once roleStableChecks consecutive checks have recommended it. roleCheckInterval is the time
+	// between two checks.
 	roleCheckInterval = 300 * time.Millisecond
 	roleStableChecks  = 3
 )
@@ -292,12 +293,13 @@
 }
 
 // maxExtraRoleChecks bounds the additional checks that a box makes before it takes the lease for roles. 20 checks
-// take six seconds, which is less than a burst of traffic lasts.
+// last six seconds. A burst of traffic lasts longer than that.
 const maxExtraRoleChecks = 20
 
-// extraRoleChecks is the number of additional checks that this box makes before it takes the lease for roles, so that
-// another box may give the order first. Each box that asks for the lease makes a call to the store, so with more
-// boxes most of them wait longer. The box without an upstream (the box that sends it the tables) does not wait.
+// extraRoleChecks is the number of additional checks that this box makes before it takes the lease for roles. During
+// these checks another box can give the order first. Each box that asks for the lease makes a call to the store. So
+// with more boxes, most boxes wait longer. An upstream is the box that sends tables to this box. A box without an
+// upstream does not wait.
 func (b *RelayBox) extraRoleChecks() int {
 	if !b.node.HasUpstream() {
 		return 0
@@ -305,7 +307,7 @@
 	return 1 + rand.IntN(min(maxExtraRoleChecks, max(1, b.node.MemberCount())))
 }
 
-// estimatesSyncer returns the syncer that shares between boxes, through the store, what they learn about engines.
+// estimatesSyncer returns the syncer that shares through the store what boxes learn about engines.
 func (b *RelayBox) estimatesSyncer() *learned.Syncer {
 	return &learned.Syncer{
 		Rows: b.site.Learned, Pools: b.Relay, Boxes: b.node.MemberCount,
@@ -329,8 +331,9 @@
 // shareInterval is the time between two checks of how many boxes there are.
 const shareInterval = time.Second
 
-// runShare regularly has the relay check whether it is connected to other boxes, and sets this box's part of the
-// retries that the platform allows all boxes together. A box without an address for peers counts as the only box.
+// runShare regularly has the relay check whether it is connected to other boxes. The platform allows all boxes
+// together a number of retries, and runShare sets this box's part of them. A box without an address for peers counts
+// as the only box.
 func (b *RelayBox) runShare() {
 	for b.ctx.Err() == nil {
 		cfg := b.settings.Load()
@@ -354,14 +357,14 @@
 // Stop waits for running requests and shuts the box down.
 func (b *RelayBox) Stop() error { return b.app.Stop() }
 
-// reportStall records and logs that the process got no CPU time, or was frozen, for the time d.
+// reportStall records and logs a stall: for the time d the process got no CPU time, or was frozen.
 func (b *RelayBox) reportStall(d time.Duration) {
 	b.Relay.RecordStall(d)
 	logStall(b.log, b.Metrics, d)
 }
 
-// drain runs before the listeners close. The readiness check fails at once. During a grace period, in which callers
-// notice this, new requests are still served. Then drain waits until the running requests have ended.
+// drain runs before the listeners close. The readiness check fails immediately. Callers notice this during a grace
+// period, in which new requests are still served. Then drain waits until the running requests have ended.
 func (b *RelayBox) drain(context.Context) error {
 	cfg := b.settings.Load()
 	b.log.Info("stopping", zap.Int64("running", b.Relay.Running()), zap.Duration("linger", cfg.GracePeriod), zap.Duration("stop_timeout", cfg.StopTimeout))
@@ -425,8 +428,8 @@
 	return out, nil
 }
 
-// nearLimitShare is the share of a client account's burst (the most that it may use at once). If less than this
-// share remains, operators see the account in the list of accounts near their limit.
+// nearLimitShare is a share of a client account's burst, the most that the account may use at once. If less than
+// this share remains, operators see the account in the list of accounts near their limit.
 const nearLimitShare = 0.25
 
 var _ kratosServer = (*khttp.Server)(nil)
--- a/internal/box/relay_ages.go
+++ b/internal/box/relay_ages.go
@@ -12,9 +12,9 @@
 // ageCheckInterval is the time between two checks of the tables' ages.
 const ageCheckInterval = time.Second
 
-// watchTableAges logs when the information in a table becomes older than the read interval of the table allows, and
-// when it is fresh again. The table itself logs that the store is unreachable. The log line written here also
-// appears if the box fails to ask the store.
+// watchTableAges logs when the information in a table becomes older than the table's read interval allows. It also
+// logs when the information is fresh again. The table itself logs that the store is unreachable. The log line written
+// here also appears if the box fails to ask the store.
 func (b *RelayBox) watchTableAges() {
 	overdue := map[string]bool{}
 	for b.ctx.Err() == nil {
--- a/internal/box/relay_follow.go
+++ b/internal/box/relay_follow.go
@@ -17,52 +17,52 @@
 	"github.com/stoatramp/stoatramp/internal/relay"
 )
 
-// This file sets up the tables of the store that a relay box follows: the operator's configuration, the list of
-// endpoints, the shared configuration of policies and operators, the members (the boxes that have registered) and
-// the suspected crashes.
+// This file sets up the tables of the store that a relay box follows. Two of them are the operator's configuration and
+// the list of endpoints. The shared configuration holds policies and operators. The members are the boxes that have
+// registered. The last table holds the suspected crashes.
 
 // Read intervals of the tables. A call to the store waits until the table changes or the wait time is over. On a
-// large fleet each call is expensive, so the wait is as long as possible. If the store loses a call, the call must
-// still time out before the box is required to have read everything again. The list of endpoints changes often. It
-// is read in batches, and the pause between them is as long as allowed by the time within which the box must know
-// that an endpoint is leaving.
+// large fleet each call is expensive, so the wait is as long as possible. The store may lose a call. That call must
+// time out before the box is required to have read everything again. The list of endpoints changes often, so it is
+// read in batches. The pause between two batches is limited, because the box must know in time that an endpoint is
+// leaving. Within that limit the pause is as long as possible.
 const (
 	callTimeout = 600 * time.Millisecond
-	// rereadSlack is the time for a lost call and the next call, in addition to the wait.
+	// rereadSlack is the time for a lost call and the next call. It is added to the wait.
 	rereadSlack = 800 * time.Millisecond
 	// leavingSlack is the time for reading the list and for finishing requests that have just begun.
 	leavingSlack = 900 * time.Millisecond
 	minWait      = 500 * time.Millisecond
 	minListPause = 200 * time.Millisecond
 	changePause  = 50 * time.Millisecond
-	// manualWait is the wait time for tables that are changed by hand, such as policies. It is longer because these
-	// change rarely.
+	// manualWait is the wait time for tables that are changed by hand, such as policies. It is longer than other
+	// wait times, because these tables change rarely.
 	manualWait = 8 * time.Second
 )
 
-// Read intervals of a box that publishes its tables to other boxes, its followers. What it publishes must be fresh:
-// a follower reads the store itself once its information is older than the limit of that table minus
-// storeReadTime. The publishing box asks the store well before that.
+// Read intervals of a box that publishes its tables to other boxes, its followers. The published information must be
+// fresh. A follower reads the store itself once its information is too old. Too old means older than the limit of
+// that table minus storeReadTime. The publishing box asks the store well before that.
 const (
 	// storeReadTime is the most time that a follower needs to read the store itself. It includes the time of requests
 	// that are already under way to engines.
 	storeReadTime = 900 * time.Millisecond
 	// followedWaitShare and followedPauseShare are shares of a table's maximum age. A call of the publishing box
-	// waits for the first, and after a call that changed the list the box pauses for the second. The two add up
-	// to less than 1, which leaves some time for the transfer to the followers.
+	// waits for followedWaitShare of that age. After a call that changed the list, the box pauses for
+	// followedPauseShare. The two add up to less than 1, which leaves some time for the transfer to the followers.
 	followedWaitShare  = 0.6
 	followedPauseShare = 0.3
-	// settleTime is how long a box that has just started waits for another box to publish a table to it before it
-	// asks the store for changes. It finds that box in the list of members. If all boxes start at once, the list of
-	// members exists after membersSettleTime, and the key that boxes use among each other after another
-	// membersPause. A box counts as in contact with the store 3 s after its start, and must know by then what has
-	// changed.
+	// settleTime is how long a box that has just started waits before it asks the store for changes. In this time
+	// another box may publish the table to it. The new box finds the publishing box in the list of members. If all
+	// boxes start together, the list of members exists after membersSettleTime. The key that boxes use among each
+	// other exists another membersPause later. A box counts as in contact with the store 3 s after its start. By
+	// then it must know what has changed.
 	settleTime        = 2200 * time.Millisecond
 	membersSettleTime = 450 * time.Millisecond
 	// manualMaxAge is the maximum age of tables that are changed by hand.
 	manualMaxAge = 12 * time.Second
-	// membersPause is the least time between two reads of the list of members that return changes. With it, a
-	// box reads several boxes that start together in one batch.
+	// membersPause is the least time between two reads of the list of members that return changes. Several boxes
+	// may start together. Because of the pause, a box reads them in one batch.
 	membersPause = time.Second
 )
 
@@ -93,12 +93,13 @@
 }
 
 // crashOptions returns the read intervals of the table of suspected crashes. This table changes rarely, like the
-// configuration. After an outage each box must know it by the time at which it must have read everything again.
+// configuration. After an outage each box must have read everything again by a set time. The box must know
+// this table by that time.
 func (b *RelayBox) crashOptions(cfg *config.Relay, operator follow.Options) follow.Options {
 	o := operator
 	o.StaleAfter = cfg.RereadWithin - storeReadTime
 	o.FollowedWait = scale(o.StaleAfter, followedWaitShare)
-	o.SettleDelay = 0 // Another box that publishes this table does so before this box first reads it.
+	o.SettleDelay = 0 // Another box that publishes this table does so before the first read.
 	if cfg.Peers != "" {
 		// A box counts as in contact with the store 3 s after its start. Until settleTime another box may
 		// publish the table, which saves one call per box.
@@ -136,9 +137,9 @@
 		Self:     overlay.Member{Name: cfg.Name, Region: cfg.Region, Hall: cfg.Hall, Incarnation: time.Now().UnixNano()},
 		Register: b.site.MemberTable,
 		Tables:   shared,
-		// A box that starts while the store is unavailable may fetch these tables from another box without the key
-		// of the boxes. The other two tables are not open: the policies contain the hashes of the operators' keys,
-		// and the members contain the key of the boxes.
+		// A box that starts while the store is unavailable may fetch these tables from another box. It needs no key
+		// of the boxes for that. The other two tables are not open: the policies contain the hashes of the
+		// operators' keys, and the members contain the key of the boxes.
 		KeylessTables: []string{tableConfig, tableEndpoints, tableCrashes},
 		Seeds:         cfg.Seeds,
 		Room:          func(r overlay.Room) bool { return b.Relay.HasRoom(r) },
@@ -196,7 +197,7 @@
 }
 
 // applyRules puts a newer shared configuration in force. The version in force never decreases, whatever the store
-// returns. A configuration that does not compile is rejected, and the previous configuration stays in force.
+// returns. If a configuration does not compile, applyRules rejects it, and the previous configuration stays in force.
 func (b *RelayBox) applyRules(rows map[string][]byte) {
 	if b.shared.set(rows) {
 		b.rewriteShared()
@@ -239,8 +240,8 @@
 	return err
 }
 
-// isOperator reports whether a key is the operator key in the settings or the key of an operator in the shared
-// configuration.
+// isOperator reports whether a key belongs to an operator. It accepts the operator key in the settings, and the keys
+// of the operators in the shared configuration.
 func (b *RelayBox) isOperator(key string) bool {
 	if first := b.settings.Load().OperatorKeySHA256; first != "" && config.KeyMatches(key, first) {
 		return true
@@ -252,10 +253,11 @@
 type listedEndpoint struct {
 	text     []byte
 	endpoint relay.Endpoint
-	// foreign means that the row names no endpoint to use: a program other than the platform's endpoints wrote
-	// it, or it comes from an older snapshot of the store.
+	// foreign means that the row names no endpoint to use. There are two causes. A program other than the platform's
+	// endpoints wrote the row, or the row comes from an older snapshot of the store.
 	foreign bool
-	// replacement replaces the row at a later time if the row has not changed by then. It is nil if there is none.
+	// replacement replaces the row at a later time if the row has not changed by then. It is nil if no replacement
+	// is planned.
 	replacement *rowReplacement
 }
 
@@ -265,12 +267,13 @@
 	at time.Time
 }
 
-// expiredEntryGrace is how long a missing endpoint is kept after the store is reachable again. Its row may have
-// expired during the outage, and a live endpoint writes its row again within two seconds.
+// expiredEntryGrace is how long a missing endpoint is kept after the store is reachable again. The endpoint's row may
+// have expired during the outage. A live endpoint writes its row again within two seconds.
 const expiredEntryGrace = 2100 * time.Millisecond
 
-// keepExpired keeps the endpoints that are missing from the list for expiredEntryGrace after an outage of the store,
-// and sets a timer to check the list again when live endpoints should have written their rows.
+// keepExpired keeps endpoints that are missing from the list after an outage of the store. It does so for
+// expiredEntryGrace, and not for endpoints that are leaving. It sets a timer to check the list again. By then, live
+// endpoints should have written their rows.
 func (b *RelayBox) keepExpired(next map[string]listedEndpoint) {
 	remaining := expiredEntryGrace - b.timeSinceRecovery()
 	if remaining <= 0 {
@@ -290,7 +293,7 @@
 	}
 }
 
-// timeSinceRecovery is the time since the store answered again after its last outage.
+// timeSinceRecovery is the time since the store first answered after its last outage.
 func (b *RelayBox) timeSinceRecovery() time.Duration { return b.tables[tableEndpoints].SinceRecovery() }
 
 // applyList applies a new list of endpoints. Most rows are unchanged, and most changed rows contain nothing new about
@@ -317,16 +320,16 @@
 }
 
 const (
-	// maxListShare is the largest share of its time that a box spends on passing the list of endpoints to the
-	// relay. Passing the list on takes 7 ms at 10,000 endpoints, and several times that on a fifth of a core.
-	// Changes that arrive in the meantime are passed on together.
+	// maxListShare is a share of the box's time. At most this share is spent on passing the list of endpoints to the
+	// relay. One pass lasts 7 ms at 10,000 endpoints, and several times as long on a fifth of a core. Changes that
+	// arrive between two passes are passed on together.
 	maxListShare = 0.1
-	// maxListPause bounds how long changes of the list wait, however long the last passing on took. A box that
-	// was frozen must learn quickly which endpoints are leaving.
+	// maxListPause bounds how long changes of the list wait, even if the last pass lasted very long. A box that was
+	// frozen must learn quickly which endpoints are leaving.
 	maxListPause = 600 * time.Millisecond
 )
 
-// listPause returns how long further changes wait after passing the list on took the given time.
+// listPause returns how long further changes wait. took is how long the last pass of the list to the relay took.
 func listPause(took time.Duration) time.Duration {
 	return min(time.Duration(float64(took)/maxListShare), maxListPause)
 }
@@ -344,8 +347,8 @@
 	return true
 }
 
-// readList parses the rows that changed, and reports whether they contain anything new. If all known rows are still
-// there, it changes the list in place, because most updates change one row among thousands.
+// readList parses the rows that changed, and reports whether they contain anything new. Most updates change one row
+// among thousands. So if all known rows are still there, readList changes the list in place.
 func (b *RelayBox) readList(rows map[string][]byte) (next map[string]listedEndpoint, changed, inPlace bool) {
 	remaining := 0
 	for key := range rows {
@@ -380,8 +383,8 @@
 	return next, changed, inPlace
 }
 
-// usable returns the endpoints to use. A foreign row names none. If any endpoint of the platform states when it
-// started, then a row without a start time was written by another program and is left out.
+// usable returns the endpoints to use. A foreign row names no endpoint. If any endpoint of the platform states when it
+// started, usable also leaves out rows without a start time. Another program wrote those rows.
 func usable(rows map[string]listedEndpoint) []relay.Endpoint {
 	anyStarted := false
 	for _, l := range rows {
--- a/internal/box/relay_test.go
+++ b/internal/box/relay_test.go
@@ -21,7 +21,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// When a list arrives, only the rows that changed are parsed. Otherwise, on a large fleet, each box would parse
+// When a list arrives, the box parses only the rows that changed. On a large fleet, each box would otherwise parse
 // every endpoint several times a second.
 func TestListReadsNewsOnly(t *testing.T) {
 	reads := 0
@@ -89,9 +89,9 @@
 	return nil, follow.Version{}, follow.ErrHistoryLost
 }
 
-// An endpoint whose row expired during an outage of the store is kept until the endpoint should have written the row
-// again, and is removed if the row is still missing then. An endpoint that disappears while the store answers is
-// removed at once.
+// The row of an endpoint may expire during an outage of the store. The box then keeps the endpoint until the endpoint
+// should have written the row again. If the row is still missing then, the box removes the endpoint. If an endpoint
+// disappears while the store answers, the box removes it immediately.
 func TestLapsedEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
@@ -137,8 +137,9 @@
 	})
 }
 
-// A row that another program wrote in place of an endpoint's row names no endpoint, and the other rows stay valid. If
-// endpoints state when they started, a row without a start time is foreign as well. Such rows are parsed only once.
+// If another program wrote a row in place of an endpoint's row, the row names no endpoint. The other rows stay valid.
+// If endpoints state when they started, a row without a start time is foreign as well. The box parses a foreign row
+// only once.
 func TestRowsOfAnotherWriter(t *testing.T) {
 	reads := 0
 	recorder := &account.Recorder{Metrics: telemetry.NewMetrics(), Log: account.NewNopLog()}
--- a/internal/box/reload.go
+++ b/internal/box/reload.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// reload applies the settings that can change in a running box, and logs those that need a restart. Invalid
-// settings change nothing. Running requests are not affected.
+// reload applies the settings that can change in a running box. It logs the changed settings that need a restart.
+// Invalid settings change nothing. Running requests are not affected.
 func (b *RelayBox) reload() {
 	if b.Reload == nil {
 		b.log.Info("reload", zap.String("outcome", "this box cannot reload its settings"))
@@ -44,8 +44,8 @@
 	b.log.Info("reload", zap.Strings("changed", changed), zap.Strings("needs_restart", restartOnly(old, read)))
 }
 
-// applyReloadable copies the settings that can change in a running box from read to next, and returns the
-// names of the settings that changed.
+// applyReloadable copies settings from read to next. It copies only settings that can change in a running box. It
+// returns the names of the settings that changed.
 func applyReloadable(next, read *config.Relay) (changed []string) {
 	note := func(name string, differs bool) {
 		if differs {
@@ -70,7 +70,8 @@
 	return changed
 }
 
-// restartOnly returns the names of the settings that differ and that take effect only after a restart.
+// restartOnly returns the names of settings that differ between old and read. It lists only settings that take effect
+// after a restart.
 func restartOnly(old, read *config.Relay) (names []string) {
 	settings := []struct {
 		name  string
--- a/internal/box/restored.go
+++ b/internal/box/restored.go
@@ -8,17 +8,17 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// This file corrects the list of endpoints after the store was restored from an older snapshot. What the box
-// knew for certain about an endpoint stays in force: a leaving endpoint does not become ready again, a removed
-// endpoint does not return, and an earlier start of an endpoint does not replace the later one. If an endpoint has
-// written its row again since the restore, the box uses that row.
+// This file corrects the list of endpoints after the store was restored from an older snapshot. What the box knew for
+// certain about an endpoint stays in force. A leaving endpoint does not become ready again. A removed endpoint does
+// not return. An earlier start of an endpoint does not replace a later start. If an endpoint has written its row again
+// since the restore, the box uses that row.
 
 const (
 	// goneRetention is how long the box remembers that an endpoint was removed. It is longer than the age of any
 	// snapshot from which the store is restored.
 	goneRetention = 30 * time.Second
-	// goneGrace is how long an endpoint is not used if it was removed and an older snapshot lists it again. Within
-	// that time the platform removes its row, unless the endpoint renews the row.
+	// goneGrace applies to an endpoint that was removed and that an older snapshot lists again. For this time the box
+	// does not use the endpoint. Within this time the platform removes the row, unless the endpoint renews the row.
 	goneGrace = 4 * time.Second
 )
 
@@ -29,7 +29,8 @@
 }
 
 // restoredRow corrects a row of the older snapshot by what the box knew. old is the row that the box's list had
-// under that key; known is false if there was none.
+// under that key. known is false if the list had no such row. restoredRow may set a timer that replaces the corrected
+// row later.
 func (b *RelayBox) restoredRow(key string, row, old listedEndpoint, known bool) listedEndpoint {
 	if row.foreign {
 		return row
@@ -73,7 +74,7 @@
 	return changed
 }
 
-// recordGone remembers the endpoints that were listed before and are not listed next.
+// recordGone remembers the endpoints that are in the list before and missing from the list next.
 func (b *RelayBox) recordGone(before, next map[string]listedEndpoint, now time.Time) {
 	for key, old := range before {
 		if _, there := next[key]; !there && !old.foreign {
--- a/internal/box/shared.go
+++ b/internal/box/shared.go
@@ -16,20 +16,20 @@
 // SharedTable is the platform's table of the shared configuration, which holds policies and operators.
 type SharedTable interface {
 	control.Table
-	// RestoreRow writes a row again with its old version and text. It writes nothing if the store has the same
-	// version of the row or a later one. It reports whether it wrote.
+	// RestoreRow writes a row again with its old version and text. If the store has the same version of the row or
+	// a later version, RestoreRow writes nothing. It reports whether it wrote.
 	RestoreRow(ctx context.Context, key string, text []byte) (wrote bool, err error)
 	// EncodeRow returns the text of the row that a Put wrote under the given version.
 	EncodeRow(version int64, w platform.Write) ([]byte, error)
 }
 
-// durableTable writes rows of the shared configuration back to the store if the store has lost them. After the
-// store is restored from an older snapshot, an accepted version can be missing. The next change would then be
-// accepted under the same version number.
+// durableTable writes rows of the shared configuration back to the store if the store has lost them. After the store
+// is restored from an older snapshot, an accepted version can be missing. Without the rewriting, the store would accept
+// the next change under the same version number.
 type durableTable struct {
 	inner    SharedTable
 	parseRow func(key string, text []byte) (platform.Row, error)
-	// onError is called for each row that could not be rewritten, and onRewritten for each row that was.
+	// onError is called for each row that could not be rewritten. onRewritten is called for each rewritten row.
 	onError     func(key string, err error)
 	onRewritten func(key string, version int64)
 
@@ -48,13 +48,13 @@
 const (
 	// rewriteTimeout bounds the time for rewriting one row.
 	rewriteTimeout = 2 * time.Second
-	// minRewriteDelay is the least time after a restore before a box rewrites rows without a request of an
-	// operator. rewriteInterval is the least time between two attempts.
+	// minRewriteDelay is the least time between a restore and the first rewriting of rows. It does not apply to a
+	// request of an operator, which rewrites its row first. rewriteInterval is the least time between two attempts.
 	minRewriteDelay = 300 * time.Millisecond
 	rewriteInterval = time.Second
 )
 
-// set takes the rows that the store has now, and reports whether the store lacks versions that the box knows.
+// set receives the rows that the store has now. It reports whether the store lacks versions that the box knows.
 func (k *durableTable) set(rows map[string][]byte) (anyMissing bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -103,7 +103,8 @@
 	return version, nil
 }
 
-// rewrite writes the version of a row that this box knows, unless the store has that version or a later one.
+// rewrite writes the version of a row that this box knows. If the store has that version or a later version, rewrite
+// writes nothing.
 func (k *durableTable) rewrite(ctx context.Context, key string) {
 	k.mu.Lock()
 	row := k.known[key]
@@ -127,8 +128,8 @@
 	}
 }
 
-// rewriteAll rewrites missing rows until the store lacks none. Each box starts after a random delay, which is up to
-// spread longer than minRewriteDelay, so that the boxes share the work.
+// rewriteAll rewrites missing rows until the store lacks none. Each box starts after a random delay, so that the boxes
+// share the work. The delay is at least minRewriteDelay, and up to spread longer.
 func (k *durableTable) rewriteAll(ctx context.Context, spread time.Duration) {
 	for wait := minRewriteDelay + rand.N(spread+1); ; wait = rewriteInterval + rand.N(rewriteInterval) {
 		select {
--- a/internal/box/stop.go
+++ b/internal/box/stop.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// stopPlan divides the time of a graceful stop among its phases: finishing requests, writing the last records and
-// closing the listeners. The platform kills the process when the total time is over.
+// stopPlan divides the time of a graceful stop among three phases. They are finishing requests, writing the last
+// records and closing the listeners. The platform kills the process when the total time is over.
 type stopPlan struct {
 	// deadline is when the stop must have ended. It is nil until the stop begins.
 	deadline atomic.Pointer[time.Time]
@@ -18,21 +18,21 @@
 	// kill the process.
 	finalFlushTimeout = 400 * time.Millisecond
 	// minClosing is the least time that is left for closing the listeners and sending the ends of the last answers.
-	// maxClosing is the most time for that, because a connection that never sent a request delays closing.
+	// maxClosing is the most time for this. A connection that never sent a request would otherwise delay closing.
 	minClosing = 300 * time.Millisecond
 	maxClosing = 2 * time.Second
-	// finalPhasesShare bounds the share of a stop's total time that is kept for the last records and for closing.
+	// finalPhasesShare is a share of a stop's total time. At most this share is kept for the last two phases.
 	finalPhasesShare = 0.25
 )
 
-// begin starts a stop with a total duration, and returns the time by which running requests must end.
+// begin starts a stop that may last the time total. It returns the time by which running requests must have ended.
 func (p *stopPlan) begin(now time.Time, total time.Duration) (requests time.Time) {
 	deadline := now.Add(total)
 	p.deadline.Store(&deadline)
 	return deadline.Add(-min(finalFlushTimeout+minClosing, time.Duration(finalPhasesShare*float64(total))))
 }
 
-// closeDeadline returns the time by which listeners must be closed that start to close now.
+// closeDeadline returns a deadline for listeners that start to close now.
 func (p *stopPlan) closeDeadline(now time.Time) time.Time {
 	closing := maxClosing
 	if deadline := p.deadline.Load(); deadline != nil {
--- a/internal/box/stop_test.go
+++ b/internal/box/stop_test.go
@@ -17,8 +17,8 @@
 	return ctx.Err()
 }
 
-// All phases of a stop together must fit the total time, plus minClosing at most. In an earlier version each phase
-// had its own limit, and the limits added up to 1.4 s more than the total time.
+// All phases of a stop together must fit the total time, or exceed it by minClosing at most. In an earlier version each
+// phase had its own limit. The limits added up to 1.4 s more than the total time.
 func TestPartsOfAStopFitItsTime(t *testing.T) {
 	for _, total := range []time.Duration{time.Second, 6 * time.Second, 7500 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
@@ -29,7 +29,7 @@
 				t.Errorf("%s: expected requests to have most of it, got %s", total, requests.Sub(began))
 			}
 			time.Sleep(time.Until(requests))
-			time.Sleep(min(finalFlushTimeout, time.Until(began.Add(total))-minClosing)) // Writing the last records takes all of its time.
+			time.Sleep(min(finalFlushTimeout, time.Until(began.Add(total))-minClosing)) // Writing the last records uses all the time that it has.
 			_ = plannedServer{neverClosed{}, &p}.Stop(context.Background())
 			if took := time.Since(began); took > total+minClosing {
 				t.Errorf("expected a stop of %s, got %s", total, took)
--- a/internal/box/tick_test.go
+++ b/internal/box/tick_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// A stall of the process is reported. A box that got no CPU time believes that its callers and engines were
-// silent, and without the report the log would not show the difference.
+// A stall of the process is reported. A box that got no CPU time believes that its callers and engines were silent.
+// Without the report, the log would not show that the box itself had stalled.
 func TestStallIsReported(t *testing.T) {
 	c := &stuckTicker{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -41,9 +41,9 @@
 	cancel()
 }
 
-// The box must not be woken by ticks while no request runs. Being woken every 20 ms, and twice more every 100 ms,
-// cost 540 system calls a second, against 190 without (counted over 8 s each, with 10,000 endpoints). The box ticks
-// while requests run, and starts to tick again with the next request.
+// The box must not be woken by ticks while no request runs. Waking every 20 ms, and twice more every 100 ms, cost 540
+// system calls a second. Without it there were 190 (counted over 8 s each, with 10,000 endpoints). The box ticks while
+// requests run, and starts to tick again with the next request.
 func TestTicksWhileBusy(t *testing.T) {
 	c := &tickCounter{}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,13 +1,13 @@
 // Package clock provides the time for everything that expires, such as leases, ages and retry budgets.
 //
-// The process may be suspended with its machine for seconds. The monotonic clock of package time stops meanwhile, so
-// everything that expires would appear too young afterwards. The wall clock goes on, but may jump. So the time of this
-// package is the time of package time plus the total time for which the machine was suspended, as measured with
-// CLOCK_BOOTTIME.
+// The process may be suspended with its machine for seconds. The monotonic clock of package time stops meanwhile. By
+// that clock, everything that expires would appear too young afterwards. The wall clock goes on, but may jump. So the
+// time of this package is a sum. It adds the total time for which the machine was suspended to the time of package
+// time. The total is measured with CLOCK_BOOTTIME.
 //
-// Times of this package may be compared only with each other, because time.Now is behind them after a suspension.
-// Timers and deadlines of package time are therefore set to a remaining duration (Until). Times shown to people come
-// from time.Now.
+// Times of this package may be compared only with each other. After a suspension, time.Now is behind them. Timers and
+// deadlines of package time are therefore set to a remaining duration (Until). Times shown to people come from
+// time.Now.
 package clock
 
 import (
@@ -18,13 +18,13 @@
 )
 
 const (
-	// The boot time is read between two readings of the monotonic clock. maxReadSpread is the most that these two
-	// may be apart. If they are further apart, the process was preempted and the measurement is not used.
+	// The boot time is read between two readings of the monotonic clock. maxReadSpread is the most time between
+	// these two readings. If more time passed, the process was preempted and the measurement is not used.
 	maxReadSpread = time.Millisecond
 	// minSuspension is the smallest difference that counts as a suspension.
 	minSuspension = 5 * time.Millisecond
-	// readingLifetime is how long a measurement is reused. It bounds the system calls to a few hundred per second,
-	// and also how long something that has expired may still count as valid after the machine wakes.
+	// readingLifetime is how long a measurement is reused. It bounds the system calls to a few hundred per second.
+	// After the machine wakes, something that has expired may still count as valid for this time.
 	readingLifetime = 2 * time.Millisecond
 )
 
@@ -42,7 +42,7 @@
 	override atomic.Pointer[func() time.Duration]
 )
 
-// suspendedSinceBoot returns how long the machine was suspended since it booted, which is the difference between
+// suspendedSinceBoot returns how long the machine was suspended since it booted. That is the difference between
 // CLOCK_BOOTTIME and CLOCK_MONOTONIC. If that cannot be measured, it returns known, the last known value.
 func suspendedSinceBoot(known time.Duration) time.Duration {
 	var monotonic, boot, monotonicAfter unix.Timespec
--- a/internal/control/store.go
+++ b/internal/control/store.go
@@ -33,17 +33,17 @@
 	Text   string    `json:"text"`
 	Author string    `json:"author"`
 	At     time.Time `json:"at"`
-	// Tokens identify the writes of the latest versions, up to this version, which is last. Each write has a random
-	// token. A writer whose response was lost finds out from them whether its write was accepted, even if a later write
-	// replaced it.
+	// Each write has a random token. Tokens holds the tokens of the latest versions, with the token of this version
+	// last. The response to a write may be lost. The writer then finds out from Tokens whether the write was accepted,
+	// even if a later write replaced the version.
 	Tokens []string `json:"tokens"`
 }
 
 // maxTokens is the maximum length of Version.Tokens.
 const maxTokens = 32
 
-// ConflictError means that a change was based on a version that has been replaced. Current is the accepted version; 0
-// if it could not be read.
+// ConflictError means that a change was based on a version that has been replaced. Current is the accepted version, or
+// 0 if that version could not be read.
 type ConflictError struct{ Current int64 }
 
 func (e *ConflictError) Error() string {
@@ -53,7 +53,7 @@
 // ErrTooLarge means that a configuration does not fit into a row of the table. Nothing was written.
 var ErrTooLarge = errors.New("the configuration is too large")
 
-// UnknownError means that the response to a write was lost, and that it is not known whether the write took effect.
+// UnknownError means that the response to a write was lost. It is not known whether the write took effect.
 type UnknownError struct{ Err error }
 
 func (e *UnknownError) Error() string {
@@ -67,8 +67,8 @@
 // NewStore returns a store that uses table t.
 func NewStore(t Table) *Store { return &Store{t} }
 
-// FromRows returns the accepted version from rows of the table that have already been read; nil if the rows do not
-// contain it.
+// FromRows returns the accepted version from rows of the table that have already been read. It returns nil if the rows
+// do not contain the accepted version.
 func FromRows(rows map[string][]byte, read func(key string, text []byte) (platform.Row, error)) (*Version, error) {
 	text, ok := rows[currentKey]
 	if !ok {
@@ -81,7 +81,8 @@
 	return decode(row)
 }
 
-// Load reads the accepted version. If it has the number known, Load returns platform.ErrUnchanged.
+// Load reads the accepted version. known is the number that the caller already has. If the
+// accepted version has this number, Load returns platform.ErrUnchanged.
 func (s *Store) Load(ctx context.Context, known int64) (*Version, error) {
 	row, err := s.table.Get(ctx, currentKey, known)
 	if err != nil {
@@ -98,8 +99,8 @@
 	return v, nil
 }
 
-// Apply replaces the version with the number base by v, and returns the new number. If the response to its write is
-// lost, it reads the row again and looks for the token of this write.
+// Apply replaces the version with the number base by v, and returns the new number. The response to the write may be
+// lost. Apply then reads the row again and looks for the token of this write.
 func (s *Store) Apply(ctx context.Context, base int64, v Version) (int64, error) {
 	prior, err := s.loadBase(ctx, base)
 	if err != nil {
@@ -128,7 +129,7 @@
 	return number, nil
 }
 
-// loadBase reads the version that a change is based on, and returns a ConflictError if that version was replaced.
+// loadBase reads the version that a change is based on. If that version was replaced, it returns a ConflictError.
 func (s *Store) loadBase(ctx context.Context, base int64) (*Version, error) {
 	v, err := s.Load(ctx, 0)
 	switch {
@@ -152,8 +153,8 @@
 }
 
 // readBack determines the result of a write whose response was lost. If the row is still at the version base, the write
-// may not have arrived yet. If the row has a later version, the write may have been accepted and then replaced. Only
-// the token of version base+1 shows whether this write created that version.
+// may not have arrived yet. If the row has a later version, the write may have been accepted and then replaced. The
+// token of version base+1 shows whether this write created that version. Nothing else shows it.
 //
 // Example: the write was to create version 8. The row is at version 10 with the tokens
 // [.. c d e] of versions 8, 9 and 10. If c is the token of the write, the write was accepted.
@@ -219,12 +220,12 @@
 // followInterval is how long a box waits between two reads of the accepted version.
 const followInterval = time.Second
 
-// FallbackSource returns a version newer than known from elsewhere, such as another box, while the table is
-// unavailable. It returns only versions that the table has accepted.
+// FallbackSource returns a version newer than known, the version that the caller has. While the table is unavailable,
+// it gets that version from elsewhere, such as another box. It returns only versions that the table has accepted.
 type FallbackSource func(ctx context.Context, known int64) (*Version, error)
 
-// Follow polls the table and calls apply with each newer version, until ctx ends. It ignores versions older than the
-// last one that it passed on.
+// Follow polls the table and calls apply with each newer version, until ctx ends. It ignores a version that is older
+// than the version it last passed to apply.
 func (s *Store) Follow(ctx context.Context, fallback FallbackSource, apply func(*Version) error, onError func(error)) {
 	var known int64
 	for {
--- a/internal/control/store_test.go
+++ b/internal/control/store_test.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// Guards against a box that goes back to an older version of the configuration, when a replica of the table that lags
-// behind answers a read.
+// Guards against a box that goes back to an older version of the configuration. This happened when a replica of the
+// table that lags behind answered a read.
 func TestFollow(t *testing.T) {
 	expectFollows(t, []int64{1, 1, 2}, []int64{1, 2})
 	expectFollows(t, []int64{5, 3, 5, 4, 6}, []int64{5, 6})
@@ -78,9 +78,9 @@
 	text    string
 }
 
-// configModel is the model for the linearizability check: one value that operators read and replace, where a change
-// succeeds only if its base version is the current one. A change with an unknown result may or may not have taken
-// effect, so the check tries both resulting states.
+// configModel is the model for the linearizability check. It has one value that operators read and replace. A change
+// succeeds only if its base version is the current version. A change with an unknown result may or may not have taken
+// effect. The check tries both resulting states.
 var configModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{configState{}} },
 	Step: func(state, input, output any) []any {
@@ -109,8 +109,8 @@
 
 type applyFunc func(*Store, configOp) (int64, error)
 
-// countBadHistories lets five operators change a configuration at the same time, once for each seed. It returns how
-// many of these histories are not linearizable.
+// countBadHistories lets five operators change a configuration at the same time. It does so once for each seed. It
+// returns how many of these histories are not linearizable.
 func countBadHistories(seeds uint64, apply applyFunc) (bad int) {
 	for seed := range seeds {
 		table := standin.NewMemTable(seed)
@@ -141,8 +141,8 @@
 					}
 					op := configOp{base: seen.version, text: fmt.Sprintf("%d-%d", operator, n)}
 					if r := record(op, func() configResult { return applyResult(store, op, apply) }); r.unknown {
-						// A change with an unknown result counts as not ended in the linearizability check, and the check
-						// allows each operator only one operation at a time. So this operator makes no other.
+						// A change with an unknown result counts as not ended in the linearizability check. The
+						// check allows each operator only one operation at a time. So this operator makes no other.
 						return
 					}
 				}
@@ -189,8 +189,8 @@
 	}
 }
 
-// The linearizability check must find the fault in this store: it reports a conflict when the response to a write is
-// lost, although the write may have taken effect.
+// The linearizability check must find the fault in this store. The store reports a conflict when the response to a
+// write is lost. But the write may have taken effect.
 func TestConfigHistoriesCatchABug(t *testing.T) {
 	applyCarelessly := func(s *Store, op configOp) (int64, error) {
 		n, err := applyCorrectly(s, op)
--- a/internal/cost/cost.go
+++ b/internal/cost/cost.go
@@ -1,28 +1,28 @@
 // Package cost is the performance model of the engines. The stand-in engines use it in real time, and the benchmark
-// uses it in virtual time, so that both simulate the same engine.
+// uses it in virtual time. So the stand-in engines and the benchmark simulate the same engine.
 package cost
 
 import "time"
 
 // Model describes the speed and memory of one engine.
 type Model struct {
-	// PrefillRate is the number of prompt tokens that are not cached that the engine computes per second.
+	// PrefillRate is how many prompt tokens the engine computes per second. Cached tokens do not count.
 	PrefillRate float64
-	// PrefillBase is the fixed part of the time that each prefill takes.
+	// PrefillBase is the fixed part of the duration of each prefill.
 	PrefillBase time.Duration
 	// The time between two tokens of a stream is Step plus StepPerStream for each stream in the batch.
 	Step          time.Duration
 	StepPerStream time.Duration
 	// KVTokens is the size of the engine's KV memory, in tokens.
 	KVTokens int
-	// KVBytesPerToken, and LinkRate in bytes per second, determine how long a transfer of KV cache takes.
+	// KVBytesPerToken and LinkRate determine how long a transfer of KV cache lasts. LinkRate is in bytes per second.
 	KVBytesPerToken int
 	LinkRate        float64
 	// Expiry is how long the engine keeps the result of a prefill.
 	Expiry time.Duration
 }
 
-// Prefill returns the time to prefill a prompt, given its tokens and how many of them are cached.
+// Prefill returns the time to prefill a prompt. It is given the number of tokens and how many of them are cached.
 func (m Model) Prefill(tokens, cached int) time.Duration {
 	return m.PrefillBase + seconds(float64(max(1, tokens-cached))/m.PrefillRate)
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch runs the decision core (package decide) for the requests of one box. The core takes one event at a
-// time and returns actions. This package passes the events to the core one after another, hands each action to the
-// request that it concerns, and carries out aborts: orders to an engine to stop a call.
+// Package dispatch runs the decision core (package decide) for the requests of one box. The core processes one event at
+// a time and returns actions. This package passes the events to the core one after another. It hands each action to the
+// request that the action concerns. It also carries out aborts: orders to an engine to stop a call.
 package dispatch
 
 import (
@@ -23,9 +23,9 @@
 // Dispatcher runs one decision core for many concurrent requests.
 type Dispatcher struct {
 	sendAbort Aborter // Nil if a call can only be aborted by closing its connection.
-	// OnStateChange is called when the core changes its view of an engine's state. It must not block; it may be nil.
+	// OnStateChange is called when the core changes its view of an engine's state. It must not block. It may be nil.
 	OnStateChange func(decide.StateChange)
-	// OnEstimatesChanged is called when the core updates its statistics of a pool. It must not block; it may be nil.
+	// OnEstimatesChanged is called when the core updates its statistics of a pool. It must not block. It may be nil.
 	OnEstimatesChanged func(decide.Estimates)
 	m                  *telemetry.Metrics
 	aborts             sync.WaitGroup
@@ -34,12 +34,13 @@
 	core   *decide.Core
 	calls  map[decide.ID]*Call
 	lastID decide.ID
-	// addresses maps engine names to addresses. It keeps engines that have left the fleet, since aborts must still
-	// reach them.
+	// addresses maps engine names to addresses. It keeps engines that have left the fleet, because aborts must still
+	// reach these engines.
 	addresses map[string]string
 }
 
-// Call is the state of one request in the dispatcher: the actions of the core for it, and its calls to engines.
+// Call is the state of one request in the dispatcher. It holds the core's actions for the request, and the request's
+// calls to engines.
 type Call struct {
 	requestID string
 	// Wake receives a value when there are actions for TakeActions to return.
@@ -95,16 +96,16 @@
 	return d.core.CanResume(clock.Now(), id)
 }
 
-// TakeRetries takes n retries from the retry budget, which limits the retries of this box. If fewer are left, it takes
-// none and returns false.
+// TakeRetries takes n retries from the retry budget, which limits the retries of this box. If fewer than n are left,
+// TakeRetries takes none and returns false.
 func (d *Dispatcher) TakeRetries(n int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.TakeRetries(clock.Now(), n)
 }
 
-// Remove removes a request from the core, however the request ended. If engines still work on the request, that work is
-// aborted.
+// Remove removes a request from the core, however the request ended. If engines still work on the request, Remove
+// aborts that work.
 func (d *Dispatcher) Remove(id decide.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,8 +113,8 @@
 	delete(d.calls, id)
 }
 
-// Admit evaluates a policy for a request that is not submitted to the core. It holds the lock, because a policy program
-// is not safe for concurrent use and the core may be running the same program.
+// Admit evaluates a policy for a request that is not submitted to the core. A policy program is not safe for concurrent
+// use, and the core may be running the same program. So Admit holds the lock.
 func (d *Dispatcher) Admit(p decide.Policy, r *decide.Request, v decide.View) decide.Verdict {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,7 +135,7 @@
 	d.core.SetGossipConnected(yes)
 }
 
-// SetRetryLimits limits the retries of this box to its share of a budget that all boxes have in common.
+// SetRetryLimits limits the retries of this box to a share of a budget. All boxes have that budget in common.
 func (d *Dispatcher) SetRetryLimits(l retry.Limits, boxes int, started time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,8 +150,8 @@
 }
 
 // AcceptFirstToken reports the first token of a decode call to the core. It returns whether the chunks of this call may
-// be written to the caller. They may not if the core has given up the call because it took too long; the caller then
-// receives the chunks of the next call.
+// be written to the caller. The core may have given up the call because it lasted too long. Its chunks may then not be
+// written, and the caller receives the chunks of the next call.
 func (d *Dispatcher) AcceptFirstToken(ev decide.FirstToken) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,9 +159,9 @@
 	return d.core.IsAnswering(ev.ID, ev.Attempt)
 }
 
-// stepLocked passes an event to the core and dispatches the resulting actions. A panic in the core means that one of
-// its invariants is broken. net/http would recover from the panic and leave requests and reservations half updated.
-// Therefore the panic is raised again on a goroutine where nothing recovers from it.
+// stepLocked passes an event to the core and dispatches the resulting actions. A panic in the core means that the core
+// broke one of its invariants. net/http would recover from the panic and leave requests and reservations half updated.
+// Therefore stepLocked raises the panic again on a goroutine where nothing recovers from it.
 func (d *Dispatcher) stepLocked(ev decide.Event) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -210,9 +211,9 @@
 	abortRetryDelay = 250 * time.Millisecond
 )
 
-// abort closes the connection of a call, then tells the engine in the background to free the call's resources. It tries
-// again while the engine does not answer, also after the request has ended. A planned stop of the box waits for these
-// tries. If all fail, the engine frees the memory when its own time limit expires.
+// abort closes the connection of a call. In the background it then tells the engine to free the call's resources. While
+// the engine does not answer, abort tries again, also after the request has ended. A planned stop of the box waits for
+// these tries. If all tries fail, the engine frees the memory when its own time limit expires.
 func (d *Dispatcher) abort(a decide.Abort) {
 	c := d.calls[a.ID]
 	c.cancel(a.Attempt)
@@ -255,8 +256,8 @@
 	return out
 }
 
-// AttemptContext returns the context for one attempt, that is, for one call to an engine. The context is cancelled when
-// the core aborts the attempt. If the abort came first, the returned context is already cancelled.
+// AttemptContext returns the context for one attempt. An attempt is one call to an engine. The context is cancelled
+// when the core aborts the attempt. If the abort came first, the returned context is already cancelled.
 func (c *Call) AttemptContext(ctx context.Context, a decide.Attempt) context.Context {
 	ctx, cancel := context.WithCancel(ctx)
 	c.mu.Lock()
@@ -281,8 +282,8 @@
 // WaitAborts waits until every abort has reached its engine or has used up its tries.
 func (d *Dispatcher) WaitAborts() { d.aborts.Wait() }
 
-// Engines returns the engines as the core sees them, the number of requests that wait for an engine, and a sentence for
-// each role (prefill or decode) that is short of capacity.
+// Engines returns the engines as the core sees them, and the number of requests that wait for an engine. It also
+// returns a sentence for each role (prefill or decode) that is short of capacity.
 func (d *Dispatcher) Engines() ([]decide.EngineState, int, []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -298,7 +299,7 @@
 	return d.core.Waiting()
 }
 
-// RecommendRoleChange returns engines that should change their role (prefill or decode). The bool is false if none
+// RecommendRoleChange returns engines that should change their role (prefill or decode). The bool is false if no engine
 // should.
 func (d *Dispatcher) RecommendRoleChange() (decide.RoleChange, bool) {
 	d.mu.Lock()
@@ -306,16 +307,16 @@
 	return d.core.RecommendRoleChange()
 }
 
-// Grant answers another box that wants to send a request to a decode engine. For each engine, one box (its owner) adds
-// up such requests, so that all boxes together do not send more than fits. If the engine has free capacity, Grant
-// counts the request there and returns true.
+// Grant answers another box that wants to send a request to a decode engine. Each engine has one box as its owner. The
+// owner adds up the requests of all boxes to the engine. So all boxes together do not send more than fits on the
+// engine. If the engine has free capacity, Grant counts the request on that engine and returns true.
 func (d *Dispatcher) Grant(engine string, r decide.Request) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Grant(clock.Now(), engine, r)
 }
 
-// EstimateStreamTime predicts how long the decode engines of a pool take to generate a number of tokens for one
+// EstimateStreamTime predicts how long the decode engines of a pool need to generate a number of tokens for one
 // request.
 func (d *Dispatcher) EstimateStreamTime(pool string, tokens int) time.Duration {
 	d.mu.Lock()
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -20,7 +20,8 @@
 // CallError describes how a call to an engine failed, and whether the engine may have run the request.
 type CallError struct {
 	Reason outcome.Reason
-	// MayHaveRun is false only if no byte of the request was sent, or the engine said that it did not run the request.
+	// MayHaveRun is false in two cases only. Either no byte of the request was sent, or the engine said that it did not
+	// run the request.
 	MayHaveRun bool
 	// KVExpired means that the prefill engine had dropped the KV cache before the decode engine fetched it.
 	KVExpired bool
@@ -36,8 +37,8 @@
 type Call struct {
 	Address string // ip:port
 	Path    string
-	// RequestID identifies this call. An engine includes it in every response to the call. It differs between the calls
-	// that are made for one request.
+	// RequestID identifies this call. An engine includes the id in every response to the call. Two calls that are made
+	// for one request have different ids.
 	RequestID    string
 	MaxTokens    int
 	Priority     int
@@ -56,8 +57,8 @@
 	hc *http.Client
 	// probeClient queries load and cache events, on connections that no request uses.
 	probeClient *http.Client
-	// OnLoad is called with the load report of each response and the engine's address. It must be set before the
-	// first call; it may be nil.
+	// OnLoad is called with the load report of each response and the engine's address. It must be set before the first
+	// call. It may be nil.
 	OnLoad func(address string, l Load)
 }
 
@@ -71,8 +72,8 @@
 // Dial is a function that opens a connection, like net.Dialer.DialContext.
 type Dial = func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// WrapProbeDial wraps the function that opens the connections for probes (queries of load and cache events), so that
-// their bytes can be counted.
+// WrapProbeDial wraps the function that opens the connections for probes. A probe is a query of load or cache events.
+// So the bytes of probes can be counted.
 func (c *Client) WrapProbeDial(wrap func(Dial) Dial) {
 	c.probeClient = httpClient(wrap((&net.Dialer{Timeout: dialTimeout}).DialContext), 1)
 }
@@ -93,9 +94,9 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.hc.CloseIdleConnections() }
 
-// post sends a POST request with the body b, which reaches the engine at most once. No request carries an
-// Idempotency-Key, so net/http sends a request again only if nothing of it was written, because the engine had closed a
-// reused connection.
+// post sends a POST request with the body b. The body reaches the engine at most once. No request carries an
+// Idempotency-Key. So net/http sends a request again only if nothing of the request was written. That happens when the
+// engine had closed a reused connection.
 func (c *Client) post(ctx context.Context, address, path string, b []byte, header http.Header) (*http.Response, error) {
 	// maybeSent is set when a connection is obtained, because bytes may be sent from then on.
 	var maybeSent atomic.Bool
@@ -137,8 +138,8 @@
 	}
 }
 
-// parseRefusal reads an error response. The request counts as not run only if the engine says so with an error code.
-// A 500 without such a code may come from the middle of a run.
+// parseRefusal reads an error response. The request counts as not run only if the engine says so with an error code. A
+// 500 without such a code may come from the middle of a run.
 func parseRefusal(resp *http.Response) error {
 	var body ErrorBody
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
@@ -208,8 +209,8 @@
 	return newStream(resp.Body, call.RequestID, 0), nil
 }
 
-// Resume continues a stream whose connection was lost. next is the number of the first chunk not yet received. The
-// engine keeps running a stream without a connection for a short while.
+// Resume continues a stream whose connection was lost. next is the number of the first chunk that has not been
+// received. Without a connection, the engine keeps running a stream for a short while.
 func (c *Client) Resume(ctx context.Context, address, requestID string, next int) (*Stream, error) {
 	b, err := json.Marshal(AbortRequest{RequestID: requestID})
 	if err != nil {
@@ -223,7 +224,7 @@
 	return newStream(resp.Body, requestID, next), nil
 }
 
-// Abort frees the memory that the engine reserves for a call. It may be repeated, because an engine gives the same
+// Abort frees the memory that the engine reserves for a call. It may be repeated, because the engine gives the same
 // answer for a call that it does not know.
 func (c *Client) Abort(ctx context.Context, address, requestID string) error {
 	b, err := json.Marshal(AbortRequest{RequestID: requestID})
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -10,8 +10,8 @@
 	"strconv"
 )
 
-// The path of orders, and the error code of a refused order. An epoch numbers the right to give orders: a sender that
-// takes over this right from another one uses a higher epoch.
+// The path of orders, and the error code of a refused order. An epoch numbers the right to give orders. A sender may
+// take over this right from another sender. It then uses a higher epoch.
 const (
 	OrderPath    = "/orders"
 	CodeOldEpoch = "old_epoch" // The engine has seen an order of a higher epoch.
@@ -30,8 +30,9 @@
 	OrderRole   OrderKind = "set_role"
 )
 
-// Order is a command to an engine. Epoch numbers the sender's right to give orders: a sender that takes over this right
-// uses a higher epoch. An engine that supports fencing refuses an order whose Epoch is below the highest it has seen.
+// Order is a command to an engine. Epoch numbers the sender's right to give orders. A sender that takes over this right
+// uses a higher epoch. An engine that supports fencing remembers the highest epoch that it has seen. It refuses an
+// order with a lower epoch.
 type Order struct {
 	Epoch   int64     `json:"epoch"`
 	Kind    OrderKind `json:"kind"`
@@ -43,8 +44,8 @@
 // ErrOldEpoch means that the engine refused an order because it had seen an order of a higher epoch.
 var ErrOldEpoch = errors.New("engine: a newer epoch has given orders")
 
-// Order sends an order. After an error other than ErrOldEpoch it is not known whether the engine carried out the order.
-// The order may be sent again, because each order sets a state.
+// Order sends an order. After ErrOldEpoch the engine has not carried out the order. After any other error the
+// engine may have carried it out. The order may be sent again, because each order sets a state.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
 	b, err := json.Marshal(o)
 	if err != nil {
@@ -64,11 +65,11 @@
 	return errors.Join(err, resp.Body.Close())
 }
 
-// CacheEvents lists the blocks that an engine evicted from its prefix cache. The engine publishes them with a delay. It
-// keeps a limited number, so some are lost if the events are queried too rarely.
+// CacheEvents lists the blocks that an engine evicted from its prefix cache. The engine publishes these events with a
+// delay. It keeps a limited number of events. If they are queried too rarely, some events are lost.
 type CacheEvents struct {
 	Removed []uint64 `json:"removed"`
-	// Next is the sequence number to pass as after in the next query.
+	// Next is the sequence number for the next query. The query passes it as its argument after.
 	Next int64 `json:"next"`
 	// Gap means that the engine had already dropped some of the events that were asked for.
 	Gap bool `json:"gap"`
@@ -81,7 +82,7 @@
 	return ev, err
 }
 
-// probe sends a GET request on a connection that is used for probes only, and decodes the JSON response into v.
+// probe sends a GET request and decodes the JSON response into v. Its connection is used for probes only.
 func (c *Client) probe(ctx context.Context, address, path string, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, shortCallTimeout)
 	defer cancel()
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -22,8 +22,8 @@
 type Chunk struct {
 	// Data is the JSON of the chunk as the engine sent it.
 	Data string
-	// IDStart and IDEnd are the offsets in Data at which the JSON string of the answer's id starts and ends, quotes
-	// included.
+	// The JSON string of the answer's id is a part of Data. IDStart and IDEnd are the offsets in Data at which this
+	// string starts and ends, quotes included.
 	IDStart, IDEnd int
 	// Offset is the number of the chunk in its stream, from 0.
 	Offset int
@@ -35,14 +35,14 @@
 	HasChoices bool
 }
 
-// Stream reads the chunks of one answer. It passes on each chunk once and in order, and drops chunks of other requests.
+// Stream reads the chunks of one answer. It passes on each chunk once and in order. It drops chunks of other requests.
 type Stream struct {
 	body      io.ReadCloser
 	requestID string
 	next      int // The number of the next chunk.
 
-	// Foreign counts the dropped chunks of other requests, and Repeated the dropped chunks that had been received
-	// before.
+	// Foreign counts the dropped chunks of other requests. Repeated counts the chunks that were dropped because they
+	// had been received before.
 	Foreign, Repeated int
 }
 
@@ -53,7 +53,7 @@
 // Close closes the connection, which makes Read return.
 func (s *Stream) Close() error { return s.body.Close() }
 
-// Next returns the number of the first chunk not yet received.
+// Next returns the number of the first chunk that has not been received.
 func (s *Stream) Next() int { return s.next }
 
 var errNoEndMarker = errors.New("the stream closed before its end marker")
@@ -86,10 +86,10 @@
 }
 
 // accept returns the chunk in an event. The bool is false if the event is dropped. A missing chunk is an error, so that
-// the stream can be resumed from that chunk.
+// the stream can be resumed from the missing chunk.
 //
-// Example: after chunk 4, an event with id 4 is a duplicate and is dropped; the event with id 5 is accepted. An event
-// with id 6 means that chunk 5 was lost; the stream is then resumed from chunk 5.
+// Example: after chunk 4, an event with id 4 is a duplicate and is dropped. The event with id 5 is accepted. An event
+// with id 6 means that chunk 5 was lost. The stream is then resumed from chunk 5.
 func (s *Stream) accept(ev sse.Event) (Chunk, bool, error) {
 	if !gjson.Valid(ev.Data) {
 		return Chunk{}, false, &CallError{Reason: outcome.Truncated, MayHaveRun: true, Err: errors.New("a chunk is not JSON")}
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -1,10 +1,10 @@
-// Package engine calls language model engines: it implements their streaming completion API over HTTP and maps every
+// Package engine calls language model engines. It implements their streaming completion API over HTTP. It maps every
 // failure of a call to a typed CallError.
 //
 // A prefill engine processes the prompt, and a decode engine generates the answer. A prefill call is a completion of
-// one token, and its response contains kv_transfer_params; the decode call repeats them in its request. They contain a
-// handle, with which the decode engine fetches the prompt's KV cache from the prefill engine. The id of each
-// server-sent event is the number of its chunk, so a stream can be resumed with Last-Event-ID.
+// one token. Its response contains kv_transfer_params, and the decode call repeats these parameters in its request.
+// They contain a handle. With the handle, the decode engine fetches the prompt's KV cache from the prefill engine. The
+// id of each server-sent event is the number of its chunk. So a stream can be resumed with Last-Event-ID.
 package engine
 
 import "encoding/json"
@@ -20,15 +20,15 @@
 	EventsPath     = "/cache_events"
 )
 
-// LoadHeader is a header that engines set on every response. It carries a Load as JSON, so that the router learns the
-// load without a probe (a query of its own).
+// LoadHeader is a header that engines set on every response. It carries a Load as JSON. So the router learns the load
+// without a probe, which is a separate query.
 const LoadHeader = "X-Engine-Load"
 
 // KVParams describe how the KV cache of a prompt gets from a prefill engine to a decode engine.
 type KVParams struct {
 	// Prefill tells the engine to keep the KV cache of the prompt until a decode engine fetches it.
 	Prefill bool `json:"do_remote_decode,omitempty"`
-	// Handle identifies the KV cache on the prefill engine, whose address is Remote.
+	// Handle identifies the KV cache on the prefill engine. Remote is the address of that engine.
 	Handle string `json:"handle,omitempty"`
 	Remote string `json:"remote_addr,omitempty"`
 	// ExpiresMS is how long the prefill engine keeps the KV cache after its response, in milliseconds.
@@ -75,8 +75,8 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Load is an engine's load report. AgeMS is the age of the figures in milliseconds. FreeKV is the free memory for KV
-// caches in tokens. Leaving means that the engine is about to stop.
+// Load is an engine's load report. AgeMS is the age of the report's numbers in milliseconds. FreeKV is the free memory
+// for KV caches in tokens. Leaving means that the engine is about to stop.
 type Load struct {
 	AgeMS        int64 `json:"age_ms"`
 	QueuedTokens int   `json:"queued_tokens"`
@@ -113,7 +113,7 @@
 	Code    string `json:"code"`
 }
 
-// encodeBody merges the router's fields with rest, a JSON object of the caller's fields without those in
+// encodeBody merges the router's fields with rest. rest is a JSON object of the caller's fields, without the fields in
 // OverriddenFields.
 func encodeBody(p Params, rest []byte) ([]byte, error) {
 	own, err := json.Marshal(p)
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -12,11 +12,11 @@
 	"github.com/stoatramp/stoatramp/internal/outcome"
 )
 
-// completionWriter writes the chunks of an engine's answer to the caller, either as a stream of events or as one JSON
-// document.
+// completionWriter writes the chunks of an engine's answer to the caller. It writes them as a stream of events or as
+// one JSON document.
 type completionWriter interface {
 	chunk(c *engine.Chunk, flush bool) error
-	// end completes the response. It is called only when the engine has sent the whole answer; u may be nil.
+	// end completes the response. It is called only when the engine has sent the whole answer. u may be nil.
 	end(u *engine.Usage) error
 }
 
@@ -32,8 +32,8 @@
 	return &streamWriter{x: x, rc: http.NewResponseController(x.w), id: string(quoted), usage: req.IncludeUsage}
 }
 
-// streamWriter forwards chunks as server-sent events. It writes nothing before the first token, so that a request
-// that fails before its first token can still be refused with an HTTP status.
+// streamWriter forwards chunks as server-sent events. It writes nothing before the first token. So a request that fails
+// before its first token can still be refused with an HTTP status.
 type streamWriter struct {
 	x             *exchange
 	rc            *http.ResponseController
@@ -67,8 +67,8 @@
 	s.x.w.WriteHeader(http.StatusOK)
 }
 
-// write sends buf under a write deadline, which bounds how long a caller may leave the response unread. The deadline
-// is moved only after half of it has passed, because each move resets a timer.
+// write sends buf under a write deadline, which bounds how long a caller may leave the response unread. Each move of
+// the deadline resets a timer. So write moves the deadline only after half of its time has passed.
 func (s *streamWriter) write(flush bool) error {
 	timeout := s.x.g.box.WriteTimeout
 	if now := time.Now(); s.writeDeadline.Sub(now) < timeout/2 {
@@ -103,7 +103,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// bufferedWriter collects the chunks of an answer into one JSON response, for a caller that did not ask for a stream.
+// bufferedWriter collects the chunks of an answer into one JSON response. It serves a caller that did not ask for a
+// stream.
 type bufferedWriter struct {
 	x       *exchange
 	chat    bool
@@ -122,7 +123,7 @@
 	Usage   *engine.Usage `json:"usage,omitempty"`
 }
 
-// choice collects the pieces of one of the alternative answers ("choices") that a request may ask for.
+// choice collects the pieces of one choice. A request may ask for several alternative answers, called choices.
 type choice struct {
 	text         strings.Builder
 	reasoning    strings.Builder
@@ -188,8 +189,8 @@
 	})
 }
 
-// addToolCall adds a piece of a tool call. The first piece of a call carries the function's name; later pieces append
-// to the function's arguments.
+// addToolCall adds a piece of a tool call. The first piece of a tool call carries the function's name. Later pieces
+// append to the function's arguments.
 func (c *choice) addToolCall(t gjson.Result) {
 	i := int(t.Get("index").Int())
 	if i < 0 || i > len(c.toolCalls) {
@@ -232,8 +233,8 @@
 	Content []json.RawMessage `json:"content"`
 }
 
-// end writes the response with its Content-Length, so that a caller can detect a
-// connection that breaks in the middle of it.
+// end writes the response with its Content-Length. So a caller can detect that the connection broke in the middle of
+// the response.
 func (w *bufferedWriter) end(u *engine.Usage) error {
 	out := completion{ID: w.id, Object: "text_completion", Created: w.created, Model: w.model, Usage: u}
 	if w.chat {
--- a/internal/gateway/begin_test.go
+++ b/internal/gateway/begin_test.go
@@ -26,8 +26,8 @@
 
 func (c *recordedChunks) end(*engine.Usage) error { return nil }
 
-// startedDecode takes the pending actions of the decision core and returns the current decode attempt; 0 if none
-// has started.
+// startedDecode removes the pending actions of the decision core from the call. If a decode attempt started, it stores
+// the attempt in f. It returns the current decode attempt, or 0 if there is none.
 func startedDecode(f *flight) decide.Attempt {
 	for _, a := range f.call.TakeActions() {
 		if d, ok := a.(decide.StartDecode); ok {
@@ -38,9 +38,9 @@
 }
 
 // Guards against a caller receiving the start of its answer twice ("w0 w1 w0 w1 w2 …"). On a busy machine, the first
-// token of a decode call waited in the box's event queue. Meanwhile the decision core gave the call up as stalled and
-// called another engine. The box then forwarded the chunks of the old call, and after them those of the new call. A
-// run in which the box's event loop was delayed for 3 s before the first token failed in the same way.
+// token of a decode call waited in the box's event queue. Meanwhile the decision core gave that call up as stalled and
+// called another engine. The box then forwarded the chunks of the old call, followed by the chunks of the new call.
+// In another run the box's event loop was delayed for 3 s before the first token. That run failed in the same way.
 func TestStalledCallWritesNothing(t *testing.T) {
 	cfg := &config.Shared{Pools: []*config.Pool{{Name: "p", Model: "m", KVBytesPerToken: 1, PrefillExpiry: time.Minute}}}
 	for name, role := range map[string]config.Role{"reader": config.RolePrefill, "writer-1": config.RoleDecode, "writer-2": config.RoleDecode} {
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -19,8 +19,9 @@
 const (
 	// maxResumes bounds how often one call to a decode engine is resumed after its connection was lost.
 	maxResumes = 2
-	// A stream is silent too long if no chunk arrives for silenceTimeoutBase plus silenceTimeoutGaps times the route's
-	// target for the time between tokens. The engine is then treated as crashed.
+	// A stream is silent too long if no chunk arrives for a certain time. That time is silenceTimeoutBase plus
+	// silenceTimeoutGaps times the route's target for the time between tokens. The engine of a stream that is silent
+	// too long is treated as crashed.
 	silenceTimeoutBase = 2 * time.Second
 	silenceTimeoutGaps = 20
 	// eventBuffer is the number of events that may wait while a caller reads its response slowly.
@@ -81,8 +82,8 @@
 	x.rec.FirstTarget, x.rec.GapTarget = route.FirstToken, route.BetweenTokens
 }
 
-// flight is one completion request while engines work on it. An attempt is one call to an engine; a request makes
-// several, at least one for the prefill and one for the decode.
+// flight is one completion request while engines work on it. An attempt is one call to an engine. A request makes
+// several attempts: at least one for the prefill and one for the decode.
 type flight struct {
 	x      *exchange
 	req    *completionRequest
@@ -104,8 +105,8 @@
 	usage           *engine.Usage
 }
 
-// flightEvent is what a call to an engine reports to the loop of its request (flight.loop). It sets attempt, which is
-// the number of the call, and one other field.
+// flightEvent is what a call to an engine reports to the loop of its request (flight.loop). The call sets attempt,
+// which is its own number, and one other field.
 type flightEvent struct {
 	attempt decide.Attempt
 	prefill *engine.PrefillResponse
@@ -115,8 +116,8 @@
 	err     error
 }
 
-// run submits the request to the decision core and carries out the core's actions until the request ends. Whichever way
-// run returns, it frees the engine memory that is still reserved for the request.
+// run submits the request to the decision core and carries out the core's actions until the request ends. However run
+// returns, it frees the engine memory that is still reserved for the request.
 func (x *exchange) run(route *config.Route, req *completionRequest) (o outcome.Outcome) {
 	ctx, cancel := context.WithCancel(x.r.Context())
 	f := &flight{x: x, req: req, route: route, ctx: ctx, events: make(chan flightEvent, eventBuffer), out: newCompletionWriter(x, req)}
@@ -264,14 +265,14 @@
 	return ""
 }
 
-// handleChunk writes one chunk to the caller. It writes nothing if the decision core gave up the call before the call's
-// first chunk was handled. The bool reports whether the request has ended.
+// handleChunk writes one chunk to the caller. The decision core may have given up the call before the call's first
+// chunk was handled. handleChunk then writes nothing. The bool reports whether the request has ended.
 func (f *flight) handleChunk(ev flightEvent) (outcome.Outcome, bool) {
 	if f.firstTokenAt.IsZero() && !f.x.g.disp.AcceptFirstToken(decide.FirstToken{ID: f.id, Attempt: ev.attempt}) {
 		return outcome.Outcome{}, false
 	}
-	// Write the token to the caller before updating the statistics, so that the caller does not wait for them. If more
-	// chunks are queued, leave the flush of the connection to the last of them.
+	// Write the token to the caller before updating the statistics, so that the caller does not wait for the update.
+	// If more chunks are queued, the last of them flushes the connection.
 	if err := f.out.chunk(ev.chunk, len(f.events) == 0); err != nil {
 		return writeErrorOutcome(err), true
 	}
@@ -320,8 +321,8 @@
 	return outcome.Outcome{Kind: outcome.Answered}, true
 }
 
-// chargeTokens counts the tokens that the request used against the client's token limit, and counts goodput: requests
-// that were answered within both latency targets.
+// chargeTokens counts the tokens that the request used against the client's token limit. It also counts goodput:
+// requests that were answered within both latency targets. If no engine ran the request, it counts neither.
 func (f *flight) chargeTokens(o outcome.Outcome) {
 	f.x.g.m.OutputTokens.Add(f.x.rec.Output)
 	if o.Kind == outcome.NotRun {
@@ -339,7 +340,8 @@
 	}
 }
 
-// meanTokenGap returns the mean time between two tokens of the answer; 0 for an answer of fewer than two tokens.
+// meanTokenGap returns the mean time between two tokens of the answer. It returns 0 for an answer of fewer than two
+// tokens.
 func (f *flight) meanTokenGap() time.Duration {
 	if f.x.rec.Output < 2 {
 		return 0
@@ -376,8 +378,8 @@
 	_ = f.send(ctx, flightEvent{attempt: a.Attempt, prefill: ans, err: err})
 }
 
-// callDecode streams the answer from a decode engine. If the connection is lost, it resumes the stream on the same
-// engine.
+// callDecode streams the answer from a decode engine. If the connection is lost, callDecode resumes the stream on the
+// same engine.
 func (f *flight) callDecode(ctx context.Context, a decide.StartDecode, kv engine.KVParams) {
 	call := f.engineCall(a.Decode, a.Attempt, a.Priority)
 	s, err := f.x.g.engines.Decode(ctx, call, kv)
@@ -408,8 +410,8 @@
 	_ = f.send(ctx, flightEvent{attempt: a.Attempt, err: err})
 }
 
-// resumable returns the failure of a stream if the stream may be resumed, otherwise nil. A stream may be resumed if
-// its connection or a chunk was lost after the request was sent, because the engine may still be running it.
+// resumable returns the failure of a stream if the stream may be resumed, otherwise nil. A stream may be resumed if its
+// connection or a chunk was lost after the request was sent. The engine may then still be running the request.
 func resumable(err error) *engine.CallError {
 	var ce *engine.CallError
 	if !errors.As(err, &ce) || !ce.MayHaveRun {
@@ -421,8 +423,8 @@
 	return nil
 }
 
-// readStream reads a stream until its connection ends. It closes the connection if the engine sends nothing for too
-// long, since a connection can stay open after the engine is gone.
+// readStream reads a stream until its connection ends. A connection can stay open after the engine is gone. So
+// readStream closes the connection if the engine sends nothing for too long.
 func (f *flight) readStream(ctx context.Context, s *engine.Stream, a decide.Attempt) error {
 	var timedOut atomic.Bool
 	limit := silenceTimeoutBase + silenceTimeoutGaps*f.route.BetweenTokens
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -4,11 +4,11 @@
 //	identify ► parse ► limit ► claim ► place ► prefill ► transfer ► decode ► answer
 //
 // A stage either passes on its result or ends the request with an outcome.Outcome. To "claim" is to reserve the
-// idempotency key of a request that may run only once, so that no box runs a second request with that key. To "place"
-// is to choose the two engines: one for the prefill (processing the prompt) and one for the decode (generating the
-// answer). The prefill engine's KV cache of the prompt is then transferred to the decode engine.
+// idempotency key of a request that may run only once. No box then runs a second request with that key. To "place" is
+// to choose two engines: one for the prefill (processing the prompt) and one for the decode (generating the answer).
+// The prefill engine's KV cache of the prompt is then transferred to the decode engine.
 //
-// The decision core (package decide) makes these choices; this package carries them out.
+// The decision core (package decide) chooses the engines. This package carries the choices out.
 package gateway
 
 import (
@@ -53,14 +53,14 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// PolicySource holds the compiled policies of one configuration. A policy is an operator's program that may refuse or
-// change the routing of requests.
+// PolicySource holds the compiled policies of one configuration. A policy is an operator's program. It can refuse
+// requests or change their routing.
 type PolicySource interface {
-	// Policy returns the compiled policy with this name; nil if there is none.
+	// Policy returns the compiled policy with this name, or nil if there is no such policy.
 	Policy(name string) decide.Policy
 }
 
-// configSnapshot is one accepted configuration with its compiled policies. It is never modified after it is stored, so
+// configSnapshot is one accepted configuration with its compiled policies. It is never modified after it is stored. So
 // requests read it without a lock.
 type configSnapshot struct {
 	cfg      *config.Shared
@@ -80,8 +80,8 @@
 	m        *telemetry.Metrics
 	log      *zap.Logger
 	ids      *idSource
-	// Incarnation is the time at which this process started, in milliseconds. It is part of each request id, so ids
-	// stay unique after a restart.
+	// Incarnation is the time at which this process started, in milliseconds. It is part of each request id. So
+	// request ids stay unique after a restart.
 	Incarnation int64
 
 	gate gate.Gate
@@ -117,16 +117,16 @@
 	}
 }
 
-// SetConfig applies a configuration to every request that starts from now on. The snapshot is stored last, because it
-// makes the box ready. A request that finds its route in the snapshot must also find the route's engines in the
-// decision core.
+// SetConfig applies a configuration to every request that starts from now on. It stores the snapshot last, because the
+// snapshot makes the box ready. A request that finds its route in the snapshot must also find the route's engines in
+// the decision core.
 func (g *Gateway) SetConfig(c *config.Shared, p PolicySource) {
 	g.disp.SetFleet(fleetOf(c), addressesOf(c))
 	g.plain.setConfig(c)
 	g.snapshot.Store(&configSnapshot{cfg: c, policies: p})
 }
 
-// Config returns the configuration that the box uses; nil before it has received the first one.
+// Config returns the configuration that the box uses. It returns nil before the box has received a configuration.
 func (g *Gateway) Config() *config.Shared {
 	if v := g.snapshot.Load(); v != nil {
 		return v.cfg
@@ -134,7 +134,8 @@
 	return nil
 }
 
-// Version returns the version of the configuration that the box uses; 0 before it has received the first one.
+// Version returns the version of the configuration that the box uses. It returns 0 before the box has received a
+// configuration.
 func (g *Gateway) Version() int64 {
 	if c := g.Config(); c != nil {
 		return c.Version
@@ -148,7 +149,7 @@
 // Evicted tells the decision core that an engine evicted blocks of prompts from its prefix cache.
 func (g *Gateway) Evicted(ev decide.Evicted) { g.disp.Step(ev) }
 
-// ProbeFailed tells the decision core that an engine did not answer a probe, that is, a query of the engine's load.
+// ProbeFailed tells the decision core that an engine did not answer a probe. A probe is a query of the engine's load.
 func (g *Gateway) ProbeFailed(engine string) { g.disp.Step(decide.ProbeFailed{Engine: engine}) }
 
 // NotifyBusy returns a channel that receives a value whenever a request starts while no other request runs.
@@ -160,8 +161,8 @@
 // Running returns the number of requests in progress.
 func (g *Gateway) Running() int64 { return g.gate.Running() }
 
-// Drain refuses new requests. It waits until all running requests have ended and the calls that abort their work on
-// engines have finished.
+// Drain refuses new requests. It waits until all running requests have ended. It also waits for the calls that abort
+// work of these requests on engines.
 func (g *Gateway) Drain(ctx context.Context) error { return g.gate.Drain(ctx, g.disp.WaitAborts) }
 
 // Ready reports whether the box accepts requests: it has a configuration and is not draining.
@@ -205,12 +206,12 @@
 	r        *http.Request
 	snapshot *configSnapshot
 	client   *config.Client
-	// trace collects what happens to the request; rec is the record in it, which operators can read later.
+	// trace collects what happens to the request. rec is the record in the trace. Operators can read it later.
 	trace   *account.Trace
 	rec     *record.Record
 	arrived time.Time
-	// responseStarted is set once any byte of a response was written. After that, a failure can no longer be answered
-	// with an HTTP error status.
+	// responseStarted is set once any byte of a response was written. A later failure can no longer be answered with
+	// an HTTP error status.
 	responseStarted bool
 	// repeatable is false if the request may be run at most once.
 	repeatable bool
@@ -331,7 +332,7 @@
 	return o, cl != nil
 }
 
-// refuse ends the request, and responds with an error unless a response has been started.
+// refuse ends the request. It responds with an error unless a response has been started.
 func (x *exchange) refuse(o outcome.Outcome) {
 	if !x.responseStarted {
 		writeRefusal(x.w, o, x.rec.ID)
@@ -339,12 +340,12 @@
 	x.finish(o)
 }
 
-// claimCloseTimeout bounds closing a claim on an idempotency key, that is, storing in the platform's table how the
-// request ended.
+// claimCloseTimeout bounds closing a claim on an idempotency key. To close a claim is to store in the platform's table
+// how the request ended.
 const claimCloseTimeout = 2 * time.Second
 
-// finish ends the request's trace. If the request has a claim on its idempotency key, finish first stores in the claim
-// how the request ended.
+// finish ends the request's trace. The request may have a claim on its idempotency key. In that case finish first
+// stores in the claim how the request ended.
 func (x *exchange) finish(o outcome.Outcome) {
 	if x.claim != nil {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), claimCloseTimeout)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Guards against a box that reports ready before its decision core knows the engines of its configuration: a request
+// Guards against a box that reports ready before its decision core knows the engines of its configuration. A request
 // that arrived in between was refused with unknown_model.
 func TestReadyKnowsEngines(t *testing.T) {
 	shared := &config.Shared{
--- a/internal/gateway/ids.go
+++ b/internal/gateway/ids.go
@@ -8,7 +8,7 @@
 )
 
 // idSource generates request ids such as "box1-sx2k9f-7pdw0-42". The parts are the name of the box, the start time of
-// its process, the minute and a counter. The id alone tells where and when the request's record was written, so the
+// its process, the minute and a counter. The id alone tells where and when the request's record was written. So the
 // record can be found without an index.
 type idSource struct {
 	prefix string
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -45,7 +45,7 @@
 
 const (
 	// bytesPerToken is used to estimate the number of tokens of a prompt from its length. The estimate serves routing
-	// only; rate limits count the tokens that the engine reports.
+	// only. Rate limits count the tokens that the engine reports.
 	bytesPerToken = 4
 	// maxPrefixBlocks bounds how many blocks of a prompt are hashed. The hashes serve to find engines that have the
 	// start of the prompt in their prefix cache. 128 blocks are 16,384 tokens.
@@ -63,15 +63,15 @@
 	return parseCompletion(b, x.r.URL.Path == engine.ChatPath)
 }
 
-// readBody buffers the whole body, because the choice of engines needs its length and its prefix. Its size and read
-// time are bounded.
+// readBody buffers the whole body, because the choice of engines needs its length and its prefix. The size of the body
+// and the time to read it are bounded.
 func (x *exchange) readBody() ([]byte, outcome.Outcome) {
 	rc := http.NewResponseController(x.w)
 	_ = rc.SetReadDeadline(time.Now().Add(x.g.box.BodyTimeout))
 	b, err := io.ReadAll(http.MaxBytesReader(x.w, x.r.Body, x.g.box.MaxBody))
 	if err == nil {
-		// Clear the read deadline. If it passed during the response, net/http could no longer detect that the caller
-		// disconnects.
+		// Clear the read deadline. If the deadline passed during the response, net/http could no longer detect
+		// that the caller disconnects.
 		_ = rc.SetReadDeadline(time.Time{})
 		return b, outcome.Outcome{}
 	}
@@ -86,8 +86,8 @@
 	return nil, outcome.Refuse(outcome.BadRequest, "the body ended early")
 }
 
-// parseCompletion parses and validates a body, and removes the fields that the router sets itself. It returns either
-// the request or, with a nil request, the refusal.
+// parseCompletion parses and validates a body, and removes the fields that the router sets itself. It returns the
+// request. If the body is refused, it returns a nil request and the refusal.
 func parseCompletion(b []byte, chat bool) (*completionRequest, outcome.Outcome) {
 	var all map[string]json.RawMessage
 	if err := json.Unmarshal(b, &all); err != nil {
@@ -121,9 +121,9 @@
 	return req, outcome.Outcome{}
 }
 
-// encodeFields returns a JSON object with the fields in all, whose values stay byte for byte as the caller wrote them.
-// encoding/json would escape and compact the values, and engines would then report other hashes for the prompt's blocks
-// than hashBlocks.
+// encodeFields returns a JSON object with the fields in all. Their values stay byte for byte as the caller wrote them.
+// encoding/json would escape and compact the values. Engines would then report other hashes for the prompt's blocks
+// than hashBlocks computes.
 func encodeFields(all map[string]json.RawMessage) []byte {
 	out := []byte{'{'}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
@@ -171,8 +171,8 @@
 	return 0
 }
 
-// hashBlocks returns a hash for each whole block at the start of the prompt, up to maxPrefixBlocks. Each hash covers
-// all blocks up to and including its own.
+// hashBlocks returns a hash for each whole block at the start of the prompt, up to maxPrefixBlocks. The hash of a block
+// covers that block and all blocks before it.
 func hashBlocks(text []byte) []uint64 {
 	const size = engine.CacheBlockBytes // One block holds decide.BlockTokens tokens.
 	n := min(len(text)/size, maxPrefixBlocks)
--- a/internal/gateway/plain.go
+++ b/internal/gateway/plain.go
@@ -23,17 +23,18 @@
 	plainDialTimeout = 500 * time.Millisecond
 	plainMaxAttempts = 3
 	copyBufferBytes  = 32 << 10
-	// plainRetryAfter is the Retry-After value in the refusal of a call that no endpoint of a plain service ran.
+	// plainRetryAfter is the Retry-After value of a refusal. The refused call was run by no endpoint of a plain
+	// service.
 	plainRetryAfter = time.Second
 )
 
-// plainPool calls the endpoints of plain services, that is, of services that are not language models.
+// plainPool calls the endpoints of plain services. A plain service is not a language model.
 type plainPool struct {
-	// keepAlive reuses connections. It is used for repeatable calls only, because net/http resends a call when a
-	// reused connection turns out to be closed.
+	// keepAlive reuses connections. It is used for repeatable calls only. net/http resends a call when a reused
+	// connection turns out to be closed.
 	keepAlive *http.Client
-	// singleUse opens a connection for each call. net/http resends a request only on a
-	// reused connection, so this client sends a call at most once.
+	// singleUse opens a connection for each call. net/http resends a request only on a reused connection. So
+	// singleUse sends a call at most once.
 	singleUse *http.Client
 
 	mu   sync.Mutex
@@ -70,8 +71,8 @@
 	}
 }
 
-// choose picks two random endpoints of the service and returns the less loaded of them. It ignores endpoints in other
-// regions, endpoints that are leaving, and the endpoints in tried, on which this call has failed.
+// choose picks two random endpoints of the service and returns the less loaded endpoint. It ignores endpoints in other
+// regions and endpoints that are leaving. It also ignores the endpoints in tried, on which this call has failed.
 func (p *plainPool) choose(service, region string, tried []string) (*config.Endpoint, *atomic.Int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +92,7 @@
 	return a, p.load[a.Name]
 }
 
-// servePlain serves a call to a plain service, that is, one that is not a language model.
+// servePlain serves a call to a plain service. A plain service is not a language model.
 func (x *exchange) servePlain() {
 	s := x.snapshot.cfg.ServiceFor(x.r.URL.Path)
 	if s == nil {
@@ -123,8 +124,8 @@
 	x.copyResponse(resp)
 }
 
-// callService tries endpoints until one of them answers. After a failure it tries another endpoint only if no byte of
-// the call was sent, or if the call is repeatable and has no body.
+// callService tries endpoints until one of them answers. After a failure it tries another endpoint in two cases only.
+// Either no byte of the call was sent, or the call is repeatable and has no body.
 func (x *exchange) callService(ctx context.Context, s *config.Service) (*http.Response, outcome.Outcome) {
 	var tried []string
 	ran := false
@@ -212,8 +213,8 @@
 	return b.ReadCloser.Close()
 }
 
-// copyResponse streams an endpoint's response to the caller. If the endpoint's connection is lost, the caller's
-// connection is closed without a proper end as well.
+// copyResponse streams an endpoint's response to the caller. The endpoint's connection may be lost. The caller's
+// connection is then closed without a proper end as well.
 func (x *exchange) copyResponse(resp *http.Response) {
 	defer resp.Body.Close()
 	id := x.w.Header().Get(HeaderRequestID)
@@ -233,7 +234,7 @@
 	x.finish(outcome.Outcome{Kind: outcome.Answered})
 }
 
-// callerWriteError is an error in writing to the caller, as opposed to one in reading from the endpoint.
+// callerWriteError is an error in writing to the caller. It is told apart from an error in reading from the endpoint.
 type callerWriteError struct{ error }
 
 func (x *exchange) copyBody(body io.Reader) error {
--- a/internal/gateway/refuse.go
+++ b/internal/gateway/refuse.go
@@ -20,7 +20,7 @@
 	Param   *string `json:"param"`
 	Code    string  `json:"code"`
 	// Reason is one of the reasons of package outcome. Run is "not_run" if it is certain that no engine or service ran
-	// the request, and "may_have_run" otherwise.
+	// the request. Otherwise Run is "may_have_run".
 	Reason    outcome.Reason `json:"reason"`
 	Run       string         `json:"run"`
 	RequestID string         `json:"request_id"`
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -5,8 +5,8 @@
 	"github.com/stoatramp/stoatramp/internal/decide"
 )
 
-// Engines returns the engines as the decision core sees them, the number of requests that wait for an engine, and a
-// sentence for each role (prefill or decode) that is short of capacity.
+// Engines returns the engines as the decision core sees them, and the number of requests that wait for an engine. It
+// also returns a sentence for each role (prefill or decode) that is short of capacity.
 func (g *Gateway) Engines() ([]decide.EngineState, int, []string) { return g.disp.Engines() }
 
 // RunningIDs returns the ids of the running requests. A forced stop logs them, because it cuts these requests off.
--- a/internal/h1/body.go
+++ b/internal/h1/body.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// body is a response body. Closing it returns its connection to the pool if the body was read to its end.
+// body is a response body. If it was read to its end, closing it can return its connection to the pool.
 type body struct {
 	io.ReadCloser
 	p           *Pool
@@ -31,12 +31,13 @@
 	return n, err
 }
 
-// restWriteTimeout bounds how long an endpoint that has already answered may take to receive the rest of the request.
+// restWriteTimeout applies to an endpoint that answers before it has received the whole request. It bounds the time for
+// sending the rest of the request.
 const restWriteTimeout = 200 * time.Millisecond
 
-// Close returns the connection to the pool if the response was read to its end, the request was sent completely and the
-// request's context has not closed the connection. In all other cases it closes the connection, because the next
-// request could read bytes of this response.
+// Close returns the connection to the pool under three conditions. The response was read to its end, the request was
+// sent completely, and the request's context has not closed the connection. In all other cases Close closes the
+// connection, because the next request could read bytes of this response.
 func (b *body) Close() error {
 	b.once.Do(func() {
 		if b.cancelClose() && b.reachedEOF && b.fullySent() {
@@ -69,8 +70,8 @@
 
 var errTooLong = errors.New("the answer is longer than expected")
 
-// DoShort sends a request and reads the whole response, whose body may have at most maxBytes. It gives up after the
-// timeout.
+// DoShort sends a request and reads the whole response. The body of the response may have at most maxBytes. DoShort
+// gives up after the timeout.
 func (p *Pool) DoShort(ctx context.Context, timeout time.Duration, r *Request, maxBytes int64) (*http.Response, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/h1/pool.go
+++ b/internal/h1/pool.go
@@ -1,9 +1,9 @@
 // Package h1 sends HTTP/1.1 requests to endpoints (back ends) so that each request is sent at most once.
 //
-// It has its own connection pool, because net/http's Transport does three things that must not happen here. It resends
-// a request when a reused connection turns out to be closed. If an endpoint sends one response too many, it takes that
-// response as the answer to the next request on the connection. It does not report whether bytes were sent. Messages
-// are still parsed and formatted by net/http.
+// It has its own connection pool, because net/http's Transport does three things that must not happen here. First,
+// Transport resends a request when a reused connection turns out to be closed. Second, an endpoint may send one
+// response too many. Transport takes that response as the answer to the next request on the connection. Third,
+// Transport does not report whether bytes were sent. Messages are still parsed and formatted by net/http.
 package h1
 
 import (
@@ -31,8 +31,8 @@
 	tcpUserTimeout = 2500 * time.Millisecond
 	// defaultIdleTimeout is how long an idle connection is kept if the endpoint announces no keep-alive time.
 	defaultIdleTimeout = 4 * time.Second
-	// idleTimeoutFraction is the fraction of the endpoint's announced keep-alive time after which an idle connection
-	// is no longer used. The margin keeps a request from being sent while the endpoint closes the connection.
+	// idleTimeoutFraction is a fraction of the keep-alive time that the endpoint announced. After that fraction an idle
+	// connection is no longer used. So no request is sent while the endpoint closes the connection.
 	idleTimeoutFraction = 0.6
 	// maxIdlePerAddress bounds the idle connections to one address.
 	maxIdlePerAddress = 16
@@ -51,12 +51,12 @@
 	Target  string // The path and query in the request line, byte for byte.
 	Host    string
 	Header  http.Header
-	// Body is sent whole, with a Content-Length; nil sends no body.
+	// Body is sent whole, with a Content-Length. If Body is nil, no body is sent.
 	Body []byte
-	// Endpoint is the ID of the endpoint at Address, for use in OnResponse; it may be empty.
+	// Endpoint is the ID of the endpoint at Address, for use in OnResponse. It may be empty.
 	Endpoint string
-	// Matches reports, from the headers of a response, whether the response belongs to this request. If Matches is
-	// nil, the first response counts as the request's own.
+	// Matches receives the headers of a response, and reports whether the response belongs to this request. If Matches
+	// is nil, the first response counts as the request's own.
 	Matches func(http.Header) bool
 }
 
@@ -75,15 +75,15 @@
 	dialer net.Dialer
 	// OnDial is called for each new connection; it may be nil.
 	OnDial func()
-	// OnSurplus is called for each surplus response, that is, one that does not belong to the request that was sent on
-	// its connection. It may be nil.
+	// OnSurplus is called for each surplus response. Such a response does not belong to the request that was sent on
+	// its connection. OnSurplus may be nil.
 	OnSurplus func()
 	// OnResponse is called when the headers of a request's own response have arrived, before the body is read. sent is
-	// the time at which the request was sent. OnResponse must not block; it may be nil.
+	// the time at which the request was sent. OnResponse must not block. It may be nil.
 	OnResponse func(r *Request, resp *http.Response, sent time.Time)
 
 	mu   sync.Mutex
-	idle map[string][]*conn // By address; the most recently used connection is last.
+	idle map[string][]*conn // By address. The most recently used connection is last.
 }
 
 // NewPool returns an empty pool.
@@ -114,7 +114,7 @@
 }
 
 // Do sends the request and returns its response as soon as the headers have arrived. The caller must close the response
-// body. Cancelling ctx closes the connection, also while the body is read.
+// body. Cancelling ctx closes the connection, even while the body is read.
 func (p *Pool) Do(ctx context.Context, r *Request) (*http.Response, error) {
 	c, err := p.acquire(ctx, r.Address)
 	if err != nil {
@@ -139,8 +139,8 @@
 	return resp, nil
 }
 
-// write sends the request. A request longer than bufferBytes is sent in the background, because the endpoint may
-// respond before it has read the whole body.
+// write sends the request. An endpoint may respond before it has read the whole body. So write sends a request longer
+// than bufferBytes in the background.
 func (p *Pool) write(c *conn, r *Request, sendResult chan<- error) {
 	var head strings.Builder
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
@@ -162,7 +162,7 @@
 	}()
 }
 
-// readResponse reads responses until one belongs to the request, and skips informational (1xx) responses.
+// readResponse reads responses until one response belongs to the request. It skips informational (1xx) responses.
 func (c *conn) readResponse(r *Request, surplus func()) (*http.Response, error) {
 	req := &http.Request{Method: r.Method}
 	for range maxSurplusResponses {
@@ -248,8 +248,8 @@
 	return err == nil && quiet
 }
 
-// release puts a connection back into the pool after its response was read to its end, or closes the connection if it
-// cannot be used again.
+// release puts a connection back into the pool after its response was read to its end. If the connection cannot be used
+// again, release closes it.
 func (p *Pool) release(c *conn, resp *http.Response) {
 	idle := idleTimeout(resp.Header)
 	if resp.Close || idle <= 0 || c.r.Buffered() > 0 {
@@ -281,7 +281,8 @@
 	return defaultIdleTimeout
 }
 
-// Prune closes idle connections that are too old to be used, and those to addresses that are not in keep.
+// Prune closes idle connections that are too old to be used. It also closes idle connections to addresses that are not
+// in keep.
 func (p *Pool) Prune(now time.Time, keep map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/h1/suspended_test.go
+++ b/internal/h1/suspended_test.go
@@ -10,8 +10,8 @@
 	"github.com/stoatramp/stoatramp/internal/clock"
 )
 
-// Guards against reusing a connection that was idle while the machine was suspended. The endpoint has closed it by
-// then, and a request sent during the close may or may not have run.
+// Guards against reusing a connection that was idle while the machine was suspended. The endpoint has closed the
+// connection by then. A request sent during the close may or may not have run.
 func TestSuspendedConnection(t *testing.T) {
 	var elapsed time.Duration
 	defer clock.SetSuspendedForTest(func() time.Duration { return elapsed })()
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,6 +1,6 @@
-// Package outcome names every way in which a request can end. A Kind says how it ended and a Reason says why. Both are
-// closed lists: code that handles a request returns an Outcome with values of these lists, never an error text of its
-// own. Every Reason has a counter, a sentence for operators and a rule for what the caller may do next.
+// Package outcome names every way in which a request can end. A Kind says how it ended and a Reason says why. Kinds and
+// reasons are closed lists. Code that handles a request returns an Outcome with values of these lists, never an error
+// text of its own. Every Reason has a counter, a sentence for operators and a rule for what the caller may do next.
 package outcome
 
 import (
@@ -186,8 +186,8 @@
 	RetryAfter time.Duration
 }
 
-// Refuse returns an Outcome of the kind NotRun. It may be called only by code that knows that no byte of the request
-// was sent to an endpoint, or that the endpoint reported that it did not run the request.
+// Refuse returns an Outcome of the kind NotRun. Code may call it only if it knows that no endpoint ran the request.
+// Either no byte of the request was sent to an endpoint, or the endpoint reported that it did not run the request.
 func Refuse(r Reason, detail string) Outcome {
 	return Outcome{Kind: NotRun, Reason: r, Detail: detail}
 }
--- a/internal/policy/cases.go
+++ b/internal/policy/cases.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// expectEqual compares two values. It compares verdicts (results of run, wait and refuse) by their kind, and also by
-// their text if want has a text.
+// expectEqual compares two values. A verdict is a result of run, wait or refuse. Verdicts are compared by their kind.
+// If want has a text, they are also compared by their text.
 func expectEqual(got, want starlark.Value) (string, error) {
 	g, okG := got.(*verdictValue)
 	w, okW := want.(*verdictValue)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -5,8 +5,8 @@
 //	def weigh(request, pair):     # seconds to add to the cost of a pair
 //
 // A pair is a prefill engine and a decode engine that could serve a request. A policy has no access to the outside and
-// cannot loop forever. It sees only engines that the guarantees to callers permit. If it fails, the built-in rules
-// decide.
+// cannot loop forever. It sees only engines that the guarantees to callers permit. If a policy fails, the built-in
+// rules decide.
 package policy
 
 import (
@@ -22,17 +22,17 @@
 )
 
 const (
-	// maxSteps bounds the Starlark steps of one call of a program. A typical call takes under 100.
+	// maxSteps bounds the Starlark steps of one call of a program. A typical call needs under 100 steps.
 	maxSteps = 10000
-	// maxWeight bounds the seconds that a program can add to the cost of a pair of engines, or subtract from it.
+	// maxWeight is in seconds. A program can add at most this to the cost of a pair of engines, or subtract it.
 	maxWeight = 10
 )
 
 // options restricts the language to functions and conditionals, without recursion and while loops.
 var options = &syntax.FileOptions{TopLevelControl: false}
 
-// Program is a compiled policy. It is not safe for concurrent use, because the decision
-// core, which calls it, uses only one goroutine.
+// Program is a compiled policy. It is not safe for concurrent use. The decision core, which calls it, uses only one
+// goroutine.
 type Program struct {
 	thread *starlark.Thread
 	admit  starlark.Callable
@@ -81,8 +81,8 @@
 	return err
 }
 
-// globalFunction returns the program's global function with the given name, which must take two parameters. It returns
-// nil if there is no such function.
+// globalFunction returns the program's global function with the given name. The function must have two parameters. If
+// there is no such function, globalFunction returns nil.
 func globalFunction(globals starlark.StringDict, name string) (starlark.Callable, error) {
 	v, ok := globals[name]
 	if !ok {
@@ -122,7 +122,7 @@
 	return decide.Verdict{Refuse: verdict.kind == refuse, Wait: verdict.kind == wait, Text: verdict.text}
 }
 
-// Weigh calls the program's weigh function for a pair of engines, and returns the seconds to add to the pair's cost.
+// Weigh calls the program's weigh function for a pair of engines. It returns the seconds to add to the pair's cost.
 func (p *Program) Weigh(r *decide.Request, c *decide.Candidate) (float64, error) {
 	if p.weigh == nil {
 		return 0, nil
@@ -163,7 +163,7 @@
 	return s, nil
 }
 
-// RuleSet holds the compiled policies of a relay box, and the rules that say which requests each policy applies to.
+// RuleSet holds the compiled policies and the rules of a relay box. A rule says which requests a policy applies to.
 type RuleSet struct {
 	set   *Set
 	rules []*config.Rule
@@ -179,7 +179,7 @@
 }
 
 // For returns the policy of the first rule that matches a request, and the name of that rule. It returns nil if no rule
-// matches.
+// matches the request.
 func (s *RuleSet) For(kind, service string, priority int) (decide.Policy, string) {
 	for _, r := range s.rules {
 		if r.Matches(kind, service, priority) {
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -76,7 +76,7 @@
 	expectCheckError(t, example, `expect("typo", admit(request(promt_tokens = 1), pool()), run())`, "promt_tokens")
 }
 
-// If a program fails, runs too long or returns a wrong value, the result says so and decides nothing, so that the
+// A program may fail, run too long or return a wrong value. The result then says so and decides nothing, so that the
 // built-in rules apply.
 func TestFaults(t *testing.T) {
 	for _, program := range []string{
--- a/internal/record/explain_test.go
+++ b/internal/record/explain_test.go
@@ -13,8 +13,8 @@
 	}
 }
 
-// The sentence says whether the engine itself refused to reserve memory, or the engine's owner (the box that grants the
-// engine's memory to the other boxes) did.
+// An engine's owner is the box that grants the engine's memory to the other boxes. The sentence says who refused to
+// reserve memory: the engine itself or the engine's owner.
 func TestNoRoomText(t *testing.T) {
 	expectStepSentence(t, Step{Kind: StepNoRoom, Decode: "decode-3"}, "decode-3 refused to set memory aside")
 	expectStepSentence(t, Step{Kind: StepNoRoom, Decode: "decode-3", Text: "box7"}, "Box box7, the home of decode-3, said that it has no room")
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -30,8 +30,8 @@
 	StepMigrate          StepKind = "migrate"  // A stream is to be migrated to the engine Decode; Text is why.
 	StepMigrated         StepKind = "migrated" // The stream continues at the engine Decode.
 	StepMigrationAborted StepKind = "stayed"   // The migration was aborted, and the stream continues at its old engine.
-	// StepNoRoom means that a decode engine refused to reserve memory. If Text names a box, that box, which grants the
-	// engine's memory to the other boxes, refused instead.
+	// StepNoRoom means that memory on a decode engine was refused. If Text is empty, the engine refused. Otherwise
+	// Text names the box that refused. That box grants the engine's memory to the other boxes.
 	StepNoRoom StepKind = "no_room"
 )
 
@@ -60,7 +60,7 @@
 	Calls int `json:"calls"`
 	// Mean is the moving average of the endpoint's response times.
 	Mean time.Duration `json:"mean_ns"`
-	// Failures is the number of latest calls to the endpoint that failed in a row.
+	// Failures is the number of consecutive failed calls to the endpoint, up to the latest call.
 	Failures int `json:"failures"`
 	// ListAge is the time since the box last received the list of endpoints.
 	ListAge time.Duration `json:"list_age_ns"`
@@ -107,8 +107,8 @@
 	At     time.Time `json:"at"`
 	// ConfigVersion is the version of the configuration on which the decisions were based.
 	ConfigVersion int64 `json:"config_version"`
-	// Rule is the name of the rule that selected the policy for this request, in the version PolicyVersion of the
-	// policies. It is empty if no rule matched.
+	// Rule is the name of the rule that selected the policy for this request. It is empty if no rule matched. The
+	// rule belongs to the version PolicyVersion of the policies.
 	Rule          string         `json:"rule,omitempty"`
 	PolicyVersion int64          `json:"policy_version,omitempty"`
 	PromptTokens  int            `json:"prompt_tokens,omitempty"`
@@ -128,8 +128,8 @@
 	Duration   time.Duration `json:"took_ns"`
 }
 
-// LastEndpoint returns the endpoint that last answered the request, or was last called for an answer. It is empty if
-// there was none.
+// LastEndpoint returns the endpoint of the latest recorded step of two kinds: an endpoint answered the request, or was
+// called for an answer. If there is no such step, LastEndpoint returns an empty string.
 func (r *Record) LastEndpoint() string {
 	for i := len(r.Steps) - 1; i >= 0; i-- {
 		switch s := &r.Steps[i]; s.Kind {
@@ -154,7 +154,7 @@
 	return &Ring{size: size, byID: map[string]*Record{}}
 }
 
-// Add stores the record of a finished request, which must not be changed afterwards.
+// Add stores the record of a finished request. The record must not be changed afterwards.
 func (g *Ring) Add(r *Record) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -12,17 +12,17 @@
 const (
 	// maxPendingBytes bounds the lines that wait to be written. 256 KB are several seconds of a busy box's log.
 	maxPendingBytes = 256 << 10
-	// flushDelay is how long lines are collected before they are written together. Lines of this time at most are
-	// lost when the process is killed.
+	// flushDelay is how long lines are collected before they are written together. If the process is killed, at
+	// most the lines of this time are lost.
 	flushDelay = 200 * time.Millisecond
-	// hurriedFlushDelay replaces flushDelay after a call of Hurry: a warning logged just before the process is
-	// killed must still reach the log.
+	// hurriedFlushDelay replaces flushDelay after a call of Hurry. A warning that is logged just before the process
+	// is killed must still reach the log.
 	hurriedFlushDelay = 5 * time.Millisecond
 )
 
-// Async passes log lines to a writer from its own goroutine, so that logging never blocks, neither on a slow disk nor
-// on a pipe that nobody reads. Lines that do not fit into its buffer are dropped and counted. Once there is space
-// again, a line reports how many were dropped.
+// Async passes log lines to a writer from its own goroutine. So logging never blocks, neither on a slow disk nor on a
+// pipe that nobody reads. Lines that do not fit into the buffer are dropped and counted. Once there is space again, a
+// line reports how many were dropped.
 //
 // Example: the reader of standard output hangs for a minute. The first 256 KB of lines are buffered, and the lines
 // after that are dropped. When the reader reads again, it receives the buffered lines, then
@@ -80,7 +80,8 @@
 	}
 }
 
-// awaitBatch waits until the pending lines are to be written: for flushDelay, or shorter after a call of Hurry.
+// awaitBatch waits until the pending lines are to be written. It waits for flushDelay, or for a shorter time after a
+// call of Hurry.
 func (a *Async) awaitBatch() {
 	select {
 	case <-time.After(flushDelay):
@@ -94,7 +95,7 @@
 	return fmt.Sprintf("{\"level\":\"warn\",\"time\":%q,\"msg\":\"log lines dropped\",\"lines\":%d}\n", now.Format(time.RFC3339Nano), lines)
 }
 
-// Sync waits until all lines are written, but only for a bounded time: a reader that hangs must not delay the end of
+// Sync waits until all lines are written, but only for a bounded time. A reader that hangs must not delay the end of
 // the process.
 func (a *Async) Sync() error {
 	const pause = 10 * time.Millisecond
--- a/internal/telemetry/routes.go
+++ b/internal/telemetry/routes.go
@@ -26,8 +26,8 @@
 	StageTotal      Stage = "whole"
 )
 
-// routeHistograms are the duration histograms of the routes that received requests. Routes are added and removed with
-// the configuration, and their histograms with them.
+// routeHistograms are the duration histograms of the routes that received requests. A change of the configuration adds
+// and removes routes, and with each route its histograms.
 type routeHistograms struct {
 	set *metrics.Set
 
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -28,17 +28,17 @@
 	CompletedMigrations *metrics.Counter
 	AbortedMigrations   *metrics.Counter
 	Resumes             *metrics.Counter
-	// RepeatedCalls counts the calls to endpoints beyond the first call of each request. The call that only
-	// runs the prefill is not counted.
+	// RepeatedCalls counts calls to endpoints. It leaves out the first call of each request, and the call that only
+	// runs the prefill.
 	RepeatedCalls *metrics.Counter
 	// SuspectedCrashes counts calls during which an endpoint is suspected to have crashed.
 	SuspectedCrashes *metrics.Counter
 	Aborts           *metrics.Counter
-	// LimitNotices counts new or changed limits that endpoints announced, and LimitLiftedNotices limits that no
-	// longer apply. LeavingNotices and PauseNotices count notices that an endpoint is leaving or asks for a pause.
-	// MalformedNotices counts notices that cannot be parsed.
+	// LimitNotices counts new or changed limits that endpoints announced. LimitLiftedNotices counts limits that no
+	// longer apply. LeavingNotices counts notices that an endpoint is leaving. PauseNotices counts notices in which
+	// an endpoint asks for a pause. MalformedNotices counts notices that cannot be parsed.
 	LimitNotices, LimitLiftedNotices, LeavingNotices, PauseNotices, MalformedNotices *metrics.Counter
-	// WidenedSubsets counts how often the box doubled its subset of a service's endpoints, from which it selects.
+	// The box selects from a subset of a service's endpoints. WidenedSubsets counts how often it doubled a subset.
 	WidenedSubsets *metrics.Counter
 	AbortsLost     *metrics.Counter
 	ForeignChunks  *metrics.Counter
@@ -61,7 +61,7 @@
 	routes routeHistograms
 }
 
-// NewMetrics registers all counters at once, so that the counter of a reason that never occurred reads 0.
+// NewMetrics registers all counters immediately, so that the counter of a reason that never occurred reads 0.
 func NewMetrics() *Metrics {
 	s := metrics.NewSet()
 	m := &Metrics{
@@ -163,7 +163,7 @@
 // hurrier is a writer that collects lines and can be asked to write them soon.
 type hurrier interface{ Hurry() }
 
-// NewLogger returns a logger that writes JSON lines to w. If w collects lines, warnings are written soon.
+// NewLogger returns a logger that writes JSON lines to w. If w collects lines, NewLogger has warnings written soon.
 func NewLogger(w io.Writer) *zap.Logger {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.TimeKey = "time"
