--- a/cmd/stoatrampd/main.go
+++ b/cmd/stoatrampd/main.go
@@ -80,12 +80,12 @@
 const heapFraction = 0.75
 
 // gcPercent is the garbage collection target (GOGC), in percent of the live heap. A box in front of 10,000 endpoints
-// keeps some 10 MB and is idle most of the time. With the default of 100, each of 986 such processes would keep as much
-// garbage again.
+// keeps some 10 MB and is idle most of the time. With the default of 100, each of 986 such processes would also keep
+// some 10 MB of garbage.
 const gcPercent = 50
 
-// limitMemory makes the process keep within mb megabytes; 0 means no limit. Without it, 2 of 301 boxes in front of
-// 3,000 endpoints exceeded their limit of 134 MB and were killed.
+// limitMemory makes the process keep within mb megabytes. If mb is 0, there is no limit. Without this function, 2 of
+// 301 boxes in front of 3,000 endpoints exceeded their limit of 134 MB and were killed.
 func limitMemory(mb float64) {
 	// Nothing reads the memory profile. The process takes 16.3 MB with sampling for it, and 15.5 MB without.
 	runtime.MemProfileRate = 0
@@ -95,7 +95,8 @@
 	}
 }
 
-// newRelay creates a box that gets its configuration and its endpoints from the platform's store.
+// newRelay returns a RelayBox, which is the router that runs on this machine. It reads its configuration and its list
+// of endpoints from the platform's store.
 func newRelay(cfg *config.Relay, log *zap.Logger) (*box.RelayBox, error) {
 	store := platform.NewStore(cfg.Store)
 	b, err := box.NewRelay(cfg, box.Site{
--- a/cmd/stoatrampd/older_test.go
+++ b/cmd/stoatrampd/older_test.go
@@ -15,7 +15,7 @@
 // lostVersions is how many versions the store issues between its backup and its failure.
 const lostVersions = 300
 
-// putUnrelatedRows writes rows whose changes no box reads. Each row takes one version of the store.
+// putUnrelatedRows writes rows whose changes no box reads. Each row increases the store's version by one.
 func (x *relayBox) putUnrelatedRows(versions int) {
 	for n := range versions {
 		x.store.Put("other", fmt.Sprint(n), nil, 0)
@@ -36,8 +36,8 @@
 	x.store.SetFault(standin.StoreFault{})
 }
 
-// expectChangesSeen restores the store from an older backup, and then calls write. It expects the box to apply that
-// change, whether the store's version is then below the version that the box has already read or above it.
+// expectChangesSeen restores the store from an older backup, and then calls write, which makes a change. It expects the
+// box to apply that change. The store's version may then be below or above the version that the box has already read.
 func expectChangesSeen(t *testing.T, write func(x *relayBox), what string, applied func(x *relayBox) bool) {
 	t.Helper()
 	for name, rows := range map[string]int{"behind": 0, "past": 2 * lostVersions} {
--- a/cmd/stoatrampd/quarantine_test.go
+++ b/cmd/stoatrampd/quarantine_test.go
@@ -213,9 +213,9 @@
 }
 
 // stateSyncTime is the time that a box needs after its start until it acts on the crashes that other boxes published.
-// For 2.2 s it leaves the first read of that table to another box. Meanwhile, an engine may crash and restart under the
-// same ID. The box took the new start for the one whose crash another box had published, so that a second crash was not
-// counted: there were 4 crashes instead of 3 in about one of forty runs.
+// For 2.2 s it leaves the first read of the table of crashes to another box. Meanwhile, an engine may crash and restart
+// under the same ID. The box confused the new start with the start whose crash another box had published. So it did not
+// count a second crash. There were 4 crashes instead of 3 in about one of forty runs.
 const stateSyncTime = 3 * time.Second
 
 func (s *quarantineSite) startBox(n int, peers, store string) {
@@ -275,20 +275,21 @@
 	return resp.StatusCode, string(b)
 }
 
-// A request crashes every engine that runs it, and its caller repeats it under new IDs and at other boxes. It must be
-// quarantined after three crashes. One such request crashed thirteen servers within ten seconds, because a box knew
-// neither the crashes that other boxes had seen nor those of earlier tries.
+// A request crashes every engine that runs it. Its caller repeats the request under new IDs and at other boxes. The
+// request must be quarantined after three crashes: no engine may run it any more. One such request crashed thirteen
+// servers within ten seconds. A box knew neither the crashes that other boxes had seen nor the crashes of earlier
+// tries.
 //
-// The tries have only their content in common, from which boxes compute a fingerprint. They came to boxes of all halls,
-// although the connections of one address go to one hall. A request without a client account also has no caller by
-// which a box could recognise it. Recorded logs show ten and eleven tries of two such requests. Each try had one
-// prefill and one run that crashed another engine 63 to 270 ms later, and none was refused.
+// The tries have only their content in common. Boxes compute a fingerprint from this content. The tries came to boxes
+// of all halls, although the connections of one address go to one hall. A request without a client account also has no
+// caller by which a box could recognise it. Recorded logs show ten and eleven tries of two such requests. Each try had
+// one prefill and one run that crashed another engine 63 to 270 ms later. No try was refused.
 func TestRequestThatEndsEndpoints(t *testing.T) {
 	for _, c := range []struct {
 		name, path, peers string
 		sameID            bool
 		// maxCrashes is the largest allowed number of crashes. On a route with two attempts, the box learns of the
-		// crash under the first attempt only when that attempt is over, so one more crash is allowed.
+		// crash under the first attempt only when that attempt is over. So one more crash is allowed.
 		maxCrashes int
 	}{
 		{"streams", "/stream/deadly", peerSettings, false, 3},
@@ -311,10 +312,10 @@
 				s.until("all workers to be back", func() bool { _, _, up := s.workers.count(); return up })
 				time.Sleep(300 * time.Millisecond) // Until the boxes' list of endpoints has the workers again.
 			}
-			// Boxes read the list of endpoints every 1.1 s or less often. Until then they may send the request to a
-			// start of a worker that has ended, which refuses it.
+			// Boxes read the list of endpoints every 1.1 s or less often. Until a box has read the list, it may send
+			// the request to a start of a worker that has ended. Such a start refuses the request.
 			time.Sleep(2 * time.Second)
-			// From now on the request reaches no endpoint. Its caller gets a final answer at once.
+			// From now on the request reaches no endpoint. Its caller gets a final answer immediately.
 			_, before, _ := s.workers.count()
 			for n := range s.boxes {
 				status, text := s.send(n, c.path, poisonBody)
--- a/cmd/stoatrampd/relay_test.go
+++ b/cmd/stoatrampd/relay_test.go
@@ -295,8 +295,8 @@
 expect("a stream runs", admit(request(), pool()), run())
 `
 
-// Operators change policies and issue keys through a box while the store is up. These stay in force while the store is
-// down. A policy whose test cases fail is rejected and changes nothing.
+// Operators change policies and issue keys through a box while the store is up. These changes stay in force while the
+// store is down. A policy whose test cases fail is rejected and changes nothing.
 func TestRelayPolicies(t *testing.T) {
 	x := startRelay(t, echo)
 	dir := t.TempDir()
--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -22,9 +22,9 @@
 
 var ruleNames = [...]string{"round robin", "least loaded", "random two", "prefix affinity"}
 
-// baseline is a conventional router, with which the decision core (package decide) is compared. When a request arrives,
-// it selects a prefill engine and a decode engine independently and sends the request at once. It reserves no memory,
-// refuses no request, and retries a failed request once.
+// baseline is a conventional router. The decision core (package decide) is compared with it. When a request arrives,
+// baseline selects a prefill engine and a decode engine independently, and sends the request immediately. It reserves
+// no memory, refuses no request, and retries a failed request one time.
 type baseline struct {
 	rule      selectionRule
 	rng       *rand.Rand
--- a/internal/bench/bound.go
+++ b/internal/bench/bound.go
@@ -15,8 +15,8 @@
 }
 
 // minDemand returns the least that a request needs. It assumes that a block of a prompt is cached on every engine as
-// soon as any engine has processed it, and that each stream has its decode engine for itself. seen holds the blocks
-// that have been processed; minDemand adds those of this request.
+// soon as any engine has processed the block. It also assumes that each stream has its decode engine for itself. seen
+// holds the blocks that have been processed. minDemand adds the blocks of this request to seen.
 func (m *mix) minDemand(r *request, seen map[uint64]bool) demand {
 	cached := 0
 	for _, b := range r.Blocks {
@@ -36,9 +36,9 @@
 	}
 }
 
-// maxTokenRate returns the highest number of tokens per second that one decode engine generates while its time from
-// token to token stays within the target. More streams at the same time give more tokens per second, so the engine runs
-// as many streams as the target allows.
+// maxTokenRate returns the highest number of tokens per second that one decode engine generates within the target. The
+// target limits a stream's time from one token to the next. More streams at the same time give more tokens per second,
+// so the engine runs as many streams as the target allows.
 func (m *mix) maxTokenRate(target time.Duration) float64 {
 	n := 1
 	for m.model.StepOf(n+1) <= target {
@@ -100,8 +100,8 @@
 	return total
 }
 
-// countFitting returns the largest number of requests that fit into the capacity, which is reached with the smallest
-// ones.
+// countFitting returns the largest number of requests that fit into the capacity. The smallest requests give the
+// largest number.
 func countFitting(demands []demand, size func(demand) float64, capacity float64) int {
 	sizes := make([]float64, len(demands))
 	for i, w := range demands {
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -54,8 +54,8 @@
 	EndReasons    map[string]int `json:"ends"`
 	// GoodByClient is the share of each client's requests that were answered within both latency targets.
 	GoodByClient map[string]float64 `json:"good_by_client"`
-	// GoodBySecond has, for each second of the run, the share of the requests arriving in that second that were
-	// answered within both latency targets.
+	// GoodBySecond has one value for each second of the run. The value is a share of the requests that arrived in that
+	// second: the share that was answered within both latency targets.
 	GoodBySecond []float64 `json:"by_second"`
 
 	firstTokens, tokenGaps []time.Duration
--- a/internal/bench/drive.go
+++ b/internal/bench/drive.go
@@ -232,8 +232,8 @@
 	return errCut
 }
 
-// report waits until the engines have freed all memory, for up to 15 seconds. It then prints the counts, how many
-// requests ran twice although they may run only once, and the memory that is still reserved.
+// report waits until the engines have freed all memory, for up to 15 seconds. It then prints the counts and the memory
+// that is still reserved. It also prints how many requests ran twice although they may run only one time.
 func (c *DriveCmd) report() error {
 	var rep siteReport
 	start := time.Now()
--- a/internal/bench/mix.go
+++ b/internal/bench/mix.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// request is one simulated request. at is the time of its arrival, counted from the start; outputTokens is the length
-// of its answer.
+// request is one simulated request. at is the time of its arrival, counted from the start of the run. outputTokens is
+// the length of its answer.
 type request struct {
 	decide.Request
 	at           time.Duration
@@ -135,7 +135,7 @@
 	return x ^ x>>29
 }
 
-// fleet returns the pool and the engines of the site, as the decision core takes them.
+// fleet returns the pool and the engines of the site, in the form that the decision core reads.
 func (m *mix) fleet() decide.Fleet {
 	f := decide.Fleet{Pools: []decide.Pool{{Name: "p", KVBytesPerToken: m.model.KVBytesPerToken, PrefillExpiry: m.model.Expiry}}}
 	for i := range m.prefills + m.decodes {
--- a/internal/bench/sim.go
+++ b/internal/bench/sim.go
@@ -17,7 +17,7 @@
 	messageDelay = 200 * time.Microsecond
 	// reportLag is how old the figures in an engine's load report are at least.
 	reportLag = 200 * time.Millisecond
-	// sampleInterval is how often an engine takes the figures for its load reports.
+	// sampleInterval is how often an engine records the load values for its reports.
 	sampleInterval = 50 * time.Millisecond
 	// probeInterval is how often a box asks every engine for its load. Without these probes, a box would not know the
 	// load of an engine that it sends no requests to.
@@ -149,7 +149,7 @@
 }
 
 // call is one call to an engine, either a prefill or a decode. A decode call fetches the KV cache from the engine
-// kvSource, where the prefill call with the attempt number kvAttempt has left it.
+// kvSource. The prefill call with the attempt number kvAttempt has left the KV cache there.
 type call struct {
 	flight         *simFlight
 	attempt        decide.Attempt
@@ -423,8 +423,8 @@
 	if soonest < 0 {
 		return
 	}
-	// Only the wake-up that was scheduled last has an effect. If earlier ones had an effect too, each would go on to
-	// schedule further wake-ups.
+	// Only the wake-up that was scheduled last has an effect. If earlier wake-ups had an effect too, each of
+	// them would schedule further wake-ups.
 	r.wakeUpSeq++
 	seq := r.wakeUpSeq
 	r.after(time.Duration(soonest*float64(time.Second))+time.Nanosecond, func() {
@@ -462,8 +462,8 @@
 	}
 }
 
-// crash ends the calls of the engine as failed, and drops its queue and the KV caches that wait for a decode engine. A
-// call of a prefill engine does not fail if the request already has its first token. The prefix cache is kept.
+// crash ends the engine's calls as failed. It drops the engine's queue and the KV caches that wait for a decode engine.
+// A call of a prefill engine does not fail if the request already has its first token. The prefix cache is kept.
 func (e *simEngine) crash() {
 	e.dead = true
 	e.results = map[callKey]*call{}
@@ -481,7 +481,7 @@
 	e.freeKV = e.model.KVTokens
 }
 
-// sample takes the engine's load for later reports.
+// sample records the engine's load, so that later reports can contain it.
 func (e *simEngine) sample() {
 	if e.frozen || e.dead {
 		return
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -22,8 +22,8 @@
 	"github.com/stoatramp/stoatramp/internal/record"
 )
 
-// SlopesCmd prints costs per unit (slopes), such as the memory per engine, that can be measured in one process without
-// a network.
+// SlopesCmd prints costs per unit (slopes), such as the memory per engine. It prints only costs that can be measured in
+// one process without a network.
 type SlopesCmd struct{}
 
 // Run measures and prints every cost.
@@ -60,8 +60,8 @@
 	return f
 }
 
-// benchmarkDecision measures how long the decision core takes for one request, with all events from its arrival to its
-// end. The pool has n engines and some tens of requests in progress.
+// benchmarkDecision measures how long the decision core takes for one request. The duration includes all events from
+// the request's arrival to its end. The pool has n engines and some tens of requests in progress.
 func benchmarkDecision(b *testing.B, n int, p decide.Policy) {
 	c := decide.New(rand.New(rand.NewPCG(1, 2)), 1000)
 	now := time.Unix(1800000000, 0)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// findRecord asks the boxes one after another for the record of a request, until one has it. If none has it, findRecord
-// returns the first error that is not "not found". If all boxes say "not found", it returns that.
+// findRecord asks the boxes one after another for the record of a request, until one box has the record. If no box has
+// it, findRecord returns the first error that is not "not found". If all boxes say "not found", it returns that error.
 func (c *whyCmd) findRecord(a *app) (*connect.Response[v1.WhyResponse], error) {
 	var failed error
 	for _, box := range a.Box {
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -24,8 +24,8 @@
 	History configHistoryCmd `cmd:"" help:"List the accepted versions."`
 }
 
-// versionPrefix starts the first line of a configuration that "config get" prints. "config apply" reads from this line
-// which version the file is based on, so that a file made from an old version cannot silently undo a newer version.
+// versionPrefix starts the first line of a configuration that "config get" prints. This line says which version the
+// file is based on, and "config apply" reads it. So a file made from an old version cannot silently undo a newer one.
 const versionPrefix = "# version "
 
 func (a *app) fetch(version int64) (*v1.GetConfigResponse, error) {
@@ -178,8 +178,8 @@
 	return &exitError{exitConflict, fmt.Errorf("not accepted: the file was made from version %d, and version %d is accepted now%s", base, current, text)}
 }
 
-// reportAccepted prints whether the accepted version is in force on the boxes, and returns an error that names the
-// boxes on which it is not.
+// reportAccepted prints whether the accepted version is in force on the boxes. If it is not in force on some boxes,
+// reportAccepted returns an error that names these boxes.
 func (a *app) reportAccepted(r *v1.ApplyConfigResponse) error {
 	if len(r.Missing) > 0 {
 		return &exitError{exitFailed, fmt.Errorf("accepted as version %d, but not in force after %d ms on: %s; they follow as soon as they can reach the table or a peer",
--- a/internal/config/box.go
+++ b/internal/config/box.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Box holds the settings of one gateway box. A box is a machine that runs the router; a gateway box reads its routes
+// Box holds the settings of one gateway box. A box is a machine that runs the router. A gateway box reads its routes
 // and endpoints from the configuration in Shared. The settings are read once, when the box starts.
 type Box struct {
 	// Name is unique among the running boxes. Each request id starts with the name of the box that received the
--- a/internal/config/ini.go
+++ b/internal/config/ini.go
@@ -1,6 +1,6 @@
-// Package config parses two kinds of settings: those of one box (a machine that runs the router), from its own INI
-// file, and the shared configuration, which all boxes read from the platform's table. Every key is validated. Each
-// problem names its file, line, section and key, and what was expected.
+// Package config parses two kinds of settings. The first are the settings of one box (a machine that runs the router);
+// each box has them in an INI file. The second are the shared configuration, which all boxes read from the platform's
+// table. Every key is validated. Each problem names its file, line, section and key, and what was expected.
 package config
 
 import (
@@ -34,8 +34,7 @@
 	return fmt.Sprintf("%s: [%s] %s: %s", where, p.Section, p.Key, p.Msg)
 }
 
-// document is a parsed INI text. It collects all problems found in the text, so that an operator sees all of them at
-// once.
+// document is a parsed INI text. It collects all problems found in the text, so that an operator sees them together.
 type document struct {
 	file     string
 	ini      *ini.File
@@ -127,8 +126,8 @@
 	return out
 }
 
-// section gives access to the keys of one section. It remembers which keys were read, so that reportUnknownKeys can
-// report the others.
+// section gives access to the keys of one section of the text. It remembers which keys were read. reportUnknownKeys
+// reports the keys that were not read.
 type section struct {
 	doc  *document
 	src  *ini.Section
@@ -221,8 +220,7 @@
 	return n
 }
 
-// msSuffix is the unit of milliseconds. A platform's template writes only the unit where the platform has no value for
-// a duration.
+// msSuffix is the unit of milliseconds. If a platform has no value for a duration, its template writes only this unit.
 const msSuffix = "ms"
 
 // parseDuration parses a Go duration, or a number of milliseconds in exponent notation, which a platform may write.
--- a/internal/config/relay.go
+++ b/internal/config/relay.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// The retry budget for a platform that specifies none: in 10 seconds, retries may be a share of 0.1 of the
-	// requests. This share adds little load to a failing service.
+	// The retry budget for a platform that specifies none. In any 10 seconds, the number of retries may reach 0.1 times
+	// the number of requests. So few retries add little load to a failing service.
 	defaultRetryShare         = 0.1
 	defaultRetryWindowSeconds = 10
-	// How exactly limits and the revocation of keys are enforced, for a platform that does not say. A platform without
-	// client accounts does not say it.
+	// How exactly limits and the revocation of keys are enforced. These defaults apply if the platform does not specify
+	// them, for example because it has no client accounts.
 	defaultLimitWindowSeconds = 10
 	defaultRevokedWithinMS    = 5000
 )
 
-// Relay holds the settings of a relay box. A relay box forwards requests byte for byte to endpoints (back ends); its
-// platform lists the routes and the endpoints. The other kind of box, a gateway, has its settings in Box and its routes
-// in Shared.
+// Relay holds the settings of a relay box. A box is a machine that runs the router. A relay box forwards requests byte
+// for byte to endpoints (back ends). Its platform lists the routes and the endpoints. The other kind of box is a
+// gateway box: its settings are in Box, and its routes are in Shared.
 type Relay struct {
 	// Name is the name of the box, unique among the running boxes.
 	Name   string
@@ -40,13 +40,13 @@
 	Callers   string
 	Readiness string
 	Operators string
-	// OperatorKeySHA256 is the hex SHA-256 of a key that gives access to the operators' address. If it is empty, only
-	// the keys in the shared configuration do.
+	// OperatorKeySHA256 is the hex SHA-256 of a key that gives access to the operators' address. If OperatorKeySHA256
+	// is empty, only the operator keys in the shared configuration give access.
 	OperatorKeySHA256 string
 
-	// Peers is the listen address for other boxes; empty means that the box runs alone. PeersAddress is the address
-	// under which the other boxes reach it, if that differs from Peers. Seeds are addresses of boxes to contact while
-	// the platform's store is unavailable; they may be out of date.
+	// Peers is the listen address for other boxes. If Peers is empty, the box runs alone. PeersAddress is the address
+	// at which the other boxes reach this box; it is set if that address differs from Peers. Seeds are addresses of
+	// boxes to contact while the platform's store is unavailable. Seeds may be out of date.
 	Peers        string
 	PeersAddress string
 	Seeds        []string
@@ -58,40 +58,42 @@
 
 	// Store is the address of the platform's store, from which the box reads its routes and lists.
 	Store string
-	// RereadWithin bounds the time from the end of an outage of the store until the box has reread everything.
-	// LeavingWithin bounds the time until the box knows that an endpoint is leaving. ConfigWithin bounds the time until
-	// an accepted configuration is in force.
+	// RereadWithin is the maximum time from the end of an outage of the store until the box has reread everything.
+	// LeavingWithin is the maximum time until the box knows that an endpoint is leaving. ConfigWithin is the maximum
+	// time until an accepted configuration is in force.
 	RereadWithin  time.Duration
 	LeavingWithin time.Duration
 	ConfigWithin  time.Duration
 
-	// In each RetryWindow, all boxes together may send a service as many retries as RetryShare times its requests, plus
-	// RetrySlack. RetrySlack is 0 if the platform does not specify it; it may be a fraction.
+	// RetrySlack limits the retries of each service. In each RetryWindow, all boxes together may send the service
+	// RetryShare times the number of its requests, plus RetrySlack, as retries. RetrySlack is 0 if the platform does
+	// not specify it. RetrySlack need not be an integer.
 	RetrySlack float64
 	// RetryShare is the allowed ratio of retries to requests. RetryWindow is the time over which both are counted.
 	RetryShare  float64
 	RetryWindow time.Duration
 
-	// A cold endpoint is one that has just started and can serve fewer requests than later. In any second, all boxes
-	// together may send it at most ColdRateFactor (at least 1) times the requests that it can serve while cold, plus
-	// ColdRateSlack.
+	// A cold endpoint has just started and can serve fewer requests than later. The limit for it covers any second and
+	// all boxes together. They may send it ColdRateFactor times the requests that it can serve while cold, plus
+	// ColdRateSlack. ColdRateFactor is at least 1.
 	ColdRateFactor float64
 	ColdRateSlack  float64
 
-	// In each LimitWindow, all boxes together may exceed a client account's limit by LimitOverage times what the limit
-	// allows in the window, plus LimitSlack. The unit of LimitSlack is that of the limit.
+	// Boxes may exceed a client account's limit a little. The excess covers all boxes together and each LimitWindow. It
+	// is at most LimitOverage times what the limit allows in the window, plus LimitSlack, in the unit of the limit.
 	LimitWindow  time.Duration
 	LimitOverage float64
 	LimitSlack   float64
-	// RevokedWithin is the time within which boxes must refuse a key that was revoked. If StrictRevocation is set, a
-	// box that has not received the configuration for this time refuses all requests with keys.
+	// RevokedWithin is the time within which boxes must begin to refuse a revoked key. StrictRevocation matters for a
+	// box that has not received the configuration for RevokedWithin. If it is set, that box refuses all requests with
+	// keys.
 	RevokedWithin    time.Duration
 	StrictRevocation bool
 
 	// Queue is the maximum number of requests on this box that wait for an engine.
 	Queue int
-	// GracePeriod is the time in which a stopping box still accepts new requests, because callers have to learn first
-	// that it is leaving. StopTimeout bounds the whole planned stop.
+	// GracePeriod is how long a stopping box still accepts new requests. Callers need this time to learn that the box
+	// is leaving. StopTimeout is the maximum duration of the whole planned stop.
 	GracePeriod time.Duration
 	StopTimeout time.Duration
 	// HeaderTimeout bounds reading a request's headers. IdleTimeout is how long a connection may be idle.
@@ -206,7 +208,8 @@
 }
 
 // parseSeeds reads the addresses of other boxes. own is the address at which this box listens for other boxes. All
-// boxes use the same port for this, so the port of own replaces the ports in the list, unless it is 0 (any free port).
+// boxes use the same port for this. So the port of own replaces the ports in the list. If the port of own is 0 (any
+// free port), the ports in the list stay.
 func parseSeeds(s *section, own string) (out []string) {
 	self, err := netip.ParseAddrPort(own)
 	if err != nil {
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Rules is the shared configuration of relay boxes. Their platform manages routes and endpoints, so Rules has only
-// policies, the rules that assign policies to requests, and the operators.
+// Rules is the shared configuration of relay boxes. It has policies, the operators, and the rules that assign policies
+// to requests. It has no routes or endpoints, because the boxes' platform manages them.
 type Rules struct {
 	Version  int64
 	Policies []*Policy
@@ -15,8 +15,8 @@
 	Operators []*Operator
 }
 
-// Rule assigns a policy to requests. It selects requests by their properties and not by the name of a route, because
-// the names of a platform's routes change with its configuration.
+// Rule assigns a policy to requests. It selects requests by their properties. It does not select them by the name of a
+// route, because a platform's route names change with its configuration.
 type Rule struct {
 	Name   string
 	Policy string
--- a/internal/config/shared.go
+++ b/internal/config/shared.go
@@ -20,8 +20,8 @@
 
 func (r Role) String() string { return roleNames[r] }
 
-// Shared is one accepted version of the configuration that all gateway boxes have in common. It is never modified once
-// it has been parsed, so requests read it without a lock.
+// Shared is one accepted version of the configuration that all gateway boxes have in common. After it has been parsed,
+// it is never modified. So requests read it without a lock.
 type Shared struct {
 	// Version is the version of the configuration's row in the platform's table. It only increases.
 	Version int64
@@ -62,8 +62,8 @@
 	PrefillRate float64
 	// KVTokens is how many tokens the engine's memory for KV caches holds.
 	KVTokens int
-	// Step and StepPerStream predict a decode engine's time from one token to the next: Step, plus StepPerStream for
-	// each running stream.
+	// Step and StepPerStream predict a decode engine's time from one token to the next. The predicted time is Step,
+	// plus StepPerStream for each running stream.
 	Step          time.Duration
 	StepPerStream time.Duration
 	// LinkRate is the rate of the engine's network link in bytes per second.
@@ -93,7 +93,7 @@
 	Name   string
 	Prefix string
 	// RepeatableMethods are the HTTP methods whose calls may be retried. A call with any other method runs at most
-	// once.
+	// one time.
 	RepeatableMethods []string
 	Timeout           time.Duration
 }
@@ -117,8 +117,8 @@
 	Cases   string
 }
 
-// ParseShared parses and validates a shared configuration. checkPolicy validates each policy; nil skips this check. It
-// is a parameter so that this package does not depend on the policy language.
+// ParseShared parses and validates a shared configuration. checkPolicy validates each policy. If checkPolicy is nil,
+// this check is skipped. checkPolicy is a parameter so that this package does not depend on the policy language.
 func ParseShared(file string, text []byte, checkPolicy func(*Policy) error) (*Shared, error) {
 	d, err := openDocument(file, text)
 	if err != nil {
@@ -314,8 +314,8 @@
 // ClientByKey returns the client whose key has the hex SHA-256 sum; nil if there is none.
 func (c *Shared) ClientByKey(sum string) *Client { return c.clients[sum] }
 
-// RouteFor returns the first route for the model that the client may use, or nil. The bool reports whether there is any
-// route for the model.
+// RouteFor returns the first route for the model that the client may use. It returns nil if the client may use none.
+// The bool reports whether there is any route for the model, also one that the client may not use.
 func (c *Shared) RouteFor(model string, v *Client) (*Route, bool) {
 	found := false
 	for _, r := range c.Routes {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo starts stand-ins for everything a small site needs (engines, a plain service and the platform) on
-// loopback, and writes the settings of a box that uses them. A box is a machine that runs the router.
+// Package demo starts stand-ins on loopback for everything that a small site needs: engines, a plain service and the
+// platform. It also writes the settings of a box that uses these stand-ins. A box is a machine that runs the router.
 package demo
 
 import (
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -10,8 +10,8 @@
 
 // Gate lets requests in until it is closed. The zero value is open.
 type Gate struct {
-	// mu orders the start of requests against the closing of the gate. A request either starts before, and Drain waits
-	// for it, or Enter returns false.
+	// mu orders the start of requests against the closing of the gate. If a request starts before the gate closes,
+	// Drain waits for the request. Otherwise Enter returns false.
 	mu      sync.RWMutex
 	closed  bool
 	active  sync.WaitGroup
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,6 +1,6 @@
-// Package ops serves the operators of a box (a machine that runs the router): the Connect service that the command-line
-// tool calls, the metrics, and profiles. Operators need an operator key; only a relay box can serve its metrics without
-// a key. The package also answers the calls of other gateway boxes, which need the boxes' own key.
+// Package ops serves the operators of a box (a machine that runs the router). It serves the Connect service that the
+// command-line tool calls, the metrics, and profiles. Operators need an operator key. Only a relay box can serve its
+// metrics without a key. The package also answers the calls of other gateway boxes; these need the boxes' own key.
 package ops
 
 import (
@@ -26,14 +26,15 @@
 	"github.com/stoatramp/stoatramp/internal/telemetry"
 )
 
-// Server answers the operators of a gateway box, which has its routes and endpoints in the shared configuration.
+// Server answers the operators of a gateway box. A gateway box has its routes and endpoints in the shared
+// configuration.
 type Server struct {
 	Versions
 	Box     *config.Box
 	Gateway *gateway.Gateway
 	Records *record.Ring
 	Metrics *telemetry.Metrics
-	// Stop starts a planned stop and returns at once.
+	// Stop begins a planned stop. It returns immediately.
 	Stop func()
 	// Peers (the other boxes) and Archive are searched for the records of requests that this box does not have.
 	Peers       *peer.Peers
@@ -59,7 +60,8 @@
 	return s
 }
 
-// Handler returns the handler for the operators' address, which takes the requests of operators and of the other boxes.
+// Handler returns the handler for the operators' address. This address receives the requests of operators and of the
+// other boxes.
 func (s *Server) Handler() http.Handler {
 	all := http.NewServeMux()
 	path, peers := stoatrampv1connect.NewPeerHandler(&peerServer{s})
@@ -121,8 +123,8 @@
 	return explain(rec)
 }
 
-// findRecord returns the record of a request, which lists the decisions about it. It looks on this box, then on the box
-// that served the request, then in the object store.
+// findRecord returns the record of a request. The record lists the decisions about the request. findRecord looks on
+// this box, then on the box that served the request, then in the object store.
 func (s *Server) findRecord(ctx context.Context, id string) (*record.Record, error) {
 	if rec := s.Records.Get(id); rec != nil {
 		return rec, nil
--- a/internal/ops/peers.go
+++ b/internal/ops/peers.go
@@ -22,8 +22,8 @@
 	return connect.NewResponse(out), nil
 }
 
-// PassConfig returns the configuration in force on this box. Another box calls it while the table is unavailable; the
-// table has accepted every version that a box has in force.
+// PassConfig returns the configuration in force on this box. Another box calls PassConfig while the table is
+// unavailable. The table has accepted every version that a box has in force.
 func (p *peerServer) PassConfig(_ context.Context, r *connect.Request[v1.PassConfigRequest]) (*connect.Response[v1.PassConfigResponse], error) {
 	out := &v1.PassConfigResponse{}
 	if c := p.s.Gateway.Config(); c != nil {
@@ -48,8 +48,9 @@
 	return connect.NewResponse(&v1.GetRecordResponse{RecordJson: string(b)}), nil
 }
 
-// Grant receives how many requests of each client a box sees, for clients that this box owns, and returns that box's
-// shares of the clients' limits. The owner of a client is the one box that divides the client's limits among all boxes.
+// Grant receives the demand of another box: how many requests of each client that box sees. It covers only clients
+// that this box owns. The owner of a client is the one box that divides the client's limits among all boxes. Grant
+// returns the other box's shares of these limits.
 func (p *peerServer) Grant(_ context.Context, r *connect.Request[v1.GrantRequest]) (*connect.Response[v1.GrantResponse], error) {
 	demands := make([]limit.Demand, len(r.Msg.Demands))
 	for i, d := range r.Msg.Demands {
--- a/internal/ops/relay.go
+++ b/internal/ops/relay.go
@@ -31,11 +31,11 @@
 	Operator func(key string) bool
 	// OpenMetrics makes the metrics readable without an operator key.
 	OpenMetrics bool
-	// Stop starts a planned stop and returns at once.
+	// Stop begins a planned stop. It returns immediately.
 	Stop func()
-	// NearLimit returns the client accounts that are close to their limit, each with the share of its burst capacity
-	// that is left. It covers only the accounts owned by this box: an account's owner divides the account's limit among
-	// the boxes. NearLimit is nil if this is not known.
+	// NearLimit returns the client accounts that are close to their limit. For each account, it returns the share of
+	// its burst capacity that is left. It covers only the accounts that this box owns. An account's owner is the box
+	// that divides the account's limit among all boxes. NearLimit is nil if the box does not know these accounts.
 	NearLimit func() map[string]float64
 }
 
@@ -89,7 +89,7 @@
 }
 
 // AwaitLocalRollout waits until an accepted version is in force on this box. The other boxes follow the platform's
-// store on their own; this box does not check them, so the response names none of them.
+// store on their own. This box does not check the other boxes, so the response names none of them.
 func (s *RelayServer) AwaitLocalRollout(ctx context.Context, version int64) *v1.ApplyConfigResponse {
 	return pollRollout(ctx, version, func() []string {
 		if s.Relay.PolicyVersion() >= version {
--- a/internal/ops/versions.go
+++ b/internal/ops/versions.go
@@ -19,7 +19,8 @@
 	Store *control.Store
 	// Check returns the problems in the text of a configuration; nil if there are none.
 	Check func(text string) error
-	// AwaitRollout waits until an accepted version is in force, and reports the boxes on which it is not.
+	// AwaitRollout waits until an accepted version is in force. It reports the boxes on which the version is not in
+	// force.
 	AwaitRollout func(ctx context.Context, version int64) *v1.ApplyConfigResponse
 }
 
@@ -94,8 +95,8 @@
 	rolloutPollInterval = 250 * time.Millisecond
 )
 
-// pollRollout calls lagging, which returns the boxes that do not have the version in force, every rolloutPollInterval.
-// It ends when there are no such boxes, or after rolloutTimeout.
+// pollRollout calls lagging every rolloutPollInterval. lagging returns the boxes that do not have the version in force.
+// pollRollout ends when there are no such boxes, or after rolloutTimeout.
 func pollRollout(ctx context.Context, version int64, lagging func() []string) *v1.ApplyConfigResponse {
 	start := time.Now()
 	resp := &v1.ApplyConfigResponse{Version: version}
--- a/internal/peer/grants.go
+++ b/internal/peer/grants.go
@@ -14,9 +14,10 @@
 	v1 "github.com/stoatramp/stoatramp/internal/rpc/stoatrampv1"
 )
 
-// Grants divides the clients' limits among the boxes. Each client has one owner, a box that grants every box its share
-// of the client's limits. A box reports its demand to the owner: the rate of requests that it receives from the client.
-// Grants does both parts: it fetches the shares of its own box, and grants shares for the clients that its box owns.
+// Grants divides the clients' limits among the boxes. Each client has one owner. The owner is a box that grants every
+// box its share of the client's limits. A box reports its demand to the owner: the rate of requests that the box
+// receives from the client. Grants does both tasks. It fetches the shares of its own box, and it grants shares for the
+// clients that its box owns.
 type Grants struct {
 	peers *Peers
 	table *limit.Table
@@ -25,14 +26,14 @@
 	owner *limit.Owner
 }
 
-// NewGrants returns the Grants of a box with the given peers, which keeps the shares in t up to date.
+// NewGrants returns the Grants of a box with the given peers. The Grants keeps the shares in t up to date.
 func NewGrants(p *Peers, t *limit.Table) *Grants {
 	return &Grants{peers: p, table: t, owner: limit.NewOwner()}
 }
 
 const (
-	// grantInterval is how often a box reports its demands. With more than smallListSize boxes the interval grows in
-	// proportion to their number, up to maxGrantSlowdown times.
+	// grantInterval is how often a box reports its demands. If there are more than smallListSize boxes, the interval
+	// grows in proportion to their number. It grows to at most maxGrantSlowdown times grantInterval.
 	grantInterval    = time.Second
 	maxGrantSlowdown = 5
 )
@@ -75,7 +76,7 @@
 	wg.Wait()
 }
 
-// HandleDemands takes the demands of one box for clients that this box owns, and returns the shares granted to that
+// HandleDemands records the demands of one box for clients that this box owns. It returns the shares granted to that
 // box.
 func (g *Grants) HandleDemands(box string, demands []limit.Demand) []limit.Share {
 	g.mu.Lock()
@@ -102,8 +103,8 @@
 	}
 }
 
-// ownerOf returns the box that owns a client. It uses rendezvous hashing: if a box is added or removed, only the
-// clients that are owned by that box change their owner.
+// ownerOf returns the box that owns a client. It uses rendezvous hashing. If a box is added, only the clients
+// that it then owns change their owner. If a box is removed, only the clients that it owned change their owner.
 func ownerOf(self string, boxes []platform.BoxInfo, client string) string {
 	best, bestHash := self, xxhash.Sum64String(self+"\x00"+client)
 	for _, b := range boxes {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer is the communication between boxes (machines that run the router). The platform's list of boxes lags
-// behind, so a box learns by direct calls which boxes answer. A box passes on only configurations that the platform's
-// table has accepted, so the boxes need no agreement protocol between them.
+// Package peer is the communication between boxes (machines that run the router). The platform's list of boxes is
+// often out of date, so a box learns by direct calls which boxes answer. A box passes on only configurations that the
+// platform's table has accepted. So the boxes need no agreement protocol between them.
 package peer
 
 import (
@@ -55,8 +55,8 @@
 	return &Peers{self: self, key: key, lister: list, hc: hc}
 }
 
-// Run keeps the list of boxes up to date until ctx ends. If the list cannot be read, the previous list stays in use. A
-// call to a box that is gone just fails.
+// Run keeps the list of boxes up to date until ctx ends. If the list cannot be read, the previous list stays in use.
+// That list may name a box that no longer runs; a call to that box fails.
 func (p *Peers) Run(ctx context.Context) {
 	for {
 		p.Refresh(ctx)
@@ -147,8 +147,9 @@
 	return names
 }
 
-// Behind asks the named boxes which configuration version they use, and returns the names of those whose version is
-// older than the given one. It also names the boxes that do not answer, since they may still serve callers.
+// Behind asks the named boxes which configuration version they use. It returns the names of the boxes whose version is
+// older than the given version. It also returns the names of the boxes that do not answer, since these boxes may still
+// serve callers.
 func (p *Peers) Behind(ctx context.Context, version int64, names []string) []string {
 	var mu sync.Mutex
 	var behind []string
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -38,8 +38,8 @@
 	Key string `json:"key"`
 	// Version grows by one with every write of the row; 0 means that the row does not exist.
 	Version int64 `json:"version"`
-	// Token is chosen by the writer of this version. A writer whose response was lost can tell by the token whether the
-	// row is its own write.
+	// Token is chosen by the writer of this version. If the response to a write was lost, the writer can tell by the
+	// token whether the row is its own write.
 	Token string `json:"token"`
 	Value string `json:"value"`
 }
@@ -72,7 +72,7 @@
 }
 
 // NewClient returns a client for the services at the base URL. No write carries an Idempotency-Key. Therefore net/http
-// sends a write again only if it had sent nothing of it, and a lost response is always reported as an error.
+// sends a write again only if it had sent nothing of that write. A lost response is always reported as an error.
 func NewClient(base, key string) *Client {
 	return NewClientWithDial(base, key, (&net.Dialer{Timeout: callTimeout}).DialContext)
 }
--- a/internal/standin/decode.go
+++ b/internal/standin/decode.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// step starts the waiting streams for which there is memory, generates one token for each running stream, and returns
-// the number of running streams.
+// step starts the waiting streams for which there is memory. It then generates one token for each running stream. It
+// returns the number of running streams.
 func (e *Engine) step() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -1,6 +1,6 @@
 // Package standin holds small stand-ins for the systems around the router: language model engines, a plain service and
-// the platform. They speak the same protocols as the real systems, take the time that the cost model (package cost)
-// predicts, and can be told to fail. They serve tests, benchmarks and the demo; no production code uses them.
+// the platform. They speak the same protocols as the real systems. Their work lasts as long as the cost model (package
+// cost) predicts. They can be told to fail. They serve tests, benchmarks and the demo; no production code uses them.
 package standin
 
 import (
@@ -301,7 +301,8 @@
 	}
 }
 
-// currentLoad returns the newest load report that is at least ReportLag old, or the oldest one if there is none.
+// currentLoad returns the newest load report that is at least ReportLag old. If no report is that old, it returns the
+// oldest report.
 func (e *Engine) currentLoad() engine.Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/orders.go
+++ b/internal/standin/orders.go
@@ -32,8 +32,8 @@
 	return append([]engine.Order(nil), e.orders...)
 }
 
-// order carries out an order. An epoch numbers the sender's right to give orders. With fencing, the engine refuses an
-// order whose epoch is below the highest it has seen; without fencing, it carries out every order, however late.
+// order carries out an order. An epoch is a number for the sender's right to give orders. With fencing, the engine
+// refuses an order whose epoch is below the highest epoch it has seen. Without fencing, it carries out every order.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -51,8 +51,8 @@
 	writeJSON(w, struct{}{})
 }
 
-// maxEvents is how many cache events are kept. A client that asks for an event that is no longer kept is told of the
-// gap.
+// maxEvents is how many cache events are kept. If a client asks for an event that is no longer kept, the answer tells
+// the client of the gap.
 const maxEvents = 256
 
 // recordEviction adds an event for a block that was evicted from the prefix cache.
