--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -20,7 +20,8 @@
 
 func (noArchive) Add(*record.Record) {}
 
-// newRecorder returns a recorder, and the buffer to which it logs up to rate successful requests per second.
+// newRecorder returns a recorder and the buffer that the recorder logs to. The recorder logs at most the given number
+// of successful requests per second.
 func newRecorder(rate float64) (*Recorder, *bytes.Buffer) {
 	var out bytes.Buffer
 	m := telemetry.NewMetrics()
--- a/internal/bench/bound.go
+++ b/internal/bench/bound.go
@@ -129,8 +129,8 @@
 		sum.prefillSeconds += w.prefillSeconds
 		sum.decodeTokens += w.decodeTokens
 		sum.linkSeconds += w.linkSeconds
-		// Memory is reserved for the prompt and the requested maximum of tokens. It stays reserved for the whole
-		// answer, with the target as the time between two tokens.
+		// Memory is reserved for the prompt and the requested maximum of tokens, until the answer ends. The time
+		// from one token to the next is assumed to be the between-tokens target.
 		sum.kvTokenSeconds += float64(r.outputTokens) * r.BetweenTokens.Seconds() * float64(r.PromptTokens+r.MaxTokens)
 	}
 	n := float64(len(reqs))
--- a/internal/box/stop.go
+++ b/internal/box/stop.go
@@ -25,7 +25,8 @@
 	finalPhasesShare = 0.25
 )
 
-// begin starts a stop that may last the time total. It returns the time by which running requests must have ended.
+// begin starts a planned stop, for which the settings allow the duration total. It returns the time by which running
+// requests must have ended.
 func (p *stopPlan) begin(now time.Time, total time.Duration) (requests time.Time) {
 	deadline := now.Add(total)
 	p.deadline.Store(&deadline)
--- a/internal/decide/memory_test.go
+++ b/internal/decide/memory_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// An engine reports one stream of 5,000 tokens, but little free memory. The engine has reserved the difference for
-// streams without a first token. The reserved memory counts as used.
+// An engine has memory for 63,000 tokens. It reports one stream of 5,000 tokens and 4,000 free tokens. The other 54,000
+// tokens are reserved for streams that have no first token yet. The test expects them to count as used.
 func TestOverflowReservedMemory(t *testing.T) {
 	now := time.Now()
 	e := &engine{Engine: Engine{KVTokens: 63000}, hasReport: true}
--- a/internal/decide/place.go
+++ b/internal/decide/place.go
@@ -54,7 +54,7 @@
 	affinityGain      = 4
 	maxAffinityFactor = 5.0
 	// avoidCost, in seconds, is added for the engine that this request should avoid (see
-	// flight.engineToAvoid). The request goes there only if there is no other engine.
+	// flight.engineToAvoid). The request goes there only if no other usable engine is cheaper.
 	avoidCost = 1
 	// costNoise, in seconds, is the upper bound of a random amount that is added to each cost.
 	costNoise = 0.001
@@ -227,9 +227,9 @@
 	}
 }
 
-// preferredPrefill is the prefill engine that the hash of the prompt's first block maps to. All boxes
-// compute the same engine, since it depends only on the configuration and not on what a box has
-// observed. The result is nil if the prompt has no full block or the pool has no prefill engine.
+// preferredPrefill is the first of the prefill engines that the hash of the prompt's first block maps
+// to. All boxes compute the same engine, since it depends only on the configuration and not on what a
+// box has observed. The result is nil if the prompt has no full block or the pool has no prefill engine.
 func (p *pool) preferredPrefill(f *flight) *engine {
 	if len(f.Blocks) == 0 || len(p.ring) == 0 {
 		return nil
--- a/internal/gateway/parse.go
+++ b/internal/gateway/parse.go
@@ -121,7 +121,7 @@
 	return req, outcome.Outcome{}
 }
 
-// encodeFields returns a JSON object with the fields in all. Their values stay byte for byte as the caller wrote them.
+// encodeFields returns a JSON object with the given fields. Their values stay byte for byte as the caller wrote them.
 // encoding/json would escape and compact the values. Engines would then report other hashes for the prompt's blocks
 // than hashBlocks computes.
 func encodeFields(all map[string]json.RawMessage) []byte {
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -402,7 +402,9 @@
 	}
 }
 
-// TestWays prints, for each strategy and fault, the units admitted in the worst window and the units wrongly refused.
+// TestWays prints a table of the strategies and faults. One figure is the units that all boxes admitted in the window
+// with the most, as a multiple of the units allowed. The other is the percentage of units that were refused although the
+// load was within the limit.
 func TestWays(t *testing.T) {
 	if !testing.Verbose() {
 		t.Skip("prints a table with -v")
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -108,7 +108,7 @@
 	part   part
 }
 
-// part is a piece of a stream. It holds only complete events.
+// part is a piece of a stream. It holds complete events. Only the last part of a stream can end with an incomplete event.
 type part struct {
 	bytes []byte
 	// events is the number of events in the part that have an id. lastID is the id of the last of these events; empty
--- a/internal/relay/subset.go
+++ b/internal/relay/subset.go
@@ -149,7 +149,7 @@
 	rank  uint64
 }
 
-// topRanked keeps the endpoints with the highest ranks, limit at most, in descending order.
+// topRanked keeps the endpoints with the highest ranks, in descending order. It keeps no more than the number in limit.
 type topRanked struct {
 	limit int
 	list  []rankedEndpoint
